--- a/steward/src/test/java/willowdoor/steward/link/PinnedFormsTest.java
+++ b/steward/src/test/java/willowdoor/steward/link/PinnedFormsTest.java
@@ -23,7 +23,8 @@
 class PinnedFormsTest {
 
   private static final Map<String, Class<?>> ROOTS = Map.of("command", Command.class,
-      "outcome", Outcome.class, "state", State.class, "call", Call.class, "answer", Answer.class, "link", LinkMessage.class);
+      "outcome", Outcome.class, "state", State.class, "call", Call.class, "answer", Answer.class,
+      "link", LinkMessage.class);
 
   @Test
   void everyKindIsReadAndWrittenAsBefore() throws IOException {
