--- a/daemon/src/main/java/willowdoor/daemon/agreement/PermitsCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/agreement/PermitsCommand.java
@@ -22,7 +22,7 @@
 import willowdoor.agreement.Permit;
 import willowdoor.agreement.Subject;
 import willowdoor.agreement.Subject.Kind;
-import willowdoor.net.RosterNews;
+import willowdoor.net.EndpointUpdate;
 import willowdoor.steward.Steward;
 import willowdoor.steward.StewardId;
 import willowdoor.steward.link.Answer;
@@ -62,7 +62,7 @@
     private CommandSpec spec;
 
     Operator operator() {
-      List<InetSocketAddress> all = stewards.stream().map(RosterNews::address).toList();
+      List<InetSocketAddress> all = stewards.stream().map(EndpointUpdate::parseAddress).toList();
       if (all.contains(null)) {
         throw new ParameterException(spec.commandLine(), "--stewards " + String.join(",", stewards)
             + " (expected: numeric addresses with ports)");
@@ -109,7 +109,7 @@
     private Subject subject() {
       return switch (kind) {
         case "door" -> new Subject(Kind.DOOR, name);
-        case "backend" -> new Subject(Kind.BACKEND, Long.toHexString(RosterNews.number(name)));
+        case "backend" -> new Subject(Kind.BACKEND, Long.toHexString(EndpointUpdate.idOf(name)));
         default -> throw new ParameterException(spec.commandLine(), "\"" + kind
             + "\" (expected: door or backend)");
       };
--- a/daemon/src/main/java/willowdoor/daemon/config/DaemonConfig.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/DaemonConfig.java
@@ -18,7 +18,7 @@
 import willowdoor.life.InstanceLife;
 import willowdoor.net.Bounds;
 import willowdoor.net.Config;
-import willowdoor.net.RosterNews;
+import willowdoor.net.EndpointUpdate;
 import willowdoor.policy.GatewayApi.Allowed;
 import willowdoor.policy.GatewayApi.BackendEntry;
 import willowdoor.policy.GatewayApi.Group;
@@ -81,7 +81,7 @@
   public record TakeOver(String controlSocket, int readyLimitMs) { }
 
   /** How backends are reached, and those known before discovery has told any. */
-  public record Backends(double connectLimitMs, double idleLimitMs, RosterNews known) { }
+  public record Backends(double connectLimitMs, double idleLimitMs, EndpointUpdate known) { }
 
   /** Keys that a reload takes; any other that has changed needs a restart. */
   public static final Set<String> RELOADABLE = Set.of("discovery.address", "counter.address");
@@ -214,7 +214,7 @@
       return path;
     }
 
-    private RosterNews known() {
+    private EndpointUpdate known() {
       List<BackendEntry> entries = new ArrayList<>();
       Map<Long, InetSocketAddress> places = new HashMap<>();
       Set<String> ids = new HashSet<>();
@@ -223,14 +223,14 @@
         InetSocketAddress address = s.address("address");
         String zone = s.text("zone", "");
         if (address != null) {
-          long number = RosterNews.number(id);
+          long number = EndpointUpdate.idOf(id);
           places.put(number, address);
           entries.add(new BackendEntry(number, zone, s.whole("cell", 0, 0, 1_000_000), Phase.SERVING,
               s.number("weight", 1, 0.001, 1_000), 0));
         }
         s.end();
       }
-      return new RosterNews(0, true, entries, places);
+      return new EndpointUpdate(0, true, entries, places);
     }
 
     static String unique(Section s, String key, Set<String> taken) {
--- a/daemon/src/main/java/willowdoor/daemon/config/Section.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/Section.java
@@ -12,7 +12,7 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 import willowdoor.agreement.Most;
-import willowdoor.net.RosterNews;
+import willowdoor.net.EndpointUpdate;
 
 /**
  * One table of the file. Each look for a key checks its value, notes a problem instead of failing, and notes
@@ -157,7 +157,7 @@
   /** A numeric address and port; names are not looked up. */
   InetSocketAddress address(String key) {
     Object found = look(key);
-    InetSocketAddress address = found instanceof String s ? RosterNews.address(s) : null;
+    InetSocketAddress address = found instanceof String s ? EndpointUpdate.parseAddress(s) : null;
     if (address == null) {
       problem(key, found, "an address and port such as \"127.0.0.1:7070\" or \"[::1]:7070\"; no name");
     }
@@ -167,7 +167,7 @@
   /** Numeric addresses and ports; none where the key is missing. */
   List<InetSocketAddress> addresses(String key) {
     List<String> texts = texts(key, List.of());
-    List<InetSocketAddress> all = texts.stream().map(RosterNews::address).toList();
+    List<InetSocketAddress> all = texts.stream().map(EndpointUpdate::parseAddress).toList();
     if (all.contains(null)) {
       problem(key, texts, "addresses and ports such as [\"127.0.0.1:7101\"]; no names");
       return List.of();
--- a/daemon/src/main/java/willowdoor/daemon/fleet/AgreedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AgreedCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Spec;
 import willowdoor.agreement.Subject;
 import willowdoor.agreement.Subject.Kind;
-import willowdoor.net.RosterNews;
+import willowdoor.net.EndpointUpdate;
 import willowdoor.testkit.BackendPark;
 import willowdoor.testkit.ClientFleet;
 import willowdoor.testkit.DoorProcess;
@@ -139,7 +139,7 @@
     Map<Subject, String> all = new LinkedHashMap<>();
     IntStream.range(0, doors).forEach(i -> all.put(new Subject(Kind.DOOR, "d" + i), "d" + i));
     IntStream.range(0, 8).forEach(i -> all.put(new Subject(Kind.BACKEND,
-        Long.toHexString(RosterNews.number("b" + i))), "b" + i));
+        Long.toHexString(EndpointUpdate.idOf("b" + i))), "b" + i));
     return all;
   }
 
--- a/daemon/src/main/java/willowdoor/daemon/fleet/BackendRestarts.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/BackendRestarts.java
@@ -8,7 +8,7 @@
 import willowdoor.agreement.Permit;
 import willowdoor.agreement.Permit.Stage;
 import willowdoor.agreement.Subject.Kind;
-import willowdoor.net.RosterNews;
+import willowdoor.net.EndpointUpdate;
 import willowdoor.steward.link.Standing;
 import willowdoor.testkit.BackendPark;
 import willowdoor.testkit.Ledger;
@@ -40,7 +40,7 @@
   BackendRestarts(ReleaseRun fleet) {
     this.fleet = fleet;
     fleet.run().rig().park().all()
-        .forEach(b -> backends.put(Long.toHexString(RosterNews.number(b.name())), b));
+        .forEach(b -> backends.put(Long.toHexString(EndpointUpdate.idOf(b.name())), b));
     thread.setDaemon(true);
     thread.start();
   }
--- a/daemon/src/main/java/willowdoor/daemon/life/Agreement.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Agreement.java
@@ -25,7 +25,7 @@
 import willowdoor.life.LifeEvent.ComeBack;
 import willowdoor.life.LifeEvent.GoOut;
 import willowdoor.net.FrontDoor;
-import willowdoor.net.RosterNews;
+import willowdoor.net.EndpointUpdate;
 import willowdoor.policy.GatewayApi.BackendEntry;
 import willowdoor.rollout.Tally;
 import willowdoor.steward.link.DoorLink;
@@ -261,7 +261,7 @@
     }
   }
 
-  private void heard(RosterNews news) {
+  private void heard(EndpointUpdate news) {
     if (news.full()) {
       listed.clear();
     }
--- a/daemon/src/main/java/willowdoor/daemon/life/Management.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Management.java
@@ -21,7 +21,7 @@
 import willowdoor.management.Order;
 import willowdoor.management.Reply;
 import willowdoor.net.FrontDoor;
-import willowdoor.net.RosterNews;
+import willowdoor.net.EndpointUpdate;
 import willowdoor.steward.link.DoorLink;
 import willowdoor.steward.link.Standing;
 
@@ -113,7 +113,7 @@
   }
 
   private static Subject backend(String member) {
-    return new Subject(Kind.BACKEND, Long.toHexString(RosterNews.number(member)));
+    return new Subject(Kind.BACKEND, Long.toHexString(EndpointUpdate.idOf(member)));
   }
 
   private String by() {
--- a/daemon/src/test/java/willowdoor/daemon/fleet/AgreedTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/AgreedTest.java
@@ -28,7 +28,7 @@
 import willowdoor.agreement.Permit.Stage;
 import willowdoor.agreement.Subject;
 import willowdoor.agreement.Subject.Kind;
-import willowdoor.net.RosterNews;
+import willowdoor.net.EndpointUpdate;
 import willowdoor.steward.link.Answer;
 import willowdoor.steward.link.Operator;
 import willowdoor.steward.link.Standing;
@@ -88,7 +88,7 @@
   }
 
   private static Subject backend(int number) {
-    return new Subject(Kind.BACKEND, Long.toHexString(RosterNews.number("b" + number)));
+    return new Subject(Kind.BACKEND, Long.toHexString(EndpointUpdate.idOf("b" + number)));
   }
 
   private Outcome ask(Subject subject) throws InterruptedException {
--- a/daemon/src/test/java/willowdoor/daemon/fleet/InnerStewardTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/InnerStewardTest.java
@@ -15,7 +15,7 @@
 import willowdoor.agreement.Permit.Stage;
 import willowdoor.agreement.Subject;
 import willowdoor.agreement.Subject.Kind;
-import willowdoor.net.RosterNews;
+import willowdoor.net.EndpointUpdate;
 import willowdoor.steward.link.Answer;
 import willowdoor.steward.link.Operator;
 import willowdoor.steward.link.Standing;
@@ -54,7 +54,7 @@
       run.rig().budgets(new Judge.Budgets(1, 1, x -> x.startsWith("d"), 15_000));
       run.start(new ClientFleet.Load(40, 10, 0.1, 5, 1));
       run.clients().begin();
-      Subject b0 = new Subject(Kind.BACKEND, Long.toHexString(RosterNews.number("b0")));
+      Subject b0 = new Subject(Kind.BACKEND, Long.toHexString(EndpointUpdate.idOf("b0")));
       try (Operator ana = new Operator("fleet", "ana", List.of(run.address(0, 7_101)))) {
         await(ana, "all known", s -> s.backends() == 3 && s.doorsOut() == 0);
         Answer answer = ana.put(new Ask(0, "r1", b0, "ana", "disk", false), LIMIT_MS);
--- a/door/src/main/java/willowdoor/net/AnswerPipe.java
+++ b/door/src/main/java/willowdoor/net/AnswerPipe.java
@@ -14,107 +14,107 @@
 final class AnswerPipe {
 
   /** One in which nothing has moved for so long is given up: peers may take seconds, not longer. */
-  static final long STALLED_MS = 15_000;
+  static final long STALL_LIMIT_MS = 15_000;
 
   /** The client's side. */
-  interface Taker {
+  interface Receiver {
     /** A piece, which the taker releases. */
-    void piece(ByteBuf bytes);
+    void onPiece(ByteBuf bytes);
 
     /** All has come. */
-    void whole();
+    void onComplete();
 
     /** The rest will not come. */
-    void broken();
+    void onAborted();
   }
 
   private final Channel backend;
   /** What came before there was a taker: no more than one read gives. */
-  private final ArrayDeque<ByteBuf> early = new ArrayDeque<>(2);
-  private Taker taker;
+  private final ArrayDeque<ByteBuf> buffered = new ArrayDeque<>(2);
+  private Receiver receiver;
   private boolean ended;
-  private boolean whole;
-  private boolean moved;
+  private boolean completed;
+  private boolean progressed;
 
   AnswerPipe(Channel backend) {
     this.backend = backend;
-    watch();
+    scheduleStallCheck();
   }
 
-  private void watch() {
+  private void scheduleStallCheck() {
     backend.eventLoop().schedule(() -> {
-      if (!ended && !moved) {
-        breakOff();
+      if (!ended && !progressed) {
+        abort();
       } else if (!ended) {
-        moved = false;
-        watch();
+        progressed = false;
+        scheduleStallCheck();
       }
-    }, STALLED_MS, TimeUnit.MILLISECONDS);
+    }, STALL_LIMIT_MS, TimeUnit.MILLISECONDS);
   }
 
   /** Has the taker get what has come and all that comes. */
-  void to(Taker other) {
-    taker = other;
-    for (ByteBuf piece = early.poll(); piece != null; piece = early.poll()) {
-      other.piece(piece);
+  void setReceiver(Receiver newReceiver) {
+    receiver = newReceiver;
+    for (ByteBuf piece = buffered.poll(); piece != null; piece = buffered.poll()) {
+      newReceiver.onPiece(piece);
     }
     if (ended) {
-      finish();
+      notifyReceiver();
     }
   }
 
   /** The client's side takes more, or no more for now. */
-  void readOn(boolean on) {
+  void setReading(boolean reading) {
     if (!ended) {
-      moved |= on;
-      backend.config().setAutoRead(on);
+      progressed |= reading;
+      backend.config().setAutoRead(reading);
     }
   }
 
   /** A piece from the backend, which is handed over with it. */
-  void piece(ByteBuf bytes) {
+  void forward(ByteBuf bytes) {
     if (ended) {
       bytes.release();
       return;
     }
-    moved = true;
-    if (taker == null) {
-      early.add(bytes);
+    progressed = true;
+    if (receiver == null) {
+      buffered.add(bytes);
     } else {
-      taker.piece(bytes);
+      receiver.onPiece(bytes);
     }
   }
 
   /** The backend has given all. */
-  void whole() {
+  void complete() {
     end(true);
   }
 
   /** The backend gives no more, or the client takes no more. */
-  void breakOff() {
+  void abort() {
     end(false);
     backend.close();
   }
 
-  private void end(boolean all) {
+  private void end(boolean complete) {
     if (!ended) {
       ended = true;
-      whole = all;
-      if (!all) {
-        early.forEach(ByteBuf::release);
-        early.clear();
+      completed = complete;
+      if (!complete) {
+        buffered.forEach(ByteBuf::release);
+        buffered.clear();
       }
-      if (taker != null) {
-        finish();
+      if (receiver != null) {
+        notifyReceiver();
       }
     }
   }
 
-  private void finish() {
-    if (whole) {
-      taker.whole();
+  private void notifyReceiver() {
+    if (completed) {
+      receiver.onComplete();
     } else {
-      taker.broken();
+      receiver.onAborted();
     }
   }
 }
--- a/door/src/main/java/willowdoor/net/Attempt.java
+++ b/door/src/main/java/willowdoor/net/Attempt.java
@@ -13,7 +13,7 @@
   /** When its time is up, on the gateway's clock: never after the moment at which its client gives up. */
   final double deadlineMs;
   /** Where it was sent. */
-  long backend;
+  long backendId;
   /** Null while the attempt has no connection yet. */
   BackendConnection connection;
   /** True once the request's last byte went to the kernel: from then on the backend may have run it. */
@@ -21,7 +21,7 @@
   /** Fires when the attempt's time is up. */
   Future<?> timer;
   /** What of a long answer is still to come, or null. */
-  AnswerPipe rest;
+  AnswerPipe restOfAnswer;
   private boolean ended;
 
   Attempt(FullHttpRequest message, double deadlineMs) {
@@ -30,7 +30,7 @@
   }
 
   /** The id of its request. */
-  final String request() {
+  final String requestId() {
     return message.headers().get(Headers.REQUEST_ID);
   }
 
@@ -42,7 +42,7 @@
    * How a broken connection ends this attempt: whether it may have run is told by the write alone. Stale: the
    * connection had been kept, and nothing came of this attempt's answer.
    */
-  final Status broken(boolean stale) {
+  final Status statusOnDisconnect(boolean stale) {
     if (!written) {
       return Status.BROKEN;
     }
@@ -50,7 +50,7 @@
   }
 
   /** How running out of time ends this attempt; one without a connection tells nothing of its backend. */
-  final Status overdue() {
+  final Status statusOnTimeout() {
     return written ? Status.TIMED_OUT : Status.NOT_SENT;
   }
 
@@ -71,20 +71,20 @@
     if (ended) {
       return;
     }
-    BackendConnection used = connection;
+    BackendConnection usedConnection = connection;
     end(status, null);
-    if (used != null) {
-      used.close();
+    if (usedConnection != null) {
+      usedConnection.close();
     }
   }
 
   /** Whether it may begin, by all that is known at this moment; asked just before its first byte leaves. */
-  AttemptStart mayStart(double nowMs) {
+  AttemptStart startDecision(double nowMs) {
     return AttemptStart.of(ended, false, false, deadlineMs - nowMs);
   }
 
   /** It was not allowed to begin, for that reason. */
-  void withheld(AttemptStart reason) {
+  void onWithheld(AttemptStart reason) {
     end(Status.NOT_SENT, null);
   }
 
--- a/door/src/main/java/willowdoor/net/BackendConnection.java
+++ b/door/src/main/java/willowdoor/net/BackendConnection.java
@@ -27,38 +27,38 @@
 final class BackendConnection extends SimpleChannelInboundHandler<HttpObject> {
 
   /** Held until it is whole; a longer one passes through. */
-  private static final int MOST_BODY = 64 * 1024;
+  private static final int MAX_HELD_BODY_BYTES = 64 * 1024;
   /** What a backend says to be longer is no answer. */
-  private static final long MOST_LENGTH = 1L << 30;
+  private static final long MAX_CONTENT_LENGTH_BYTES = 1L << 30;
   /** Answers 1xx that may come ahead of the real one. */
-  private static final int MOST_AHEAD = 16;
+  private static final int MAX_INFORMATIONAL = 16;
   /** One that has begun and gives nothing for so long does not go on: backends may take seconds to write. */
-  private static final long SILENT_MS = 700;
+  private static final long PROGRESS_CHECK_MS = 700;
   /** One of unknown length that is not whole by then passes through, so that nothing is held back. */
-  private static final long GATHER_MS = 1_000;
+  private static final long MAX_HOLD_MS = 1_000;
 
   private final BackendPool pool;
   private final ResponseDecoder decoder;
   final BackendPool.Backend backend;
   /** Where it leads; its backend may move. */
-  final InetSocketAddress place;
+  final InetSocketAddress address;
   private Channel channel;
-  private Attempt current;
-  double idleSince;
+  private Attempt currentAttempt;
+  double idleSinceMs;
   /** It has carried an answer before. */
-  private boolean kept;
+  private boolean hasAnswered;
   /** The answer being read, its body so far, and whether its end has come. */
   private HttpResponse head;
   private ByteBuf body;
-  private boolean whole;
-  private int ahead;
+  private boolean complete;
+  private int informationalCount;
   /** More has come than the one answer. */
-  private boolean overfull;
+  private boolean excessRead;
   /** Ends an answer that stops half way. */
-  private Future<?> stop;
-  private int piecesSeen;
-  private int pieces;
-  private double begunAt;
+  private Future<?> progressTimer;
+  private int partsAtLastCheck;
+  private int partsRead;
+  private double headReadMs;
   /** Where the rest of the answer goes; null while it is gathered. */
   private AnswerPipe pipe;
   /** The connection was reset: an answer that ends with it is not whole. */
@@ -67,7 +67,7 @@
   BackendConnection(BackendPool pool, BackendPool.Backend backend, ResponseDecoder decoder) {
     this.pool = pool;
     this.backend = backend;
-    this.place = backend.place;
+    this.address = backend.address;
     this.decoder = decoder;
   }
 
@@ -76,12 +76,12 @@
     channel = ctx.channel();
   }
 
-  boolean usable() {
+  boolean isActive() {
     return channel.isActive();
   }
 
   void close() {
-    kept = false;
+    hasAnswered = false;
     channel.close();
   }
 
@@ -89,19 +89,19 @@
    * Writes the attempt's request if it may still begin; nothing below the module ever writes it again. Every
    * attempt begins here, however long and for what it waited before.
    */
-  void carry(Attempt attempt) {
+  void start(Attempt attempt) {
     double now = pool.now();
-    AttemptStart start = attempt.mayStart(now);
-    if (start != AttemptStart.ALLOWED) {
-      RequestLog.note(attempt.request(), "attempt withheld", "reason", start);
+    AttemptStart decision = attempt.startDecision(now);
+    if (decision != AttemptStart.ALLOWED) {
+      RequestLog.note(attempt.requestId(), "attempt withheld", "reason", decision);
       close();
-      attempt.withheld(start);
+      attempt.onWithheld(decision);
       return;
     }
-    FullHttpRequest request = BackendPool.request(attempt, now);
-    current = attempt;
+    FullHttpRequest request = BackendPool.requestFor(attempt, now);
+    currentAttempt = attempt;
     attempt.connection = this;
-    RequestLog.note(attempt.request(), "attempt written", "timeout_ms",
+    RequestLog.note(attempt.requestId(), "attempt written", "timeout_ms",
         request.headers().get(Headers.TIMEOUT_MS));
     channel.writeAndFlush(request).addListener((ChannelFuture f) -> {
       attempt.written = f.isSuccess();
@@ -114,60 +114,62 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-    pieces++;
+    partsRead++;
     if (pipe != null) {
-      passOn(part);
-    } else if (current == null) {
+      forward(part);
+    } else if (currentAttempt == null) {
       // An answer that nobody asked for.
       ctx.close();
-    } else if (whole) {
-      overfull = true;
+    } else if (complete) {
+      excessRead = true;
     } else if (part.decoderResult().isFailure() || part instanceof HttpResponse && head != null) {
-      spoilt();
+      endAsSpoilt();
     } else {
       if (part instanceof HttpResponse r) {
-        begin(r);
+        onHead(r);
       }
-      if (current != null && part instanceof HttpContent content) {
-        add(content);
+      if (currentAttempt != null && part instanceof HttpContent content) {
+        onContent(content);
       }
     }
   }
 
-  private void begin(HttpResponse answer) {
+  private void onHead(HttpResponse response) {
     // Without a length the end of the connection is the end of the body, if the backend says that it ends.
-    boolean framed = HttpUtil.isContentLengthSet(answer) || HttpUtil.isTransferEncodingChunked(answer)
-        || !HttpUtil.isKeepAlive(answer);
-    boolean informational = answer.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-    long length = HttpUtil.getContentLength(answer, 0L);
-    if (informational ? ++ahead > MOST_AHEAD : !framed || length > MOST_LENGTH) {
-      spoilt();
+    boolean hasKnownEnd = HttpUtil.isContentLengthSet(response)
+        || HttpUtil.isTransferEncodingChunked(response)
+        || !HttpUtil.isKeepAlive(response);
+    boolean isInformational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+    long length = HttpUtil.getContentLength(response, 0L);
+    if (isInformational ? ++informationalCount > MAX_INFORMATIONAL : !hasKnownEnd
+        || length > MAX_CONTENT_LENGTH_BYTES) {
+      endAsSpoilt();
     } else {
-      head = answer;
-      begunAt = pool.now();
-      body = channel.alloc().buffer((int) Math.min(length, MOST_BODY));
-      if (length > MOST_BODY) {
+      head = response;
+      headReadMs = pool.now();
+      body = channel.alloc().buffer((int) Math.min(length, MAX_HELD_BODY_BYTES));
+      if (length > MAX_HELD_BODY_BYTES) {
         passThrough();
       }
     }
   }
 
-  private void add(HttpContent content) {
-    if (body.readableBytes() + content.content().readableBytes() > MOST_BODY) {
+  private void onContent(HttpContent content) {
+    if (body.readableBytes() + content.content().readableBytes() > MAX_HELD_BODY_BYTES) {
       passThrough();
       if (pipe != null) {
-        passOn(content);
+        forward(content);
       }
       return;
     }
     body.writeBytes(content.content());
     if (content instanceof LastHttpContent) {
       if (wasReset) {
-        spoilt();
+        endAsSpoilt();
       } else if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-        forget();
+        clearAnswer();
       } else {
-        whole = true;
+        complete = true;
       }
     }
   }
@@ -177,35 +179,35 @@
    * the attempt has ended, as no other may follow: what has been passed on cannot be taken back.
    */
   private void passThrough() {
-    Status status = status(head);
-    if (status != Status.OK || !current.written || current.ended()) {
-      spoilt(status == Status.OK || !current.written ? null : status);
+    Status status = statusOf(head);
+    if (status != Status.OK || !currentAttempt.written || currentAttempt.ended()) {
+      endAsSpoilt(status == Status.OK || !currentAttempt.written ? null : status);
       return;
     }
-    Attempt attempt = current;
-    HttpResponse answer = head;
-    ByteBuf first = body;
+    Attempt attempt = currentAttempt;
+    HttpResponse response = head;
+    ByteBuf readSoFar = body;
     body = null;
-    current = null;
-    forget();
+    currentAttempt = null;
+    clearAnswer();
     pipe = new AnswerPipe(channel);
-    pipe.piece(first);
-    attempt.rest = pipe;
-    attempt.end(Status.OK, new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, answer.status(),
-        Unpooled.EMPTY_BUFFER, answer.headers(), EmptyHttpHeaders.INSTANCE));
+    pipe.forward(readSoFar);
+    attempt.restOfAnswer = pipe;
+    attempt.end(Status.OK, new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, response.status(),
+        Unpooled.EMPTY_BUFFER, response.headers(), EmptyHttpHeaders.INSTANCE));
   }
 
-  private void passOn(HttpObject part) {
-    AnswerPipe to = pipe;
+  private void forward(HttpObject part) {
+    AnswerPipe target = pipe;
     if (part.decoderResult().isFailure() || !(part instanceof HttpContent content)) {
-      to.breakOff();
+      target.abort();
     } else {
       if (content.content().isReadable()) {
-        to.piece(content.content().retain());
+        target.forward(content.content().retain());
       }
       if (content instanceof LastHttpContent && !wasReset) {
         // What has carried so much is not kept: its backend has earned the place.
-        to.whole();
+        target.complete();
         channel.close();
       }
     }
@@ -220,110 +222,112 @@
     if (pipe != null) {
       return;
     }
-    if (current != null && whole) {
-      answered();
-    } else if (current != null && stop == null && (head != null || decoder.holdsMore())) {
-      piecesSeen = pieces;
-      stop = ctx.executor().schedule(this::look, SILENT_MS, TimeUnit.MILLISECONDS);
-    } else if (current == null && decoder.holdsMore()) {
+    if (currentAttempt != null && complete) {
+      onComplete();
+    } else if (currentAttempt != null && progressTimer == null
+        && (head != null || decoder.hasUnconsumedBytes())) {
+      partsAtLastCheck = partsRead;
+      progressTimer = ctx.executor().schedule(this::checkProgress, PROGRESS_CHECK_MS, TimeUnit.MILLISECONDS);
+    } else if (currentAttempt == null && decoder.hasUnconsumedBytes()) {
       ctx.close();
     }
   }
 
   /** An answer has begun, and is not whole yet. */
-  private void look() {
-    stop = null;
-    if (current == null || pipe != null) {
+  private void checkProgress() {
+    progressTimer = null;
+    if (currentAttempt == null || pipe != null) {
       return;
     }
     boolean unknownLength = head != null && body != null && body.isReadable()
         && !HttpUtil.isContentLengthSet(head);
-    if (pieces == piecesSeen) {
-      spoilt();
-    } else if (unknownLength && pool.now() - begunAt >= GATHER_MS) {
+    if (partsRead == partsAtLastCheck) {
+      endAsSpoilt();
+    } else if (unknownLength && pool.now() - headReadMs >= MAX_HOLD_MS) {
       passThrough();
     } else {
-      piecesSeen = pieces;
-      stop = channel.eventLoop().schedule(this::look, SILENT_MS, TimeUnit.MILLISECONDS);
+      partsAtLastCheck = partsRead;
+      progressTimer = channel.eventLoop()
+          .schedule(this::checkProgress, PROGRESS_CHECK_MS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void answered() {
-    Attempt attempt = current;
-    DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(),
+  private void onComplete() {
+    Attempt attempt = currentAttempt;
+    DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(),
         body.retain(), head.headers(), EmptyHttpHeaders.INSTANCE);
-    boolean inStep = attempt.written;
-    boolean reusable = inStep && !attempt.ended() && !overfull && !decoder.holdsMore()
+    boolean requestWritten = attempt.written;
+    boolean reusable = requestWritten && !attempt.ended() && !excessRead && !decoder.hasUnconsumedBytes()
         && HttpUtil.isKeepAlive(head) && channel.isActive();
-    current = null;
-    forget();
+    currentAttempt = null;
+    clearAnswer();
     if (reusable) {
       pool.release(this);
     } else {
       channel.close();
     }
     // An answer ahead of the request's end is none to this request.
-    Status status = inStep ? status(answer) : Status.BROKEN;
-    kept = true;
-    attempt.end(status, status == Status.OK ? answer : null);
-    answer.release();
+    Status status = requestWritten ? statusOf(response) : Status.BROKEN;
+    hasAnswered = true;
+    attempt.end(status, status == Status.OK ? response : null);
+    response.release();
   }
 
   /** What came cannot be the answer: the request may have run, and the connection is of no more use. */
-  private void spoilt() {
-    spoilt(null);
+  private void endAsSpoilt() {
+    endAsSpoilt(null);
   }
 
   /** The same for an answer that tells its status and is no use beyond that. */
-  private void spoilt(Status told) {
-    Attempt attempt = current;
-    current = null;
-    forget();
+  private void endAsSpoilt(Status knownStatus) {
+    Attempt attempt = currentAttempt;
+    currentAttempt = null;
+    clearAnswer();
     channel.close();
     if (attempt != null) {
-      attempt.end(told != null ? told : attempt.written ? Status.SPOILT : Status.BROKEN, null);
+      attempt.end(knownStatus != null ? knownStatus : attempt.written ? Status.SPOILT : Status.BROKEN, null);
     }
   }
 
-  private void forget() {
+  private void clearAnswer() {
     head = null;
-    whole = false;
+    complete = false;
     if (body != null) {
       body.release();
       body = null;
     }
-    if (stop != null) {
-      stop.cancel(false);
-      stop = null;
+    if (progressTimer != null) {
+      progressTimer.cancel(false);
+      progressTimer = null;
     }
-    if (current == null) {
-      ahead = 0;
+    if (currentAttempt == null) {
+      informationalCount = 0;
     }
   }
 
-  private static Status status(HttpResponse answer) {
-    HttpResponseStatus code = answer.status();
+  private static Status statusOf(HttpResponse response) {
+    HttpResponseStatus code = response.status();
     if (code.equals(HttpResponseStatus.OK)) {
       return Status.OK;
     }
-    boolean turnedAway = (code.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
+    boolean rejected = (code.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
         || code.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
-        && "1".equals(answer.headers().get(Headers.NOT_STARTED));
-    return turnedAway ? Status.REJECTED : Status.ERROR;
+        && "1".equals(response.headers().get(Headers.NOT_STARTED));
+    return rejected ? Status.REJECTED : Status.ERROR;
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    Attempt attempt = current;
-    boolean stale = kept && head == null && ahead == 0;
-    current = null;
-    forget();
-    pool.closed(this);
+    Attempt attempt = currentAttempt;
+    boolean stale = hasAnswered && head == null && informationalCount == 0;
+    currentAttempt = null;
+    clearAnswer();
+    pool.onClosed(this);
     if (pipe != null) {
-      pipe.breakOff();
+      pipe.abort();
     }
     if (attempt != null) {
-      attempt.end(attempt.broken(stale), null);
+      attempt.end(attempt.statusOnDisconnect(stale), null);
     }
   }
 
--- a/door/src/main/java/willowdoor/net/BackendPool.java
+++ b/door/src/main/java/willowdoor/net/BackendPool.java
@@ -23,19 +23,19 @@
 final class BackendPool {
 
   /** An idle connection is retired at this share of the backends' own limit, well before they close it. */
-  private static final double RETIRE_AT = 0.6;
+  private static final double RETIRE_SHARE = 0.6;
   /**
    * A connection is used again only when it has been quiet for this long after an answer. Guards against a
    * second copy just behind, which nothing but the moment of its coming tells from the next answer.
    */
   private static final double SETTLE_MS = 4;
-  private static final long SWEEP_MS = 500;
+  private static final long SWEEP_INTERVAL_MS = 500;
 
   /** One backend's place and connections. */
   static final class Backend {
-    InetSocketAddress place;
+    InetSocketAddress address;
     private double startedMs;
-    private boolean gone;
+    private boolean removed;
     /** The last one in was used last, and is used next: the others grow old and are retired. */
     private final ArrayDeque<BackendConnection> idle = new ArrayDeque<>();
     private final Set<Attempt> connecting = new HashSet<>();
@@ -44,48 +44,49 @@
   private final EventLoop loop;
   private final Clock clock;
   private final Dialer dialer;
-  private final double idleLimitMs;
+  private final double retireAfterMs;
   private final Places places;
   private final Map<Long, Backend> backends = new HashMap<>();
 
   BackendPool(EventLoop loop, Clock clock, Dialer dialer, double idleLimitMs, Places places) {
     this.loop = loop;
     this.clock = clock;
-    this.idleLimitMs = idleLimitMs * RETIRE_AT;
+    this.retireAfterMs = idleLimitMs * RETIRE_SHARE;
     this.places = places;
     this.dialer = dialer;
-    loop.scheduleWithFixedDelay(this::retireIdle, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(this::retireIdle, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS,
+        TimeUnit.MILLISECONDS);
   }
 
   /** Takes the places that discovery tells; backends that drain or are gone lose their unused connections. */
-  void onRoster(RosterNews news) {
-    Set<Long> named = new HashSet<>();
-    for (BackendEntry e : news.entries()) {
-      named.add(e.id());
-      if (e.phase() != Phase.SERVING) {
-        remove(e.id());
+  void onRoster(EndpointUpdate update) {
+    Set<Long> listedIds = new HashSet<>();
+    for (BackendEntry entry : update.entries()) {
+      listedIds.add(entry.id());
+      if (entry.phase() != Phase.SERVING) {
+        remove(entry.id());
         continue;
       }
-      Backend b = backends.computeIfAbsent(e.id(), id -> new Backend());
-      InetSocketAddress place = news.places().get(e.id());
-      if (!place.equals(b.place) || b.startedMs != e.startedMs()) {
-        List.copyOf(b.idle).forEach(BackendConnection::close);
-        b.place = place;
-        b.startedMs = e.startedMs();
+      Backend backend = backends.computeIfAbsent(entry.id(), id -> new Backend());
+      InetSocketAddress address = update.addresses().get(entry.id());
+      if (!address.equals(backend.address) || backend.startedMs != entry.startedMs()) {
+        List.copyOf(backend.idle).forEach(BackendConnection::close);
+        backend.address = address;
+        backend.startedMs = entry.startedMs();
       }
     }
-    if (news.full()) {
-      List.copyOf(backends.keySet()).stream().filter(id -> !named.contains(id)).forEach(this::remove);
+    if (update.full()) {
+      List.copyOf(backends.keySet()).stream().filter(id -> !listedIds.contains(id)).forEach(this::remove);
     }
   }
 
   /** Guards the rule on drains: an attempt that still waits for its connection is not written any more. */
   private void remove(long id) {
-    Backend b = backends.remove(id);
-    if (b != null) {
-      b.gone = true;
-      List.copyOf(b.idle).forEach(BackendConnection::close);
-      List.copyOf(b.connecting).forEach(a -> a.abandon(Status.NOT_SENT));
+    Backend backend = backends.remove(id);
+    if (backend != null) {
+      backend.removed = true;
+      List.copyOf(backend.idle).forEach(BackendConnection::close);
+      List.copyOf(backend.connecting).forEach(a -> a.abandon(Status.NOT_SENT));
     }
   }
 
@@ -93,66 +94,67 @@
     return clock.now();
   }
 
-  boolean knowsAny() {
+  boolean hasBackends() {
     return !backends.isEmpty();
   }
 
   /** Starts an attempt on an idle connection, or on a new one. */
   void start(long id, Attempt attempt) {
-    Backend b = backends.get(id);
-    if (b == null) {
+    Backend backend = backends.get(id);
+    if (backend == null) {
       attempt.end(Status.NOT_SENT, null);
       return;
     }
-    long timeout = Math.max(0, (long) ((attempt.deadlineMs - clock.now()) * 1000));
-    attempt.timer = loop.schedule(() -> attempt.abandon(attempt.overdue()), timeout, TimeUnit.MICROSECONDS);
-    BackendConnection c = idle(b);
-    if (c != null) {
-      c.carry(attempt);
-    } else if (!places.roomForBackend() && !dropIdle()) {
+    long timeoutMicros = Math.max(0, (long) ((attempt.deadlineMs - clock.now()) * 1000));
+    attempt.timer = loop
+        .schedule(() -> attempt.abandon(attempt.statusOnTimeout()), timeoutMicros, TimeUnit.MICROSECONDS);
+    BackendConnection connection = takeIdle(backend);
+    if (connection != null) {
+      connection.start(attempt);
+    } else if (!places.roomForBackend() && !closeAnyIdle()) {
       attempt.end(Status.NOT_SENT, null);
     } else {
-      connect(b, attempt);
+      connect(backend, attempt);
     }
   }
 
   /** The connection used last, if it has settled, and not so long ago that the backend may be closing it. */
-  private BackendConnection idle(Backend b) {
+  private BackendConnection takeIdle(Backend backend) {
     double now = clock.now();
     BackendConnection found = null;
-    for (Iterator<BackendConnection> i = b.idle.descendingIterator(); found == null && i.hasNext();) {
-      BackendConnection c = i.next();
-      if (c.idleSince < now - SETTLE_MS) {
+    for (Iterator<BackendConnection> i = backend.idle.descendingIterator(); found == null && i.hasNext();) {
+      BackendConnection candidate = i.next();
+      if (candidate.idleSinceMs < now - SETTLE_MS) {
         i.remove();
-        if (c.usable() && c.idleSince >= now - idleLimitMs) {
-          found = c;
+        if (candidate.isActive() && candidate.idleSinceMs >= now - retireAfterMs) {
+          found = candidate;
         } else {
-          c.close();
+          candidate.close();
         }
       }
     }
     return found;
   }
 
-  private void connect(Backend b, Attempt attempt) {
+  private void connect(Backend backend, Attempt attempt) {
     places.backend(1);
-    RequestLog.note(attempt.request(), "connecting");
-    b.connecting.add(attempt);
+    RequestLog.note(attempt.requestId(), "connecting");
+    backend.connecting.add(attempt);
     ResponseDecoder decoder = new ResponseDecoder();
-    BackendConnection c = new BackendConnection(this, b, decoder);
-    ChannelFuture connected = dialer.dial(b.place, new ChannelInitializer<Channel>() {
+    BackendConnection connection = new BackendConnection(this, backend, decoder);
+    ChannelFuture connected = dialer.dial(backend.address, new ChannelInitializer<Channel>() {
       @Override
       protected void initChannel(Channel channel) {
-        channel.pipeline().addLast(decoder, new HttpRequestEncoder(), c);
+        channel.pipeline().addLast(decoder, new HttpRequestEncoder(), connection);
       }
     });
     connected.addListener((ChannelFuture f) -> {
-      b.connecting.remove(attempt);
-      RequestLog.note(attempt.request(), "connected", "up", f.isSuccess(), "attempt_over", attempt.ended());
+      backend.connecting.remove(attempt);
+      RequestLog.note(attempt.requestId(), "connected", "up", f.isSuccess(), "attempt_over", attempt.ended());
       if (f.isSuccess()) {
-        c.carry(attempt);
+        connection.start(attempt);
       } else {
-        attempt.end(unconnected(f.cause()), null);
+        attempt.end(connectFailureStatus(f.cause()), null);
       }
     });
     connected.channel().closeFuture().addListener(f -> places.backend(-1));
@@ -164,44 +166,44 @@
    * slow loop that first looks when all is over. Harm: a machine that comes back and resets what was under
    * way meanwhile is met once more before a refusal, or the list, tells of its restart.
    */
-  private static Status unconnected(Throwable cause) {
+  private static Status connectFailureStatus(Throwable cause) {
     return String.valueOf(cause.getMessage()).contains("reset") ? Status.BROKEN : Status.UNREACHABLE;
   }
 
   /** What is written of an attempt now: the backend is told the time that is left now. */
-  static FullHttpRequest request(Attempt attempt, double nowMs) {
+  static FullHttpRequest requestFor(Attempt attempt, double nowMs) {
     FullHttpRequest request = attempt.message.retainedDuplicate();
     request.headers().set(Headers.TIMEOUT_MS, Long.toString((long) Math.ceil(attempt.deadlineMs - nowMs)));
     return request;
   }
 
-  void release(BackendConnection c) {
-    if (!c.backend.gone && c.backend.place.equals(c.place)) {
-      c.idleSince = clock.now();
-      c.backend.idle.addLast(c);
+  void release(BackendConnection connection) {
+    if (!connection.backend.removed && connection.backend.address.equals(connection.address)) {
+      connection.idleSinceMs = clock.now();
+      connection.backend.idle.addLast(connection);
     } else {
-      c.close();
+      connection.close();
     }
   }
 
-  void closed(BackendConnection c) {
-    c.backend.idle.remove(c);
+  void onClosed(BackendConnection connection) {
+    connection.backend.idle.remove(connection);
   }
 
   private void retireIdle() {
-    double before = clock.now() - idleLimitMs;
-    for (Backend b : backends.values()) {
-      while (!b.idle.isEmpty() && b.idle.peekFirst().idleSince < before) {
-        b.idle.pollFirst().close();
+    double idleBeforeMs = clock.now() - retireAfterMs;
+    for (Backend backend : backends.values()) {
+      while (!backend.idle.isEmpty() && backend.idle.peekFirst().idleSinceMs < idleBeforeMs) {
+        backend.idle.pollFirst().close();
       }
     }
   }
 
-  private boolean dropIdle() {
-    for (Backend b : backends.values()) {
-      BackendConnection c = b.idle.pollFirst();
-      if (c != null) {
-        c.close();
+  private boolean closeAnyIdle() {
+    for (Backend backend : backends.values()) {
+      BackendConnection connection = backend.idle.pollFirst();
+      if (connection != null) {
+        connection.close();
         return true;
       }
     }
--- a/door/src/main/java/willowdoor/net/CeilingShares.java
+++ b/door/src/main/java/willowdoor/net/CeilingShares.java
@@ -32,48 +32,50 @@
   private final Clock clock;
   private final CounterStore counter;
   private final CeilingRights rights;
-  private final double mostUnits;
-  private final Map<String, Plan> ceiled = new HashMap<>();
+  private final double maxUnits;
+  private final Map<String, Plan> plansWithCeiling = new HashMap<>();
 
   CeilingShares(EventLoop loop, Clock clock, CounterStore counter, Settings settings) {
     this.loop = loop;
     this.clock = clock;
     this.counter = counter;
     rights = new CeilingRights(clock.now());
-    mostUnits = settings.maxUnits();
-    settings.plans().stream().filter(p -> p.ceilingRate() > 0).forEach(p -> ceiled.put(p.name(), p));
-    if (!ceiled.isEmpty()) {
-      loop.execute(() -> tell(new Woken()));
+    maxUnits = settings.maxUnits();
+    settings.plans().stream().filter(p -> p.ceilingRate() > 0)
+        .forEach(p -> plansWithCeiling.put(p.name(), p));
+    if (!plansWithCeiling.isEmpty()) {
+      loop.execute(() -> dispatch(new Woken()));
     }
   }
 
   /** This door takes requests from here on, or again after {@link #handOver}. */
   void begin() {
-    tell(new Begun());
+    dispatch(new Begun());
   }
 
   /** Another process is this door from here on: what still comes here gets nothing of a ceiling. */
   void handOver() {
-    tell(new HandedOver());
+    dispatch(new HandedOver());
   }
 
   /** The request with the share that this door may use of its firm's ceiling, if there is one. */
-  Request shared(Request r) {
-    Plan plan = ceiled.get(r.planName());
-    return plan == null ? r : r.with(tell(new Asked(r.customer(), r.entryPoints(), r.place(),
-        plan.ceilingRate(), plan.ceilingBurst(), mostUnits, r.units())));
+  Request withShare(Request request) {
+    Plan plan = plansWithCeiling.get(request.planName());
+    return plan == null ? request
+        : request.with(dispatch(new Asked(request.customer(), request.entryPoints(), request.place(),
+        plan.ceilingRate(), plan.ceilingBurst(), maxUnits, request.units())));
   }
 
   /** Takes the end of a call that was made for this; false when it was not. */
-  boolean takes(Counted e) {
-    if (!CeilingRights.owns(e.name())) {
+  boolean acceptIfOwn(Counted ended) {
+    if (!CeilingRights.owns(ended.name())) {
       return false;
     }
-    tell(new Answered(e.name(), e.status() == Status.OK ? e.total() : Double.NaN));
+    dispatch(new Answered(ended.name(), ended.status() == Status.OK ? ended.total() : Double.NaN));
     return true;
   }
 
-  private CeilingShare tell(RightsEvent event) {
+  private CeilingShare dispatch(RightsEvent event) {
     CeilingShare share = null;
     for (RightsAction action : rights.on(clock.now(), event)) {
       if (action instanceof Share s) {
@@ -81,7 +83,7 @@
       } else if (action instanceof Call c) {
         counter.add(c.name(), c.amount(), c.ttlMs());
       } else if (action instanceof WakeAt w) {
-        loop.schedule(() -> tell(new Woken()), (long) Math.max(1, w.atMs() - clock.now()),
+        loop.schedule(() -> dispatch(new Woken()), (long) Math.max(1, w.atMs() - clock.now()),
             TimeUnit.MILLISECONDS);
       }
     }
--- a/door/src/main/java/willowdoor/net/ClientConnection.java
+++ b/door/src/main/java/willowdoor/net/ClientConnection.java
@@ -335,17 +335,17 @@
     }
     passing = rest;
     channel.write(answer);
-    rest.to(new AnswerPipe.Taker() {
+    rest.setReceiver(new AnswerPipe.Receiver() {
       @Override
-      public void piece(ByteBuf bytes) {
+      public void onPiece(ByteBuf bytes) {
         channel.writeAndFlush(new DefaultHttpContent(bytes));
         if (!channel.isWritable()) {
-          rest.readOn(false);
+          rest.setReading(false);
         }
       }
 
       @Override
-      public void whole() {
+      public void onComplete() {
         passing = null;
         current = null;
         quietSince = server.now();
@@ -359,7 +359,7 @@
       }
 
       @Override
-      public void broken() {
+      public void onAborted() {
         passing = null;
         breakOff();
       }
@@ -379,7 +379,7 @@
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     if (passing != null) {
-      passing.readOn(channel.isWritable());
+      passing.setReading(channel.isWritable());
     }
   }
 
@@ -491,7 +491,7 @@
     dropWaiting();
     server.closed(this);
     if (passing != null) {
-      passing.breakOff();
+      passing.abort();
     } else if (current != null) {
       server.driver().clientLeft(current);
       current = null;
--- a/door/src/main/java/willowdoor/net/ClientServer.java
+++ b/door/src/main/java/willowdoor/net/ClientServer.java
@@ -167,7 +167,7 @@
   }
 
   boolean ready() {
-    return ready && !draining && backends.knowsAny();
+    return ready && !draining && backends.hasBackends();
   }
 
   /** Whether each answer ends its connection. */
--- a/door/src/main/java/willowdoor/net/Config.java
+++ b/door/src/main/java/willowdoor/net/Config.java
@@ -24,7 +24,7 @@
  */
 public record Config(InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress counter,
     long seed,
-    Settings settings, Bounds limits, double connectLimitMs, double idleLimitMs, RosterNews known,
+    Settings settings, Bounds limits, double connectLimitMs, double idleLimitMs, EndpointUpdate known,
     boolean watchCounter, InetSocketAddress management) {
 
   /** The addresses that a new configuration may move. */
@@ -72,7 +72,7 @@
     InetSocketAddress management = fields.get("management") == null ? null : address(fields, "management");
     return new Config(address(fields, "listen"), address(fields, "discovery"), counter, seed(fields), parsed,
         held, JsonFields.number(bounds, "DialTimeoutMs", 250),
-        JsonFields.number(bounds, "ConnIdleMs", 15_000), RosterNews.of(JsonFields.child(fields, "known")),
+        JsonFields.number(bounds, "ConnIdleMs", 15_000), EndpointUpdate.of(JsonFields.child(fields, "known")),
             false, management);
   }
 
@@ -87,7 +87,7 @@
 
   private static InetSocketAddress address(Map<String, Object> fields, String name) throws IOException {
     String text = JsonFields.text(fields, name);
-    InetSocketAddress address = RosterNews.address(text);
+    InetSocketAddress address = EndpointUpdate.parseAddress(text);
     if (address == null) {
       throw new IOException(name + " is not an address and port: '" + text + "'");
     }
--- a/door/src/main/java/willowdoor/net/CounterClient.java
+++ b/door/src/main/java/willowdoor/net/CounterClient.java
@@ -47,87 +47,89 @@
   static final int CONNECTIONS = 12;
   static final double CONNECT_LIMIT_MS = 250;
   /** Answers that one connection may owe; beyond that a call is turned away here. */
-  private static final int MOST_OWED = 256;
-  private static final int MOST_LINE = 256;
-  private static final long SWEEP_MS = 100;
+  private static final int MAX_UNANSWERED = 256;
+  private static final int MAX_LINE_BYTES = 256;
+  private static final long SWEEP_INTERVAL_MS = 100;
   /** A line comes whole; a part of one that stays alone for so long is none. */
-  private static final long WHOLE_MS = 10;
+  private static final long PARTIAL_LINE_LIMIT_MS = 10;
   /** A connection silent for so many limits of a call, though it owes an answer, is taken for dead. */
-  private static final double SILENT_LIMITS = 12;
+  private static final double SILENCE_LIMIT_FACTOR = 12;
   /** An idle connection is pinged this often: it stays open, and a dead one shows. */
-  private static final double PING_MS = 3_000;
+  private static final double PING_INTERVAL_MS = 3_000;
   /** A left address closes its connections after 1.5 s; what is owed on them by then is given up before. */
-  private static final long LEAVE_MS = 1_300;
-  private static final double LEAST_BACKOFF_MS = 50;
-  private static final double MOST_BACKOFF_MS = 400;
+  private static final long OLD_ADDRESS_CLOSE_MS = 1_300;
+  private static final double MIN_BACKOFF_MS = 50;
+  private static final double MAX_BACKOFF_MS = 400;
 
   /** One call, or a ping where the name is null; it keeps its place when it is given up. */
   private static final class Call {
     /** The watch's number of it, or -1 for any other call. */
-    long check = -1;
+    long checkNumber = -1;
     final String name;
-    final double startedAt;
+    final double startedAtMs;
     Link link;
     boolean written;
     boolean done;
 
-    Call(String name, double startedAt) {
+    Call(String name, double startedAtMs) {
       this.name = name;
-      this.startedAt = startedAt;
+      this.startedAtMs = startedAtMs;
     }
   }
 
   private final EventLoop loop;
   private final Clock clock;
-  private final double limitMs;
+  private final double callLimitMs;
   private final Consumer<Counted> listener;
   private final Dialer dialer;
   /** Null where nothing is to be told of a counter that was replaced. */
   private CounterWatch watch;
-  private DoubleConsumer replaced;
+  private DoubleConsumer onReplaced;
   private final List<Link> links = new ArrayList<>(CONNECTIONS);
   /** Connections to the address that a new configuration has left; in use until new ones are up. */
-  private final List<Link> leaving = new ArrayList<>(0);
-  private InetSocketAddress counter;
+  private final List<Link> oldLinks = new ArrayList<>(0);
+  private InetSocketAddress counterAddress;
   /** Calls in the order of their starts, and so of their limits. */
-  private final ArrayDeque<Call> pending = new ArrayDeque<>();
-  private final Map<String, Call> lastOfName = new HashMap<>();
-  private boolean watching;
+  private final ArrayDeque<Call> pendingCalls = new ArrayDeque<>();
+  private final Map<String, Call> lastCallByName = new HashMap<>();
+  private boolean limitTimerScheduled;
 
-  CounterClient(EventLoop loop, Clock clock, Dialer dialer, InetSocketAddress counter, double limitMs,
+  CounterClient(EventLoop loop, Clock clock, Dialer dialer, InetSocketAddress counterAddress,
+      double callLimitMs,
       Consumer<Counted> listener) {
     this.loop = loop;
     this.clock = clock;
-    this.limitMs = limitMs;
+    this.callLimitMs = callLimitMs;
     this.listener = listener;
-    this.counter = counter;
+    this.counterAddress = counterAddress;
     this.dialer = dialer;
   }
 
   /**
    * Has the counter asked who it is, on each new connection first; to be told before the start.
    *
-   * @param whenReplaced run when another counter answers than before
+   * @param replacementListener run when another counter answers than before
    */
-  void watch(CounterWatch counterWatch, DoubleConsumer whenReplaced) {
+  void setWatch(CounterWatch counterWatch, DoubleConsumer replacementListener) {
     watch = counterWatch;
-    replaced = whenReplaced;
+    onReplaced = replacementListener;
   }
 
   @Override
   public void start() {
-    if (counter != null) {
-      open();
+    if (counterAddress != null) {
+      openLinks();
       if (watch != null) {
-        loop.execute(() -> tell(new Woken()));
+        loop.execute(() -> dispatch(new Woken()));
       }
     }
-    loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(this::checkLinks, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS,
+        TimeUnit.MILLISECONDS);
   }
 
-  private void open() {
+  private void openLinks() {
     for (int i = 0; i < CONNECTIONS; i++) {
-      Link link = new Link(counter);
+      Link link = new Link(counterAddress);
       links.add(link);
       link.connect();
     }
@@ -135,17 +137,17 @@
 
   /** Opens connections to another address; those to the old one finish what they owe. */
   @Override
-  public void moveTo(InetSocketAddress other) {
-    if (other == null || other.equals(counter)) {
+  public void moveTo(InetSocketAddress newAddress) {
+    if (newAddress == null || newAddress.equals(counterAddress)) {
       return;
     }
-    counter = other;
-    List.copyOf(leaving).forEach(Link::close);
-    leaving.addAll(links);
+    counterAddress = newAddress;
+    List.copyOf(oldLinks).forEach(Link::close);
+    oldLinks.addAll(links);
     links.clear();
-    open();
-    List<Link> old = List.copyOf(leaving);
-    loop.schedule(() -> old.forEach(Link::close), LEAVE_MS, TimeUnit.MILLISECONDS);
+    openLinks();
+    List<Link> old = List.copyOf(oldLinks);
+    loop.schedule(() -> old.forEach(Link::close), OLD_ADDRESS_CLOSE_MS, TimeUnit.MILLISECONDS);
   }
 
   /** Its connections end with the loop. */
@@ -157,64 +159,67 @@
   @Override
   public void add(String name, double amount, double ttlMs) {
     Call call = new Call(name, clock.now());
-    Call before = lastOfName.get(name);
-    Link link = before != null ? before.link : leastOwing();
-    if (link == null || !link.open() || link.owed.size() >= MOST_OWED) {
+    Call previousCall = lastCallByName.get(name);
+    Link link = previousCall != null ? previousCall.link : leastLoaded();
+    if (link == null || !link.isOpen() || link.unanswered.size() >= MAX_UNANSWERED) {
       listener.accept(new Counted(name, Status.UNREACHABLE, 0, 0));
       return;
     }
-    lastOfName.put(name, call);
-    pending.add(call);
-    link.send(call, "incr " + name + ' ' + plain(amount) + ' ' + Math.max(1, (long) ttlMs) + "\r\n");
-    watchLimit();
+    lastCallByName.put(name, call);
+    pendingCalls.add(call);
+    link.send(call, "incr " + name + ' ' + formatAmount(amount) + ' ' + Math.max(1, (long) ttlMs) + "\r\n");
+    scheduleLimitTimer();
   }
 
-  private void tell(WatchEvent event) {
+  private void dispatch(WatchEvent event) {
     for (WatchAction action : watch.on(clock.now(), event)) {
       if (action instanceof Check c) {
-        check(c);
+        sendCheck(c);
       } else if (action instanceof Replaced r) {
         LOG.info("another counter answers than before (" + r.origin() + "); it is number " + r.incarnation());
-        replaced.accept(r.lostSinceMs());
+        onReplaced.accept(r.lostSinceMs());
       } else if (action instanceof WakeAt w) {
-        loop.schedule(() -> tell(new Woken()), (long) Math.ceil(Math.max(0, w.atMs() - clock.now()) * 1000)
+        loop.schedule(() -> dispatch(new Woken()),
+            (long) Math.ceil(Math.max(0, w.atMs() - clock.now()) * 1000)
             + 1,
             TimeUnit.MICROSECONDS);
       }
     }
   }
 
-  private void check(Check c) {
-    Link link = c.link() >= 0 && c.link() < links.size() ? links.get(c.link()) : leastOwing(links);
-    if (link == null || !link.open() || link.owed.size() >= MOST_OWED) {
-      loop.execute(() -> tell(new Answered(c.number(), Double.NaN)));
+  private void sendCheck(Check check) {
+    Link link = check.link() >= 0 && check.link() < links.size() ? links.get(check.link())
+        : leastLoaded(links);
+    if (link == null || !link.isOpen() || link.unanswered.size() >= MAX_UNANSWERED) {
+      loop.execute(() -> dispatch(new Answered(check.number(), Double.NaN)));
       return;
     }
-    Call call = new Call(c.name(), clock.now());
-    call.check = c.number();
-    pending.add(call);
-    link.send(call, "incr " + c.name() + ' ' + plain(c.amount()) + ' ' + (long) c.ttlMs() + "\r\n");
-    watchLimit();
+    Call call = new Call(check.name(), clock.now());
+    call.checkNumber = check.number();
+    pendingCalls.add(call);
+    link.send(call,
+        "incr " + check.name() + ' ' + formatAmount(check.amount()) + ' ' + (long) check.ttlMs() + "\r\n");
+    scheduleLimitTimer();
   }
 
   /** Decimal digits without an exponent, which the counter does not read. */
-  static String plain(double amount) {
+  static String formatAmount(double amount) {
     if (amount == Math.rint(amount) && Math.abs(amount) < 1e9) {
       return Long.toString((long) amount);
     }
     return BigDecimal.valueOf(amount).setScale(6, RoundingMode.HALF_UP).toPlainString();
   }
 
-  private Link leastOwing() {
-    Link best = leastOwing(links);
-    return best != null ? best : leastOwing(leaving);
+  private Link leastLoaded() {
+    Link best = leastLoaded(links);
+    return best != null ? best : leastLoaded(oldLinks);
   }
 
-  private static Link leastOwing(List<Link> among) {
+  private static Link leastLoaded(List<Link> candidates) {
     Link best = null;
-    for (Link l : among) {
-      if (l.open() && (best == null || l.owed.size() < best.owed.size())) {
-        best = l;
+    for (Link link : candidates) {
+      if (link.isOpen() && (best == null || link.unanswered.size() < best.unanswered.size())) {
+        best = link;
       }
     }
     return best;
@@ -225,59 +230,61 @@
       return;
     }
     call.done = true;
-    lastOfName.remove(call.name, call);
-    if (call.check >= 0) {
-      tell(new Answered(call.check, status == Status.OK ? total : Double.NaN));
+    lastCallByName.remove(call.name, call);
+    if (call.checkNumber >= 0) {
+      dispatch(new Answered(call.checkNumber, status == Status.OK ? total : Double.NaN));
     } else if (call.name != null) {
-      listener.accept(new Counted(call.name, status, total, clock.now() - call.startedAt));
+      listener.accept(new Counted(call.name, status, total, clock.now() - call.startedAtMs));
     }
   }
 
   /** One timer for all calls: their limits come in the order of their starts. */
-  private void watchLimit() {
-    if (!watching && !pending.isEmpty()) {
-      watching = true;
-      double left = pending.peekFirst().startedAt + limitMs - clock.now();
-      loop.schedule(this::giveUpOverdue, (long) Math.ceil(Math.max(0, left) * 1000), TimeUnit.MICROSECONDS);
+  private void scheduleLimitTimer() {
+    if (!limitTimerScheduled && !pendingCalls.isEmpty()) {
+      limitTimerScheduled = true;
+      double leftMs = pendingCalls.peekFirst().startedAtMs + callLimitMs - clock.now();
+      loop.schedule(this::expireOverdueCalls, (long) Math.ceil(Math.max(0, leftMs) * 1000),
+          TimeUnit.MICROSECONDS);
     }
   }
 
-  private void giveUpOverdue() {
-    watching = false;
+  private void expireOverdueCalls() {
+    limitTimerScheduled = false;
     double now = clock.now();
-    for (Call c = pending.peekFirst(); c != null && (c.done || c.startedAt + limitMs <= now);
-        c = pending.peekFirst()) {
-      finish(pending.pollFirst(), Status.TIMED_OUT, 0);
+    for (Call call = pendingCalls.peekFirst(); call != null
+        && (call.done || call.startedAtMs + callLimitMs <= now);
+        call = pendingCalls.peekFirst()) {
+      finish(pendingCalls.pollFirst(), Status.TIMED_OUT, 0);
     }
-    watchLimit();
+    scheduleLimitTimer();
   }
 
-  private void sweep() {
+  private void checkLinks() {
     double now = clock.now();
-    for (Link l : links) {
-      l.check(now);
+    for (Link link : links) {
+      link.checkLiveness(now);
     }
   }
 
   /** The lines of one connection. */
-  private static final class Lines extends LineBasedFrameDecoder {
-    Lines() {
-      super(MOST_LINE, true, true);
+  private static final class LineDecoder extends LineBasedFrameDecoder {
+    LineDecoder() {
+      super(MAX_LINE_BYTES, true, true);
     }
 
-    boolean holdsMore() {
+    boolean hasUnconsumedBytes() {
       return actualReadableBytes() > 0;
     }
   }
 
   /** One kept connection and the answers that it owes, in order. */
   private final class Link extends ChannelInitializer<Channel> {
-    private final ArrayDeque<Call> owed = new ArrayDeque<>();
+    private final ArrayDeque<Call> unanswered = new ArrayDeque<>();
     private final InetSocketAddress address;
     private Channel channel;
     private boolean closed;
-    private double heardAt;
-    private double backoffMs = LEAST_BACKOFF_MS;
+    private double lastReadMs;
+    private double backoffMs = MIN_BACKOFF_MS;
 
     Link(InetSocketAddress address) {
       this.address = address;
@@ -286,13 +293,13 @@
     /** Ends it for good. */
     void close() {
       closed = true;
-      leaving.remove(this);
+      oldLinks.remove(this);
       if (channel != null) {
         channel.close();
       }
     }
 
-    boolean open() {
+    boolean isOpen() {
       return channel != null && channel.isActive();
     }
 
@@ -302,93 +309,94 @@
           f.channel().close();
         } else if (f.isSuccess()) {
           channel = f.channel();
-          heardAt = clock.now();
+          lastReadMs = clock.now();
           if (watch != null && links.contains(this)) {
-            tell(new Connected(links.indexOf(this)));
+            dispatch(new Connected(links.indexOf(this)));
           }
         } else {
-          later();
+          scheduleReconnect();
         }
       });
     }
 
-    private void later() {
+    private void scheduleReconnect() {
       if (!links.contains(this)) {
         closed = true;
-        leaving.remove(this);
+        oldLinks.remove(this);
         return;
       }
-      double wait = backoffMs * (0.5 + ThreadLocalRandom.current().nextDouble());
-      backoffMs = Math.min(MOST_BACKOFF_MS, 2 * backoffMs);
+      double waitMs = backoffMs * (0.5 + ThreadLocalRandom.current().nextDouble());
+      backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
       loop.schedule(() -> {
         if (!closed) {
           connect();
         }
-      }, (long) wait, TimeUnit.MILLISECONDS);
+      }, (long) waitMs, TimeUnit.MILLISECONDS);
     }
 
     void send(Call call, String line) {
       call.link = this;
-      owed.add(call);
+      unanswered.add(call);
       ByteBuf bytes = channel.alloc().buffer(line.length());
       bytes.writeCharSequence(line, StandardCharsets.US_ASCII);
       channel.writeAndFlush(bytes).addListener(f -> call.written = f.isSuccess());
     }
 
     /** Replaces the connection when it is silent: a vanished machine resets nothing. */
-    void check(double now) {
-      if (!open()) {
+    void checkLiveness(double now) {
+      if (!isOpen()) {
         return;
       }
-      if (owed.isEmpty()) {
-        if (now - heardAt > PING_MS) {
+      if (unanswered.isEmpty()) {
+        if (now - lastReadMs > PING_INTERVAL_MS) {
           send(new Call(null, now), "ping\r\n");
         }
-      } else if (now - Math.max(heardAt, owed.peekFirst().startedAt) > SILENT_LIMITS * limitMs) {
+      } else if (now - Math.max(lastReadMs, unanswered.peekFirst().startedAtMs) > SILENCE_LIMIT_FACTOR
+          * callLimitMs) {
         channel.close();
       }
     }
 
     @Override
     protected void initChannel(Channel ch) {
-      Lines lines = new Lines();
+      LineDecoder lines = new LineDecoder();
       ch.pipeline().addLast(lines, new SimpleChannelInboundHandler<ByteBuf>() {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-          answered(line.toString(StandardCharsets.US_ASCII));
+          onLine(line.toString(StandardCharsets.US_ASCII));
         }
 
         /** Guards against noise without a line's end, to which the next answer would be added. */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-          if (lines.holdsMore()) {
-            double heard = heardAt;
+          if (lines.hasUnconsumedBytes()) {
+            double heard = lastReadMs;
             loop.schedule(() -> {
-              if (lines.holdsMore() && heard == heardAt) {
-                spoilt();
+              if (lines.hasUnconsumedBytes() && heard == lastReadMs) {
+                onInvalidLine();
               }
-            }, WHOLE_MS, TimeUnit.MILLISECONDS);
+            }, PARTIAL_LINE_LIMIT_MS, TimeUnit.MILLISECONDS);
           }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-          lost();
+          onDisconnected();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
           if (cause instanceof TooLongFrameException) {
-            spoilt();
+            onInvalidLine();
           }
           ctx.close();
         }
       });
     }
 
-    private void answered(String line) {
-      heardAt = clock.now();
-      Call call = owed.poll();
+    private void onLine(String line) {
+      lastReadMs = clock.now();
+      Call call = unanswered.poll();
       if (call != null && line.startsWith("ok ") && call.name != null) {
         double total;
         try {
@@ -397,7 +405,7 @@
           total = Double.NaN;
         }
         if (Double.isFinite(total)) {
-          backoffMs = LEAST_BACKOFF_MS;
+          backoffMs = MIN_BACKOFF_MS;
           finish(call, Status.OK, total);
           return;
         }
@@ -405,18 +413,18 @@
         finish(call, Status.REJECTED, 0);
         return;
       } else if (call != null && line.equals("pong") && call.name == null) {
-        backoffMs = LEAST_BACKOFF_MS;
+        backoffMs = MIN_BACKOFF_MS;
         return;
       }
       if (call != null) {
-        owed.addFirst(call);
+        unanswered.addFirst(call);
       }
-      spoilt();
+      onInvalidLine();
     }
 
     /** Junk: what was asked for first was added; nothing that follows on this connection can be trusted. */
-    private void spoilt() {
-      Call call = owed.poll();
+    private void onInvalidLine() {
+      Call call = unanswered.poll();
       Channel used = channel;
       channel = null;
       if (used != null) {
@@ -428,13 +436,13 @@
     }
 
     /** What was not written whole added nothing; anything else may have been added. */
-    private void lost() {
+    private void onDisconnected() {
       channel = null;
-      while (!owed.isEmpty()) {
-        Call call = owed.poll();
+      while (!unanswered.isEmpty()) {
+        Call call = unanswered.poll();
         finish(call, call.written ? Status.RESET : Status.UNREACHABLE, 0);
       }
-      later();
+      scheduleReconnect();
     }
   }
 }
--- a/door/src/main/java/willowdoor/net/CounterStore.java
+++ b/door/src/main/java/willowdoor/net/CounterStore.java
@@ -26,7 +26,7 @@
   void add(String name, double amount, double ttlMs);
 
   /** Moves to another address; what is out at the old one ends there. Null changes nothing. */
-  void moveTo(InetSocketAddress other);
+  void moveTo(InetSocketAddress newAddress);
 
   /** Closes its connections and ends its threads, if it has any. */
   void close();
@@ -50,8 +50,8 @@
     /**
      * A store that is not started yet.
      *
-     * @param door distinguishes this life of this door from all others; letters and digits
+     * @param doorId distinguishes this life of this door from all others; letters and digits
      */
-    CounterStore make(EventLoop loop, DoubleSupplier clock, String door, Config config, Listener listener);
+    CounterStore make(EventLoop loop, DoubleSupplier clock, String doorId, Config config, Listener listener);
   }
 }
--- a/door/src/main/java/willowdoor/net/Dialer.java
+++ b/door/src/main/java/willowdoor/net/Dialer.java
@@ -14,10 +14,10 @@
   ChannelFuture dial(InetSocketAddress address, ChannelHandler handler);
 
   /** Real ones, driven by the loop, that come up within the limit or not at all. */
-  static Dialer sockets(EventLoop loop, double limitMs) {
+  static Dialer sockets(EventLoop loop, double connectLimitMs) {
     Bootstrap bootstrap = new Bootstrap().group(loop).channel(Transport.BEST.socket())
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(limitMs));
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(connectLimitMs));
     return (address, handler) -> bootstrap.clone().handler(handler).connect(address);
   }
 }
--- a/door/src/main/java/willowdoor/net/DiscoveryClient.java
+++ b/door/src/main/java/willowdoor/net/DiscoveryClient.java
@@ -35,35 +35,35 @@
 final class DiscoveryClient {
 
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
-  private static final int MOST_LINE = 4 << 20;
+  private static final int MAX_LINE_BYTES = 4 << 20;
   /** Empty lines come every 2 s; a watch silent for more than two of them is replaced. */
-  private static final long SILENT_MS = 5_000;
+  private static final long SILENCE_LIMIT_MS = 5_000;
   /** For so long a silent watch may still show that its news only waits to be read. */
-  private static final long LAST_LOOK_MS = 100;
-  private static final double LEAST_BACKOFF_MS = 100;
-  private static final double MOST_BACKOFF_MS = 1_500;
+  private static final long UNREAD_INPUT_GRACE_MS = 100;
+  private static final double MIN_BACKOFF_MS = 100;
+  private static final double MAX_BACKOFF_MS = 1_500;
   /** A watch that lasted so long was a good one; junk on each new one must not make a busy loop. */
-  private static final double GOOD_MS = 5_000;
+  private static final double STABLE_WATCH_MS = 5_000;
 
   private final EventLoop loop;
   private final Clock clock;
-  private final Consumer<RosterNews> listener;
+  private final Consumer<EndpointUpdate> listener;
   private final Bootstrap bootstrap;
   private long version;
-  private double backoffMs = LEAST_BACKOFF_MS;
+  private double backoffMs = MIN_BACKOFF_MS;
   private Watch watch;
   /** The watch at the address that a new configuration has left, until the new one has told something. */
-  private Watch leaving;
+  private Watch previousWatch;
 
-  DiscoveryClient(EventLoop loop, Clock clock, InetSocketAddress agent, long version,
-      Consumer<RosterNews> listener) {
+  DiscoveryClient(EventLoop loop, Clock clock, InetSocketAddress address, long version,
+      Consumer<EndpointUpdate> listener) {
     this.loop = loop;
     this.clock = clock;
     this.version = version;
     this.listener = listener;
     bootstrap = new Bootstrap().group(loop).channel(Transport.BEST.socket())
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_000);
-    watch = new Watch(agent);
+    watch = new Watch(address);
   }
 
   void start() {
@@ -71,44 +71,44 @@
   }
 
   /** Watches at another address; the old watch goes on until the new one tells something. */
-  void moveTo(InetSocketAddress other) {
-    if (other.equals(watch.agent)) {
+  void moveTo(InetSocketAddress newAddress) {
+    if (newAddress.equals(watch.address)) {
       return;
     }
-    if (leaving != null) {
-      leaving.close();
+    if (previousWatch != null) {
+      previousWatch.close();
     }
-    leaving = watch;
-    backoffMs = LEAST_BACKOFF_MS;
-    watch = new Watch(other);
+    previousWatch = watch;
+    backoffMs = MIN_BACKOFF_MS;
+    watch = new Watch(newAddress);
     watch.connect();
   }
 
-  private void later(Watch ended) {
+  private void scheduleReconnect(Watch ended) {
     if (ended != watch || loop.isShuttingDown()) {
       return;
     }
-    backoffMs = clock.now() - ended.since > GOOD_MS ? LEAST_BACKOFF_MS : backoffMs;
-    double wait = backoffMs * (0.5 + ThreadLocalRandom.current().nextDouble());
-    backoffMs = Math.min(MOST_BACKOFF_MS, 2 * backoffMs);
+    backoffMs = clock.now() - ended.startedMs > STABLE_WATCH_MS ? MIN_BACKOFF_MS : backoffMs;
+    double waitMs = backoffMs * (0.5 + ThreadLocalRandom.current().nextDouble());
+    backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
     loop.schedule(() -> {
       if (ended == watch) {
-        watch = new Watch(ended.agent);
+        watch = new Watch(ended.address);
         watch.connect();
       }
-    }, (long) wait, TimeUnit.MILLISECONDS);
+    }, (long) waitMs, TimeUnit.MILLISECONDS);
   }
 
   /** Passes on the bytes of the answer's body, in which lines and chunks end where they like. */
-  private static final class Unwrapper extends SimpleChannelInboundHandler<HttpObject> {
+  private static final class BodyExtractor extends SimpleChannelInboundHandler<HttpObject> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-      boolean good = part.decoderResult().isSuccess()
+      boolean isValid = part.decoderResult().isSuccess()
           && !(part instanceof HttpResponse r && !r.status().equals(HttpResponseStatus.OK));
-      if (good && part instanceof HttpContent content && content.content().isReadable()) {
+      if (isValid && part instanceof HttpContent content && content.content().isReadable()) {
         ctx.fireChannelRead(content.content().retain());
       }
-      if (!good || part instanceof LastHttpContent) {
+      if (!isValid || part instanceof LastHttpContent) {
         ctx.close();
       }
     }
@@ -116,25 +116,25 @@
 
   /** One watch on one connection. */
   private final class Watch extends ChannelInitializer<Channel> {
-    private final InetSocketAddress agent;
-    private final double since = clock.now();
+    private final InetSocketAddress address;
+    private final double startedMs = clock.now();
     private Channel channel;
 
-    Watch(InetSocketAddress agent) {
-      this.agent = agent;
+    Watch(InetSocketAddress address) {
+      this.address = address;
     }
 
     void connect() {
-      ChannelFuture connected = bootstrap.clone().handler(this).connect(agent);
+      ChannelFuture connected = bootstrap.clone().handler(this).connect(address);
       channel = connected.channel();
       connected.addListener((ChannelFuture f) -> {
-        f.channel().closeFuture().addListener(closed -> later(this));
+        f.channel().closeFuture().addListener(closed -> scheduleReconnect(this));
         if (f.isSuccess()) {
-          DefaultFullHttpRequest ask = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
+          DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
               "/discovery/hosts?stream=1&index=" + version);
-          String host = agent.getAddress().getHostAddress() + ":" + agent.getPort();
-          ask.headers().set(HttpHeaderNames.HOST, host);
-          f.channel().writeAndFlush(ask);
+          String host = address.getAddress().getHostAddress() + ":" + address.getPort();
+          request.headers().set(HttpHeaderNames.HOST, host);
+          f.channel().writeAndFlush(request);
         }
       });
     }
@@ -145,34 +145,35 @@
 
     @Override
     protected void initChannel(Channel ch) {
-      ch.pipeline().addLast(new IdleStateHandler(SILENT_MS, 0, 0, TimeUnit.MILLISECONDS),
-          new HttpClientCodec(), new Unwrapper(), new LineBasedFrameDecoder(MOST_LINE), new Lines(this));
+      ch.pipeline().addLast(new IdleStateHandler(SILENCE_LIMIT_MS, 0, 0, TimeUnit.MILLISECONDS),
+          new HttpClientCodec(), new BodyExtractor(), new LineBasedFrameDecoder(MAX_LINE_BYTES),
+          new LineHandler(this));
     }
   }
 
-  private final class Lines extends SimpleChannelInboundHandler<ByteBuf> {
+  private final class LineHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private final Watch source;
-    private long heard;
+    private long linesRead;
 
-    Lines(Watch source) {
+    LineHandler(Watch source) {
       this.source = source;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) throws IOException {
-      heard++;
-      if (source != watch && source != leaving) {
+      linesRead++;
+      if (source != watch && source != previousWatch) {
         return;
       }
-      RosterNews news = line.isReadable() ? RosterNews.parse(ByteBufUtil.getBytes(line)) : null;
-      if (source == watch && leaving != null) {
-        leaving.close();
-        leaving = null;
+      EndpointUpdate update = line.isReadable() ? EndpointUpdate.parse(ByteBufUtil.getBytes(line)) : null;
+      if (source == watch && previousWatch != null) {
+        previousWatch.close();
+        previousWatch = null;
       }
-      if (news != null) {
+      if (update != null) {
         // A version that is none must not be asked for: the watch would be refused for good.
-        version = news.version() > 0 ? news.version() : version;
-        listener.accept(news);
+        version = update.version() > 0 ? update.version() : version;
+        listener.accept(update);
       }
     }
 
@@ -183,12 +184,12 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
       if (event instanceof IdleStateEvent) {
-        long before = heard;
+        long linesAtTimeout = linesRead;
         ctx.executor().schedule(() -> {
-          if (heard == before) {
+          if (linesRead == linesAtTimeout) {
             ctx.close();
           }
-        }, LAST_LOOK_MS, TimeUnit.MILLISECONDS);
+        }, UNREAD_INPUT_GRACE_MS, TimeUnit.MILLISECONDS);
       }
     }
 
--- a/door/src/main/java/willowdoor/net/RosterNews.java
+++ b/door/src/main/java/willowdoor/net/EndpointUpdate.java
@@ -17,13 +17,13 @@
 import willowdoor.wire.JsonFields;
 
 /** One message of discovery: the entries for the module, and where each backend listens, seen from here. */
-public record RosterNews(long version, boolean full, List<BackendEntry> entries,
-    Map<Long, InetSocketAddress> places) {
+public record EndpointUpdate(long version, boolean full, List<BackendEntry> entries,
+    Map<Long, InetSocketAddress> addresses) {
 
   private static final JsonFactory JSON = new JsonFactory();
-  private static final int MOST_BACKENDS = 10_000;
+  private static final int MAX_BACKENDS = 10_000;
 
-  static RosterNews parse(byte[] line) throws IOException {
+  static EndpointUpdate parse(byte[] line) throws IOException {
     try (JsonParser in = JSON.createParser(line)) {
       in.nextToken();
       Map<String, Object> message = JsonFields.object(in);
@@ -35,47 +35,49 @@
     }
   }
 
-  static RosterNews of(Map<String, Object> message) throws IOException {
+  static EndpointUpdate of(Map<String, Object> message) throws IOException {
     List<Map<String, Object>> servers = JsonFields.children(message, "servers");
-    if (servers.size() > MOST_BACKENDS) {
+    if (servers.size() > MAX_BACKENDS) {
       throw new IOException("a list of " + servers.size() + " backends");
     }
     List<BackendEntry> entries = new ArrayList<>();
-    Map<Long, InetSocketAddress> places = new HashMap<>();
-    for (Map<String, Object> s : servers) {
-      String name = JsonFields.text(s, "id");
-      long id = number(name);
-      Phase phase = switch (JsonFields.text(s, "state")) {
+    Map<Long, InetSocketAddress> addresses = new HashMap<>();
+    for (Map<String, Object> server : servers) {
+      String name = JsonFields.text(server, "id");
+      long id = idOf(name);
+      Phase phase = switch (JsonFields.text(server, "state")) {
         case "active" -> Phase.SERVING;
         case "left" -> Phase.REMOVED;
         default -> Phase.DRAINING;
       };
-      InetSocketAddress address = address(JsonFields.text(s, "addr"));
+      InetSocketAddress address = parseAddress(JsonFields.text(server, "addr"));
       if (name.isEmpty() || address == null && phase == Phase.SERVING) {
         // One entry that cannot be used must not keep the others from being told, drains above all.
         continue;
       }
       if (address != null) {
-        places.put(id, address);
+        addresses.put(id, address);
       }
-      entries.add(new BackendEntry(id, JsonFields.text(s, "zone"), (int) JsonFields.number(s, "cell"), phase,
-          JsonFields.number(s, "weight", 1), JsonFields.number(s, "started_ms")));
+      entries.add(
+          new BackendEntry(id, JsonFields.text(server, "zone"), (int) JsonFields.number(server, "cell"),
+          phase,
+          JsonFields.number(server, "weight", 1), JsonFields.number(server, "started_ms")));
     }
-    return new RosterNews((long) JsonFields.number(message, "version"),
-        Boolean.TRUE.equals(message.get("full")), entries, places);
+    return new EndpointUpdate((long) JsonFields.number(message, "version"),
+        Boolean.TRUE.equals(message.get("full")), entries, addresses);
   }
 
   /** A backend's name as the number that the module knows it by: FNV-1a, alike at every front door. */
-  public static long number(String id) {
+  public static long idOf(String name) {
     long hash = 0xcbf29ce484222325L;
-    for (byte b : id.getBytes(StandardCharsets.UTF_8)) {
+    for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
       hash = (hash ^ b & 0xff) * 0x100000001b3L;
     }
     return hash >>> 1;
   }
 
   /** A numeric address and port, or null; names are not looked up, as there is no DNS. */
-  public static InetSocketAddress address(String text) {
+  public static InetSocketAddress parseAddress(String text) {
     int colon = text.lastIndexOf(':');
     byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
     try {
--- a/door/src/main/java/willowdoor/net/FrontDoor.java
+++ b/door/src/main/java/willowdoor/net/FrontDoor.java
@@ -166,7 +166,8 @@
     roster = new MergedRoster(clock::now, driver::onRoster);
     driver.start(counter, roster.merge(config.known()));
     end = EndTimes.of(config.settings().classes());
-    discovery = new DiscoveryClient(loop, clock, config.discovery(), config.known().version(), roster::heard);
+    discovery =
+        new DiscoveryClient(loop, clock, config.discovery(), config.known().version(), roster::onUpdate);
     discovery.start();
   }
 
@@ -174,7 +175,7 @@
     CounterClient lines = new CounterClient(loop, clock, Dialer.sockets(loop, CounterClient.CONNECT_LIMIT_MS),
         config.counter(), config.settings().allowed().countLimitMs(), driver::counted);
     if (config.watchCounter()) {
-      lines.watch(new CounterWatch(Long.toHexString(config.seed())), driver::replaced);
+      lines.setWatch(new CounterWatch(Long.toHexString(config.seed())), driver::replaced);
     }
     return lines;
   }
@@ -273,7 +274,7 @@
    * @param folder where processes of this front door find each other, or null
    */
   void manage(InetSocketAddress address, String folder) throws IOException, InterruptedException {
-    managed = new Managed(this, roster, clients, places, new TwinFile(folder));
+    managed = new Managed(this, roster, clients, places, new ProcessFile(folder));
     managed.open(group, address);
   }
 
@@ -289,22 +290,22 @@
 
   /** The backends that operators have taken out; on the loop. */
   List<Out> out() {
-    return roster.out();
+    return roster.backendsOut();
   }
 
   /** Whether any backend is listed, in use or not. */
   boolean knowsBackends() {
-    return roster.listsAny();
+    return roster.hasListedBackends();
   }
 
   /** Has it hear the lists of backends as discovery tells them; on the loop, both. */
-  public void listed(Consumer<RosterNews> listener) {
-    roster.also(listener);
+  public void listed(Consumer<EndpointUpdate> listener) {
+    roster.setSourceListener(listener);
   }
 
   /** By what the fleet has agreed on a backend is out, or no longer; on the loop. */
   public void agreed(long backend, boolean out) {
-    roster.agreed(backend, out);
+    roster.applyFleetDecision(backend, out);
   }
 
   /** Whether an attempt is out at the backend; on the loop, and it looks at all that is held. */
--- a/door/src/main/java/willowdoor/net/Managed.java
+++ b/door/src/main/java/willowdoor/net/Managed.java
@@ -39,11 +39,11 @@
   private final MergedRoster roster;
   private final ClientServer clients;
   private final Places places;
-  private final TwinFile file;
+  private final ProcessFile file;
   private final Caller caller;
   private final ManagementServer server = new ManagementServer(this);
   /** The other process, or null. */
-  private Twin twin;
+  private PeerProcess twin;
   /** Operators have sent the clients away. */
   private boolean sentAway;
   private boolean found;
@@ -51,7 +51,7 @@
   private volatile boolean second;
   private boolean ending;
 
-  Managed(FrontDoor door, MergedRoster roster, ClientServer clients, Places places, TwinFile file) {
+  Managed(FrontDoor door, MergedRoster roster, ClientServer clients, Places places, ProcessFile file) {
     this.door = door;
     this.loop = door.loop();
     this.roster = roster;
@@ -75,7 +75,7 @@
     loop.execute(() -> {
       second = true;
       meet(other);
-      twin.hello(address(), false, hello::complete);
+      twin.announce(address(), false, hello::complete);
     });
     try {
       goOnFrom(hello.get());
@@ -95,7 +95,7 @@
       throw new IOException("two processes of this front door run already");
     } else {
       try {
-        TwinState state = TwinState.read(hello.reply().text());
+        FrontDoorState state = FrontDoorState.parse(hello.reply().text());
         loop.submit(() -> inherit(state)).sync();
       } catch (IOException e) {
         LOG.warning("the other process's state is left aside: " + e.getMessage());
@@ -103,11 +103,12 @@
     }
   }
 
-  private void inherit(TwinState state) {
-    LOG.info("goes on from the other process: " + state.out().size() + " backends out, clients sent away: "
-        + state.sentAway());
-    roster.inherit(state.out());
-    if (state.sentAway()) {
+  private void inherit(FrontDoorState state) {
+    LOG.info("goes on from the other process: " + state.backendsOut().size()
+        + " backends out, clients sent away: "
+        + state.clientsSentAway());
+    roster.inherit(state.backendsOut());
+    if (state.clientsSentAway()) {
       sendAway();
     }
   }
@@ -131,14 +132,14 @@
     if (twin == null) {
       serving.run();
     } else {
-      twin.hello(address(), true, end -> serving.run());
+      twin.announce(address(), true, end -> serving.run());
     }
   }
 
   /** The process has been told to end; true if another one takes its clients. */
   boolean ends() {
     ending = true;
-    boolean left = twin != null && twin.serving();
+    boolean left = twin != null && twin.isServing();
     if (left) {
       places.part(LEAVING_PART);
     }
@@ -146,11 +147,11 @@
   }
 
   private void meet(InetSocketAddress other) {
-    twin = new Twin(loop, caller, other, this::lost);
+    twin = new PeerProcess(loop, caller, other, this::lost);
     places.part(second ? SECOND_PART : FIRST_PART);
   }
 
-  private void lost(Twin gone) {
+  private void lost(PeerProcess gone) {
     if (gone == twin) {
       twin = null;
       second = false;
@@ -170,7 +171,7 @@
 
   @Override
   public Reply hello(String at, boolean serves) {
-    InetSocketAddress other = RosterNews.address(at);
+    InetSocketAddress other = EndpointUpdate.parseAddress(at);
     if (other == null || other.getPort() == 0 || other.equals(address())) {
       return new Reply(400, "expected the address of another process, found '" + at + "'");
     }
@@ -181,9 +182,9 @@
       meet(other);
     }
     if (serves) {
-      twin.serves();
+      twin.markServing();
     }
-    return Reply.yes(new TwinState(sentAway, roster.out()).text());
+    return Reply.yes(new FrontDoorState(sentAway, roster.backendsOut()).format());
   }
 
   @Override
@@ -192,7 +193,7 @@
     if (twin == null || forwarded || !here.isYes()) {
       told.accept(here);
     } else {
-      twin.carryOut(order, here, told);
+      twin.forward(order, here, told);
     }
   }
 
@@ -208,7 +209,7 @@
     if (order instanceof Order.Disable o) {
       if (forwarded) {
         // It is known to the other process; the list here may be older.
-        roster.inherit(List.of(new Out(RosterNews.number(o.member()), door.now())));
+        roster.inherit(List.of(new Out(EndpointUpdate.idOf(o.member()), door.now())));
         return Reply.yes("out: " + o.member());
       }
       return roster.takeOut(o.member()) ? Reply.yes("out: " + o.member()) : unknown(o.member());
--- a/door/src/main/java/willowdoor/net/MergedRoster.java
+++ b/door/src/main/java/willowdoor/net/MergedRoster.java
@@ -22,79 +22,79 @@
 final class MergedRoster {
 
   private final Membership membership = new Membership();
-  private final DoubleSupplier now;
-  private final Consumer<RosterNews> listener;
-  private final Map<Long, InetSocketAddress> places = new HashMap<>();
+  private final DoubleSupplier clockMs;
+  private final Consumer<EndpointUpdate> listener;
+  private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
   private long version;
   /** Null where nobody else listens. */
-  private Consumer<RosterNews> also;
+  private Consumer<EndpointUpdate> sourceListener;
 
-  MergedRoster(DoubleSupplier now, Consumer<RosterNews> listener) {
-    this.now = now;
+  MergedRoster(DoubleSupplier clockMs, Consumer<EndpointUpdate> listener) {
+    this.clockMs = clockMs;
     this.listener = listener;
   }
 
   /** Has it hear what discovery tells, as it is told, too. */
-  void also(Consumer<RosterNews> other) {
-    also = other;
+  void setSourceListener(Consumer<EndpointUpdate> newListener) {
+    sourceListener = newListener;
   }
 
   /** What discovery tells. */
-  void heard(RosterNews news) {
-    if (also != null) {
-      also.accept(news);
+  void onUpdate(EndpointUpdate update) {
+    if (sourceListener != null) {
+      sourceListener.accept(update);
     }
-    listener.accept(merge(news));
+    listener.accept(merge(update));
   }
 
   /** The same without telling it on: a door's first list. */
-  RosterNews merge(RosterNews news) {
-    if (news.full()) {
-      places.clear();
+  EndpointUpdate merge(EndpointUpdate update) {
+    if (update.full()) {
+      addresses.clear();
     }
-    places.putAll(news.places());
-    news.entries().stream().filter(e -> e.phase() == Phase.REMOVED).forEach(e -> places.remove(e.id()));
-    version = news.version();
-    return told(membership.on(now.getAsDouble(), new Listed(news.full(), news.entries())));
+    addresses.putAll(update.addresses());
+    update.entries().stream().filter(e -> e.phase() == Phase.REMOVED).forEach(e -> addresses.remove(e.id()));
+    version = update.version();
+    return toUpdate(membership.on(clockMs.getAsDouble(), new Listed(update.full(), update.entries())));
   }
 
   /** Takes a backend out; false when there is none of that id. */
-  boolean takeOut(String id) {
-    return said(new TakeOut(RosterNews.number(id)));
+  boolean takeOut(String name) {
+    return apply(new TakeOut(EndpointUpdate.idOf(name)));
   }
 
   /** Puts it back; false when there is none of that id. */
-  boolean putBack(String id) {
-    return said(new PutBack(RosterNews.number(id)));
+  boolean putBack(String name) {
+    return apply(new PutBack(EndpointUpdate.idOf(name)));
   }
 
   /** By what the fleet has agreed on it is out, or no longer. */
-  void agreed(long id, boolean out) {
-    said(out ? new AgreedOut(id) : new AgreedBack(id));
+  void applyFleetDecision(long id, boolean out) {
+    apply(out ? new AgreedOut(id) : new AgreedBack(id));
   }
 
   /** Takes out what another process of this front door knows to be out. */
   void inherit(List<Out> out) {
-    said(new Inherited(out));
+    apply(new Inherited(out));
   }
 
-  boolean listsAny() {
-    return !places.isEmpty();
+  boolean hasListedBackends() {
+    return !addresses.isEmpty();
   }
 
-  List<Out> out() {
+  List<Out> backendsOut() {
     return membership.out();
   }
 
-  private boolean said(MembershipEvent event) {
-    Told told = membership.on(now.getAsDouble(), event);
-    if (!told.entries().isEmpty()) {
-      listener.accept(told(told));
+  private boolean apply(MembershipEvent event) {
+    Told result = membership.on(clockMs.getAsDouble(), event);
+    if (!result.entries().isEmpty()) {
+      listener.accept(toUpdate(result));
     }
-    return told.known();
+    return result.known();
   }
 
-  private RosterNews told(Told told) {
-    return new RosterNews(version, told.full(), told.entries(), places);
+  private EndpointUpdate toUpdate(Told result) {
+    return new EndpointUpdate(version, result.full(), result.entries(), addresses);
   }
 }
--- a/door/src/main/java/willowdoor/net/ModuleDriver.java
+++ b/door/src/main/java/willowdoor/net/ModuleDriver.java
@@ -174,7 +174,7 @@
     this.backends = backends;
   }
 
-  void start(CounterStore counter, RosterNews known) {
+  void start(CounterStore counter, EndpointUpdate known) {
     this.counter = counter;
     policy.start(clock.now()).forEach(this::execute);
     backends.onRoster(known);
@@ -324,7 +324,7 @@
 
   @Override
   public void counted(Counted counted) {
-    if (ceilings == null || !ceilings.takes(counted)) {
+    if (ceilings == null || !ceilings.acceptIfOwn(counted)) {
       deliver(counted);
     }
   }
@@ -339,7 +339,7 @@
     deliver(new CounterReplaced(lostSinceMs));
   }
 
-  void onRoster(RosterNews news) {
+  void onRoster(EndpointUpdate news) {
     backends.onRoster(news);
     deliver(new Roster(news.full() ? RosterForm.COMPLETE : RosterForm.CHANGES, news.entries()));
   }
@@ -369,7 +369,7 @@
   /** Whether an attempt is out at the backend. */
   boolean sendsTo(long backend) {
     return live.values().stream().flatMap(r -> r.attempts.stream())
-        .anyMatch(a -> a.backend == backend && !a.ended());
+        .anyMatch(a -> a.backendId == backend && !a.ended());
   }
 
   /** Events that come up while an event is worked on wait for their turn: the module is not re-entered. */
@@ -392,7 +392,7 @@
     List<Action> actions;
     try {
       boolean divided = ceilings != null && event instanceof Request;
-      actions = policy.on(clock.now(), divided ? ceilings.shared((Request) event) : event);
+      actions = policy.on(clock.now(), divided ? ceilings.withShare((Request) event) : event);
     } catch (RuntimeException e) {
       LOG.log(Level.SEVERE, "the module failed on " + event, e);
       recover(event);
@@ -478,24 +478,24 @@
     double deadline = a.timeoutMs() > 0 ? Math.min(sentAt + a.timeoutMs(), giveUp) : giveUp;
     Attempt attempt = new Attempt(r.message, deadline) {
       @Override
-      AttemptStart mayStart(double nowMs) {
+      AttemptStart startDecision(double nowMs) {
         return AttemptStart.of(ended(), r.finished, r.client.gone(), deadline - nowMs);
       }
 
       @Override
-      void withheld(AttemptStart reason) {
+      void onWithheld(AttemptStart reason) {
         if (reason == AttemptStart.CLIENT_GONE) {
           left(r);
         }
-        super.withheld(reason);
+        super.onWithheld(reason);
       }
 
       @Override
       void onEnd(Status status, FullHttpResponse answer) {
-        attemptEnded(r, number, a.backend(), status, clock.now() - sentAt, answer, rest);
+        attemptEnded(r, number, a.backend(), status, clock.now() - sentAt, answer, restOfAnswer);
       }
     };
-    attempt.backend = a.backend();
+    attempt.backendId = a.backend();
     r.attempts.add(attempt);
     r.out++;
     RequestLog.note(a.request(), "attempt started", "attempt", number,
@@ -517,7 +517,7 @@
       if (r.finish(Gate.End.SERVED)) {
         r.client.served(answer, r.forClient, rest);
       } else if (rest != null) {
-        rest.breakOff();
+        rest.abort();
       }
     }
     deliver(new Outcome(r.request.id(), number, backend, status, latencyMs, r.finished, units, null));
--- a/door/src/main/java/willowdoor/net/Twin.java
+++ b/door/src/main/java/willowdoor/net/PeerProcess.java
@@ -17,10 +17,10 @@
  * management address, so that an operator's call to either holds in both, and both notice when the other is
  * gone. All on the loop.
  */
-final class Twin {
+final class PeerProcess {
 
-  private static final Logger LOG = Logger.getLogger(Twin.class.getName());
-  private static final long LOOK_MS = 500;
+  private static final Logger LOG = Logger.getLogger(PeerProcess.class.getName());
+  private static final long CHECK_INTERVAL_MS = 500;
   /** An operator waits 1 s for a yes, which is one for both processes. */
   private static final long ORDER_LIMIT_MS = 750;
   private static final long HELLO_LIMIT_MS = 1_500;
@@ -28,75 +28,75 @@
   private final EventLoop loop;
   private final Caller caller;
   private final InetSocketAddress address;
-  private final Consumer<Twin> gone;
+  private final Consumer<PeerProcess> goneListener;
   /** It takes clients at the same address as this process. */
   private boolean serving;
-  private boolean lost;
+  private boolean gone;
 
-  Twin(EventLoop loop, Caller caller, InetSocketAddress address, Consumer<Twin> gone) {
+  PeerProcess(EventLoop loop, Caller caller, InetSocketAddress address, Consumer<PeerProcess> goneListener) {
     this.loop = loop;
     this.caller = caller;
     this.address = address;
-    this.gone = gone;
-    loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+    this.goneListener = goneListener;
+    loop.schedule(this::checkAlive, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
   InetSocketAddress address() {
     return address;
   }
 
-  boolean serving() {
+  boolean isServing() {
     return serving;
   }
 
-  void serves() {
+  void markServing() {
     serving = true;
   }
 
   /**
    * Tells the other process of this one.
    *
-   * @param own where this one is managed
-   * @param serves whether it takes clients
+   * @param ownAddress where this one is managed
+   * @param takesClients whether it takes clients
    */
-  void hello(InetSocketAddress own, boolean serves, Consumer<End> told) {
-    caller.call(address, HttpMethod.POST, "/twin?at=" + own.getAddress().getHostAddress() + ":"
-        + own.getPort() + "&serves=" + serves, HELLO_LIMIT_MS, end -> {
+  void announce(InetSocketAddress ownAddress, boolean takesClients, Consumer<End> endListener) {
+    caller.call(address, HttpMethod.POST, "/twin?at=" + ownAddress.getAddress().getHostAddress() + ":"
+        + ownAddress.getPort() + "&serves=" + takesClients, HELLO_LIMIT_MS, end -> {
           if (end.came() == Came.NOBODY) {
-            lose();
+            markGone();
           }
-          told.accept(end);
+          endListener.accept(end);
         });
   }
 
   /** Has an order hold there too; what was yes here stays so if the other process is no more. */
-  void carryOut(Order order, Reply here, Consumer<Reply> told) {
+  void forward(Order order, Reply ownReply, Consumer<Reply> replyListener) {
     caller.call(address, HttpMethod.POST, order.target(), ORDER_LIMIT_MS, end -> {
       if (end.came() == Came.NOBODY) {
-        lose();
+        markGone();
       }
-      told.accept(end.came() == Came.NOTHING
-          ? new Reply(503, "the other process of this front door does not answer") : here);
+      replyListener.accept(end.came() == Came.NOTHING
+          ? new Reply(503, "the other process of this front door does not answer") : ownReply);
     });
   }
 
-  private void look() {
-    if (!lost && !loop.isShuttingDown()) {
-      caller.call(address, HttpMethod.GET, "/ready", LOOK_MS, end -> {
+  private void checkAlive() {
+    if (!gone && !loop.isShuttingDown()) {
+      caller.call(address, HttpMethod.GET, "/ready", CHECK_INTERVAL_MS, end -> {
         if (end.came() == Came.NOBODY) {
-          lose();
+          markGone();
         } else {
-          loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+          loop.schedule(this::checkAlive, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
       });
     }
   }
 
-  private void lose() {
-    if (!lost) {
-      lost = true;
+  private void markGone() {
+    if (!gone) {
+      gone = true;
       LOG.info("the other process of this front door is gone: " + address);
-      gone.accept(this);
+      goneListener.accept(this);
     }
   }
 }
--- a/door/src/main/java/willowdoor/net/ResponseDecoder.java
+++ b/door/src/main/java/willowdoor/net/ResponseDecoder.java
@@ -9,11 +9,12 @@
 /** Decodes backends' answers, and tells whether more has come than belongs to them. */
 final class ResponseDecoder extends HttpResponseDecoder {
 
-  private static final int MOST_LINE = 1_024;
-  private static final int MOST_HEADERS = 8_192;
+  private static final int MAX_STATUS_LINE_BYTES = 1_024;
+  private static final int MAX_HEADER_BYTES = 8_192;
 
   ResponseDecoder() {
-    super(new HttpDecoderConfig().setMaxInitialLineLength(MOST_LINE).setMaxHeaderSize(MOST_HEADERS)
+    super(new HttpDecoderConfig().setMaxInitialLineLength(MAX_STATUS_LINE_BYTES)
+        .setMaxHeaderSize(MAX_HEADER_BYTES)
         .setUseRfc9112TransferEncoding(true));
   }
 
@@ -38,7 +39,7 @@
     return super.splitHeaderName(line, start, length);
   }
 
-  boolean holdsMore() {
+  boolean hasUnconsumedBytes() {
     return actualReadableBytes() > 0;
   }
 }
--- a/door/src/main/java/willowdoor/net/WarmUp.java
+++ b/door/src/main/java/willowdoor/net/WarmUp.java
@@ -130,14 +130,14 @@
     return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
   }
 
-  private static RosterNews roster() {
+  private static EndpointUpdate roster() {
     List<BackendEntry> entries = new ArrayList<>();
     Map<Long, InetSocketAddress> places = new HashMap<>();
     for (long id = 1; id <= BACKENDS; id++) {
       entries.add(new BackendEntry(id, id % 2 == 0 ? "a" : "b", 0, Phase.SERVING, 1, 0));
       places.put(id, InetSocketAddress.createUnresolved("backend-" + id, 1));
     }
-    return new RosterNews(1, true, entries, places);
+    return new EndpointUpdate(1, true, entries, places);
   }
 
   private String request(int number) {
--- a/door/src/test/java/willowdoor/net/AnswerPipeTest.java
+++ b/door/src/test/java/willowdoor/net/AnswerPipeTest.java
@@ -12,16 +12,16 @@
 class AnswerPipeTest {
 
   @Test
-  void whatNobodyTookIsGivenBackWhenThePipeBreaks() {
+  void abortReleasesBufferedPieces() {
     EmbeddedChannel backend = new EmbeddedChannel();
     AnswerPipe pipe = new AnswerPipe(backend);
     ByteBuf first = Unpooled.buffer().writeZero(100);
-    pipe.piece(first);
-    pipe.breakOff();
+    pipe.forward(first);
+    pipe.abort();
     assertEquals(0, first.refCnt());
     assertFalse(backend.isOpen());
     ByteBuf late = Unpooled.buffer().writeZero(100);
-    pipe.piece(late);
+    pipe.forward(late);
     assertEquals(0, late.refCnt());
   }
 }
--- a/door/src/test/java/willowdoor/net/BackendPoolTest.java
+++ b/door/src/test/java/willowdoor/net/BackendPoolTest.java
@@ -44,7 +44,7 @@
   private BackendPool pool(int places, int port) {
     BackendPool pool = new BackendPool(loop, new Clock(), Dialer.sockets(loop, 5_000), 10_000,
         new Places(places));
-    pool.onRoster(new RosterNews(1, true, List.of(new BackendEntry(1, "a", 0, Phase.SERVING, 1, 0)),
+    pool.onRoster(new EndpointUpdate(1, true, List.of(new BackendEntry(1, "a", 0, Phase.SERVING, 1, 0)),
         Map.of(1L, new InetSocketAddress(InetAddress.getLoopbackAddress(), port))));
     return pool;
   }
@@ -61,15 +61,15 @@
 
   /** The loop stands still until the backend has taken the connection and reset it. */
   @Test
-  void aConnectionResetWhileItOpensIsNoRefusal() throws Exception {
+  void resetDuringConnectEndsAsBroken() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       loop.submit(() -> {
         pool(100, server.getLocalPort()).start(1, attempt(5_000));
         // Behind the connecting, which is the loop's next task.
         return loop.submit(() -> {
-          Socket taken = server.accept();
-          taken.setSoLinger(true, 0);
-          taken.close();
+          Socket accepted = server.accept();
+          accepted.setSoLinger(true, 0);
+          accepted.close();
           return null;
         });
       }).sync();
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void aRefusedConnectionIsUnreachable() throws Exception {
+  void refusedConnectionEndsAsUnreachable() throws Exception {
     int port = freePort();
     loop.submit(() -> pool(100, port).start(1, attempt(5_000))).sync();
     assertEquals(Status.UNREACHABLE, Peers.next(ends));
@@ -86,22 +86,22 @@
 
   /** No place here, a backend that has just left the list, no time left to connect: none is its fault. */
   @Test
-  void whatThisGatewayCouldNotSendTellsNothingOfTheBackend() throws Exception {
+  void failuresOfThisProcessEndAsNotSent() throws Exception {
     int port = freePort();
     loop.submit(() -> pool(0, port).start(1, attempt(5_000))).sync();
     assertEquals(Status.NOT_SENT, Peers.next(ends));
     loop.submit(() -> pool(100, port).start(2, attempt(5_000))).sync();
     assertEquals(Status.NOT_SENT, Peers.next(ends));
     loop.submit(() -> {
-      Attempt late = attempt(5_000);
-      late.abandon(late.overdue());
+      Attempt expired = attempt(5_000);
+      expired.abandon(expired.statusOnTimeout());
     }).sync();
     assertEquals(Status.NOT_SENT, Peers.next(ends));
   }
 
   /** Guards against an attempt whose connection is read as up ahead of its timer, by a late loop. */
   @Test
-  void anAttemptWhoseTimeRanOutWhileItConnectedIsNotWritten() throws Exception {
+  void attemptThatExpiresDuringConnectIsNotWritten() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       loop.submit(() -> {
         pool(100, server.getLocalPort()).start(1, attempt(100));
@@ -111,9 +111,9 @@
         });
       }).sync();
       assertEquals(Status.NOT_SENT, Peers.next(ends));
-      try (Socket taken = server.accept()) {
-        taken.setSoTimeout(10_000);
-        assertEquals(-1, taken.getInputStream().read());
+      try (Socket accepted = server.accept()) {
+        accepted.setSoTimeout(10_000);
+        assertEquals(-1, accepted.getInputStream().read());
       }
     }
   }
--- a/door/src/test/java/willowdoor/net/BadBackendTest.java
+++ b/door/src/test/java/willowdoor/net/BadBackendTest.java
@@ -27,7 +27,7 @@
 
   /** What lies behind an answer must never be served as the answer to the next request. */
   @Test
-  void whatComesBehindAnAnswerIsNotTheNextOne() throws Exception {
+  void bytesAfterAnAnswerAreNotTheNextAnswer() throws Exception {
     peers.start();
     Client client = peers.client();
     int n = 0;
@@ -54,30 +54,30 @@
   }
 
   @Test
-  void informationalAnswersAheadArePassedOver() throws Exception {
+  void informationalAnswersAreSkipped() throws Exception {
     peers.start();
     Client client = peers.client();
     int n = 0;
-    for (String ahead : new String[] {"HTTP/1.1 100 Continue\r\n\r\n",
+    for (String informational : new String[] {"HTTP/1.1 100 Continue\r\n\r\n",
         "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", "HTTP/1.1 101 Switching Protocols\r\n\r\n",
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n"}) {
-      AtomicInteger asked = new AtomicInteger();
+      AtomicInteger requests = new AtomicInteger();
       peers.answer = (request, out) -> {
-        asked.incrementAndGet();
-        return Peers.write(out, ahead + ahead + ok("fine"));
+        requests.incrementAndGet();
+        return Peers.write(out, informational + informational + ok("fine"));
       };
       assertEquals("fine", client.ask(Peers.get("r" + n++, 3000)).text());
-      assertEquals(1, asked.get(), ahead);
+      assertEquals(1, requests.get(), informational);
     }
   }
 
   /** None is served, and none holds its request for long: the module tries again at once. */
   @Test
-  void aSpoiltAnswerIsAFailedAttempt() throws Exception {
+  void malformedAnswerFailsTheAttempt() throws Exception {
     peers.start();
     Client client = peers.client();
     int n = 0;
-    for (String spoilt : new String[] {"\u0001\u0002\u0003noise\r\n\r\n", "HTTP/1.1 2x0 OK\r\n\r\nno",
+    for (String malformed : new String[] {"\u0001\u0002\u0003noise\r\n\r\n", "HTTP/1.1 2x0 OK\r\n\r\nno",
         "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nno",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 5\r\n\r\nnoise",
         "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nno",
@@ -88,12 +88,13 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nno",
         "HTTP/1.1 200 OK\r\n\r\nno end is told", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\ntoo short",
         "HTTP/1.1 200 OK\r\nContent-Le", "HTTP/1.1 200 OK\r\n" + "X-Pad: pppppppppp\r\n".repeat(1_000)}) {
-      AtomicInteger asked = new AtomicInteger();
-      peers.answer = (request, out) -> Peers.write(out, asked.incrementAndGet() == 1 ? spoilt : Peers.OK);
-      long from = System.nanoTime();
-      assertEquals("fine", client.ask(Peers.get("r" + n++, 3900)).text(), spoilt);
-      assertEquals(2, asked.get(), spoilt);
-      assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(900), spoilt);
+      AtomicInteger requests = new AtomicInteger();
+      peers.answer = (request, out) ->
+          Peers.write(out, requests.incrementAndGet() == 1 ? malformed : Peers.OK);
+      long startNanos = System.nanoTime();
+      assertEquals("fine", client.ask(Peers.get("r" + n++, 3900)).text(), malformed);
+      assertEquals(2, requests.get(), malformed);
+      assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(900), malformed);
       for (int i = 0; i < 8; i++) {
         // Earns the next repeat: the module allows so many for each first attempt.
         assertEquals(200, client.ask(Peers.get("g" + n + "-" + i, 3900)).status());
@@ -106,14 +107,14 @@
    * budget for further attempts.
    */
   @Test
-  void aKeptConnectionThatTurnsOutDeadCostsNoRequest() throws Exception {
+  void closedIdleConnectionsFailNoRequest() throws Exception {
     int port = peers.listen(50, (in, out, socket) -> {
       Peers.read(in);
       Peers.write(out, Peers.OK);
       Peers.read(in);
       socket.close();
     }).getLocalPort();
-    peers.start(peers.config(Peers.entry("s-1", port, "active")));
+    peers.start(peers.config(Peers.rosterEntry("s-1", port, "active")));
     Client client = peers.client();
     for (int i = 0; i < 60; i++) {
       assertEquals(200, client.ask(Peers.get("r" + i, 3000)).status());
@@ -123,14 +124,14 @@
 
   /** Figures that cannot be read are unknown, not nought: nothing is settled by them. */
   @Test
-  void anUnreadableFigureOfUnitsSettlesNothing() throws Exception {
+  void unreadableUnitsHeaderSettlesNothing() throws Exception {
     peers.start();
     Client client = peers.client();
     for (String units : new String[] {"%%%", "-3", "NaN", "1e999", ""}) {
       peers.answer = (request, out) ->
           Peers.write(out, Peers.OK.replace("X-Units-Charged: 2", "X-Units-Charged: " + units));
       assertEquals(200, client.ask(Peers.get("r" + units.length() + units.hashCode(), 3000)).status());
-      assertTrue(Peers.next(peers.atCounter).matches("incr \\S+ 2 .*"), units);
+      assertTrue(Peers.next(peers.counterLines).matches("incr \\S+ 2 .*"), units);
     }
   }
 }
--- a/door/src/test/java/willowdoor/net/BadClientTest.java
+++ b/door/src/test/java/willowdoor/net/BadClientTest.java
@@ -18,7 +18,8 @@
 class BadClientTest {
 
   private static final long OWED_NANOS = TimeUnit.SECONDS.toNanos(3);
-  private static final int PLACES = new Places(Bounds.of(Peers.FEW_SOCKETS, 128).places()).mostClients();
+  private static final int PLACES = new Places(Bounds.of(Peers.SMALL_SOCKET_LIMIT, 128).places())
+      .mostClients();
 
   private final Peers peers = new Peers();
 
@@ -44,7 +45,7 @@
       taken.send(request.substring(0, 20));
       tooMany = peers.client();
     } while (tooMany.ask(Peers.get("t" + n++, 3000)).status() != 503);
-    assertTrue(tooMany.ended());
+    assertTrue(tooMany.isClosedByPeer());
     assertEquals(200, taken.ask(request.substring(20)).status());
   }
 
@@ -101,7 +102,7 @@
   void aConnectionThatSaysNothingIsEnded() throws Exception {
     peers.start();
     long from = System.nanoTime();
-    assertTrue(peers.client().ended());
+    assertTrue(peers.client().isClosedByPeer());
     assertTrue(System.nanoTime() - from < OWED_NANOS);
   }
 
@@ -128,11 +129,11 @@
       client.send(bad);
       assertEquals(400, client.receive().status(), bad);
       client.socket.shutdownOutput();
-      assertTrue(client.ended(), bad);
+      assertTrue(client.isClosedByPeer(), bad);
     }
     assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
-    assertEquals("r2", Peers.next(peers.atBackend).header("Request-Id"));
-    assertNull(peers.atBackend.poll());
+    assertEquals("r2", Peers.next(peers.backendRequests).header("Request-Id"));
+    assertNull(peers.backendRequests.poll());
   }
 
   /** A value out of range, in whomever's name, is no request: neither a backend nor a count hears of it. */
@@ -152,10 +153,10 @@
       assertEquals(400, client.ask(bad).status(), bad);
     }
     assertEquals(200, client.ask(good).status());
-    assertTrue(Peers.next(peers.atCounter).startsWith("incr "));
-    assertNull(peers.atCounter.poll());
-    Peers.next(peers.atBackend);
-    assertNull(peers.atBackend.poll());
+    assertTrue(Peers.next(peers.counterLines).startsWith("incr "));
+    assertNull(peers.counterLines.poll());
+    Peers.next(peers.backendRequests);
+    assertNull(peers.backendRequests.poll());
   }
 
   @Test
@@ -175,7 +176,7 @@
       // The front door has ended the connection, which tells the client as well as the error does.
     }
     assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
-    assertEquals("r2", Peers.next(peers.atBackend).header("Request-Id"));
+    assertEquals("r2", Peers.next(peers.backendRequests).header("Request-Id"));
   }
 
   /** More requests at once than are kept: those kept are answered, and the connection ends. */
--- a/door/src/test/java/willowdoor/net/CounterClientTest.java
+++ b/door/src/test/java/willowdoor/net/CounterClientTest.java
@@ -41,7 +41,7 @@
     do {
       add("up", 0);
     } while (Peers.next(ends).status() == Status.UNREACHABLE);
-    peers.atCounter.clear();
+    peers.counterLines.clear();
   }
 
   private void add(String name, double amount) {
@@ -52,44 +52,44 @@
   void writesPlainNumbersAndReadsTotals() throws Exception {
     start(5_000);
     add("a", 2);
-    assertEquals("incr a 2 4000", Peers.next(peers.atCounter));
+    assertEquals("incr a 2 4000", Peers.next(peers.counterLines));
     assertEquals(new Counted("a", Status.OK, 2, 0).total(), Peers.next(ends).total());
     add("a", -0.0000125);
-    assertEquals("incr a -0.000013 4000", Peers.next(peers.atCounter));
+    assertEquals("incr a -0.000013 4000", Peers.next(peers.counterLines));
     Peers.next(ends);
-    peers.counting = line -> "busy";
+    peers.counterScript = line -> "busy";
     add("a", 1);
     assertEquals(Status.REJECTED, Peers.next(ends).status());
   }
 
   /** A call that its part holds up delays no call for another name. */
   @Test
-  void oneSlowNameDoesNotHoldUpOthers() throws Exception {
-    CountDownLatch go = new CountDownLatch(1);
-    peers.counting = line -> {
+  void slowNameDoesNotDelayOthers() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
+    peers.counterScript = line -> {
       if (line.contains("slow")) {
-        await(go);
+        await(release);
       }
-      return peers.count(line);
+      return peers.addToCount(line);
     };
     start(5_000);
     add("slow", 1);
     add("fast", 1);
     assertEquals("fast", Peers.next(ends).name());
-    go.countDown();
+    release.countDown();
     assertEquals("slow", Peers.next(ends).name());
   }
 
   /** The late answer to a call that was given up is not taken for that of the call behind it. */
   @Test
-  void aCallGivenUpKeepsItsPlace() throws Exception {
+  void lateAnswerBelongsToItsTimedOutCall() throws Exception {
     start(1_500);
-    CountDownLatch go = new CountDownLatch(1);
-    peers.counting = line -> {
+    CountDownLatch release = new CountDownLatch(1);
+    peers.counterScript = line -> {
       if (line.contains(" 5 ")) {
-        await(go);
+        await(release);
       }
-      return peers.count(line);
+      return peers.addToCount(line);
     };
     for (int i = 0; i < 12; i++) {
       add("n" + i, 5);
@@ -98,19 +98,19 @@
       assertEquals(Status.TIMED_OUT, Peers.next(ends).status());
     }
     add("x", 1);
-    go.countDown();
+    release.countDown();
     Counted next = Peers.next(ends);
     assertEquals(Status.OK, next.status());
     assertEquals(1, next.total());
   }
 
   @Test
-  void junkEndsTheConnectionAndMayHaveBeenAdded() throws Exception {
+  void invalidLineEndsTheCallAsSpoilt() throws Exception {
     start(5_000);
-    peers.counting = line -> "what?";
+    peers.counterScript = line -> "what?";
     add("a", 1);
     assertEquals(Status.SPOILT, Peers.next(ends).status());
-    peers.counting = peers::count;
+    peers.counterScript = peers::addToCount;
     add("b", 1);
     assertEquals(Status.OK, Peers.next(ends).status());
   }
@@ -119,12 +119,12 @@
   @Test
   void silentConnectionsAreReplaced() throws Exception {
     start(50);
-    peers.counting = line -> null;
+    peers.counterScript = line -> null;
     for (int i = 0; i < 24; i++) {
       add("n" + i, 1);
       assertNotEquals(Status.OK, Peers.next(ends).status());
     }
-    peers.counting = peers::count;
+    peers.counterScript = peers::addToCount;
     do {
       add("back", 0);
     } while (Peers.next(ends).status() != Status.OK);
@@ -140,10 +140,10 @@
 
   /** A new configuration's counter is used once it is up; what the old one owes is still heard. */
   @Test
-  void whatTheOldAddressOwesIsHeardAfterAMove() throws Exception {
+  void pendingCallsAtTheOldAddressEndAfterAMove() throws Exception {
     start(5_000);
     CountDownLatch moved = new CountDownLatch(1);
-    peers.counting = line -> {
+    peers.counterScript = line -> {
       try {
         moved.await(10, TimeUnit.SECONDS);
       } catch (InterruptedException e) {
@@ -152,7 +152,7 @@
       return "ok 77";
     };
     add("a", 2);
-    Peers.next(peers.atCounter);
+    Peers.next(peers.counterLines);
     try (Peers other = new Peers()) {
       group.next().submit(() -> client.moveTo(new InetSocketAddress("127.0.0.1",
           other.counter.getLocalPort()))).sync();
@@ -161,13 +161,13 @@
       do {
         add("b", 1);
         assertEquals(Status.OK, Peers.next(ends).status());
-      } while (other.atCounter.isEmpty());
+      } while (other.counterLines.isEmpty());
     }
   }
 
   /** Noise, with or without a line's end, spoils one answer; calls go on over other connections. */
   @Test
-  void noiseSpoilsOneAnswerAlone() throws Exception {
+  void invalidInputSpoilsOneCallOnly() throws Exception {
     start(5_000);
     int port = peers.listen(50, (in, out, socket) -> {
       in.read();
@@ -180,34 +180,34 @@
       status = Peers.next(ends).status();
     } while (status == Status.OK);
     assertEquals(Status.SPOILT, status);
-    peers.counting = line -> "total?";
+    peers.counterScript = line -> "total?";
     group.next().submit(() -> client.moveTo(new InetSocketAddress("127.0.0.1",
         peers.counter.getLocalPort()))).sync();
-    peers.atCounter.clear();
-    while (peers.atCounter.isEmpty()) {
+    peers.counterLines.clear();
+    while (peers.counterLines.isEmpty()) {
       add("b", 1);
       status = Peers.next(ends).status();
     }
     assertEquals(Status.SPOILT, status);
-    peers.counting = peers::count;
+    peers.counterScript = peers::addToCount;
     do {
       add("c", 1);
     } while (Peers.next(ends).status() != Status.OK);
   }
 
   @Test
-  void anotherCounterIsNoticedAndNoCallOfTheModuleIsConfusedByIt() throws Exception {
+  void replacedCounterIsReportedAndChecksAreNotReportedAsCalls() throws Exception {
     BlockingQueue<String> replaced = new LinkedBlockingQueue<>();
     client = new CounterClient(group.next(), new Clock(), Dialer.sockets(group.next(), 250),
         new InetSocketAddress("127.0.0.1", peers.counter.getLocalPort()), 5_000, ends::add);
     CounterWatch watch = new CounterWatch("d1");
-    client.watch(watch, at -> replaced.add("replaced"));
+    client.setWatch(watch, at -> replaced.add("replaced"));
     AtomicBoolean empty = new AtomicBoolean();
-    peers.counting = line -> {
+    peers.counterScript = line -> {
       if (empty.getAndSet(false)) {
         peers.forgetCounts();
       }
-      return peers.count(line);
+      return peers.addToCount(line);
     };
     group.next().submit(client::start).sync();
     do {
--- a/door/src/test/java/willowdoor/net/DiscoveryTest.java
+++ b/door/src/test/java/willowdoor/net/DiscoveryTest.java
@@ -27,7 +27,7 @@
     peers.close();
   }
 
-  private ServerSocket namedBackend(String name) {
+  private ServerSocket backendNamed(String name) {
     return peers.listen(50, (in, out, socket) -> {
       while (true) {
         Peers.read(in);
@@ -36,7 +36,7 @@
     });
   }
 
-  private void askUntil(String name) throws IOException {
+  private void requestUntilServedBy(String name) throws IOException {
     Client client = peers.client();
     int n = 0;
     while (!client.ask(Peers.get("to-" + name + n++, 3000)).text().equals(name)) {
@@ -45,18 +45,18 @@
   }
 
   @Test
-  void takesChangesThatAreSplitAcrossChunks() throws Exception {
-    int first = namedBackend("1").getLocalPort();
-    int second = namedBackend("2").getLocalPort();
-    peers.start(peers.config(Peers.entry("s-1", first, "active")));
-    assertEquals("GET /discovery/hosts?stream=1&index=7 HTTP/1.1", Peers.next(peers.watches));
-    askUntil("1");
-    String line = Peers.list(8, false, Peers.entry("s-1", first, "leaving"),
-        Peers.entry("s-2", second, "active")) + "\n";
-    peers.tell("\n" + line.substring(0, 30));
-    peers.tell(line.substring(30, 90));
-    peers.tell(line.substring(90) + "\n");
-    askUntil("2");
+  void readsUpdatesSplitAcrossChunks() throws Exception {
+    int first = backendNamed("1").getLocalPort();
+    int second = backendNamed("2").getLocalPort();
+    peers.start(peers.config(Peers.rosterEntry("s-1", first, "active")));
+    assertEquals("GET /discovery/hosts?stream=1&index=7 HTTP/1.1", Peers.next(peers.watchRequests));
+    requestUntilServedBy("1");
+    String line = Peers.rosterJson(8, false, Peers.rosterEntry("s-1", first, "leaving"),
+        Peers.rosterEntry("s-2", second, "active")) + "\n";
+    peers.sendToNewestWatch("\n" + line.substring(0, 30));
+    peers.sendToNewestWatch(line.substring(30, 90));
+    peers.sendToNewestWatch(line.substring(90) + "\n");
+    requestUntilServedBy("2");
     Client client = peers.client();
     for (int i = 0; i < 20; i++) {
       assertEquals("2", client.ask(Peers.get("r" + i, 3000)).text());
@@ -65,72 +65,74 @@
 
   /** An attempt whose connection is still coming up when its backend drains is not written any more. */
   @Test
-  void whatWaitsForAConnectionIsNotWrittenToADrainedBackend() throws Exception {
-    List<SocketChannel> filling = new ArrayList<>();
+  void connectingAttemptIsNotWrittenToADrainingBackend() throws Exception {
+    List<SocketChannel> queueFillers = new ArrayList<>();
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       for (int i = 0; i < 8; i++) {
         SocketChannel channel = SocketChannel.open();
-        filling.add(channel);
+        queueFillers.add(channel);
         channel.configureBlocking(false);
         channel.connect(full.getLocalSocketAddress());
       }
-      String config = peers.config(Peers.entry("s-1", full.getLocalPort(), "active"));
+      String config = peers.config(Peers.rosterEntry("s-1", full.getLocalPort(), "active"));
       peers.start(config.replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":20000")
           .replace("\"Cancel\":true", "\"Cancel\":false")
           .replace("\"DeadlineMs\":4000", "\"DeadlineMs\":15000"));
-      Peers.next(peers.watches);
+      Peers.next(peers.watchRequests);
       Client client = peers.client();
-      long from = System.nanoTime();
+      long startNanos = System.nanoTime();
       client.send(Peers.post("r1", "b").replace("Request-Timeout-Ms: 3000", "Request-Timeout-Ms: 15000"));
-      Peers.next(peers.atCounter);
+      Peers.next(peers.counterLines);
       // The next call follows the first one's answer, so the first attempt is under way.
       peers.client().send(Peers.post("r2", "b"));
-      Peers.next(peers.atCounter);
-      peers.tell(Peers.list(8, false, Peers.entry("s-1", full.getLocalPort(), "leaving")) + "\n");
+      Peers.next(peers.counterLines);
+      peers.sendToNewestWatch(Peers
+          .rosterJson(8, false, Peers.rosterEntry("s-1", full.getLocalPort(), "leaving")) + "\n");
       assertEquals(503, client.receive().status());
-      assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(9));
+      assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(9));
     } finally {
-      for (SocketChannel channel : filling) {
+      for (SocketChannel channel : queueFillers) {
         channel.close();
       }
     }
   }
 
   @Test
-  void junkEndsTheWatchAndTheNextGoesOnFromTheLastVersion() throws Exception {
+  void invalidLineEndsTheWatchAndTheNextResumesFromTheLastVersion() throws Exception {
     peers.start();
-    Peers.next(peers.watches);
-    peers.tell(Peers.list(9, false) + "\n");
-    peers.tell("{\"version\":10,\"servers\":[{\"id\":\n");
-    assertTrue(Peers.next(peers.watches).contains("index=9 "));
+    Peers.next(peers.watchRequests);
+    peers.sendToNewestWatch(Peers.rosterJson(9, false) + "\n");
+    peers.sendToNewestWatch("{\"version\":10,\"servers\":[{\"id\":\n");
+    assertTrue(Peers.next(peers.watchRequests).contains("index=9 "));
     assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
   }
 
   /** Junk in one entry, or a list that is none, neither hides the other entries nor empties the list. */
   @Test
-  void whatCannotBeUsedInAListIsPassedOver() throws Exception {
-    int second = namedBackend("2").getLocalPort();
+  void unusableEntriesAndListsAreSkipped() throws Exception {
+    int second = backendNamed("2").getLocalPort();
     peers.start();
-    Peers.next(peers.watches);
-    peers.tell(Peers.list(9, false, Peers.entry("s-9", 1, "active").replace("127.0.0.1:1", "nowhere"),
-        "{\"id\":7}", Peers.entry("s-1", peers.backend.getLocalPort(), "leaving"),
-        Peers.entry("s-2", second, "active")) + "\n");
-    askUntil("2");
-    peers.tell("{\"version\":-4,\"full\":true}\n");
-    assertTrue(Peers.next(peers.watches).contains("index=9 "));
-    askUntil("2");
+    Peers.next(peers.watchRequests);
+    peers.sendToNewestWatch(Peers
+        .rosterJson(9, false, Peers.rosterEntry("s-9", 1, "active").replace("127.0.0.1:1", "nowhere"),
+        "{\"id\":7}", Peers.rosterEntry("s-1", peers.backend.getLocalPort(), "leaving"),
+        Peers.rosterEntry("s-2", second, "active")) + "\n");
+    requestUntilServedBy("2");
+    peers.sendToNewestWatch("{\"version\":-4,\"full\":true}\n");
+    assertTrue(Peers.next(peers.watchRequests).contains("index=9 "));
+    requestUntilServedBy("2");
   }
 
   /** A machine that vanished resets nothing: the watch is replaced for its silence alone. */
   @Test
-  void aSilentWatchIsReplaced() throws Exception {
+  void silentWatchIsReplaced() throws Exception {
     peers.start();
-    Peers.next(peers.watches);
-    assertTrue(Peers.next(peers.watches).contains("index=7 "));
+    Peers.next(peers.watchRequests);
+    assertTrue(Peers.next(peers.watchRequests).contains("index=7 "));
   }
 
   @Test
-  void saysWhatIsWrongWithAConfiguration() throws IOException {
+  void configurationErrorsNameTheField() throws IOException {
     String good = peers.config();
     assertEquals(50, Peers.parse(good).settings().allowed().countLimitMs());
     for (String[] bad : new String[][] {{"127.0.0.1:0", "somewhere:80", "listen"},
--- a/door/src/test/java/willowdoor/net/FrontDoorTest.java
+++ b/door/src/test/java/willowdoor/net/FrontDoorTest.java
@@ -41,7 +41,7 @@
     peers.answer = (request, out) -> Peers.write(out,
         "HTTP/1.1 200 OK\r\nContent-Length: " + request.body().length + "\r\n\r\n" + request.text());
     Message answer = peers.client().ask(Peers.post("r1", body));
-    Message sent = Peers.next(peers.atBackend);
+    Message sent = Peers.next(peers.backendRequests);
     assertEquals("POST /buy/9 HTTP/1.1", sent.firstLine());
     assertEquals("r1", sent.header("Request-Id"));
     assertEquals("key-r1", sent.header("Idempotency-Key"));
@@ -57,15 +57,15 @@
     int port = peers.listen(50, (in, out, socket) -> {
       connections.incrementAndGet();
       while (true) {
-        peers.atBackend.add(Peers.read(in));
+        peers.backendRequests.add(Peers.read(in));
         Peers.write(out, Peers.OK);
       }
     }).getLocalPort();
-    peers.start(peers.config(Peers.entry("s-1", port, "active")));
+    peers.start(peers.config(Peers.rosterEntry("s-1", port, "active")));
     Client client = peers.client();
     for (int i = 0; i < 5; i++) {
       assertEquals("fine", client.ask(Peers.get("r" + i, 3000)).text());
-      assertEquals("GET /quote/17?a=%20b&c HTTP/1.1", Peers.next(peers.atBackend).firstLine());
+      assertEquals("GET /quote/17?a=%20b&c HTTP/1.1", Peers.next(peers.backendRequests).firstLine());
       // A connection is used again only once it is seen that nothing follows the answer.
       TimeUnit.MILLISECONDS.sleep(30);
     }
@@ -101,8 +101,8 @@
     AtomicInteger asked = new AtomicInteger();
     peers.answer = (request, out) -> asked.incrementAndGet() > 1 && Peers.write(out, Peers.OK);
     assertEquals(200, peers.client().ask(Peers.post("r1", "b")).status());
-    assertEquals("key-r1", Peers.next(peers.atBackend).header("Idempotency-Key"));
-    assertEquals("key-r1", Peers.next(peers.atBackend).header("Idempotency-Key"));
+    assertEquals("key-r1", Peers.next(peers.backendRequests).header("Idempotency-Key"));
+    assertEquals("key-r1", Peers.next(peers.backendRequests).header("Idempotency-Key"));
   }
 
   @Test
@@ -151,7 +151,7 @@
         c.connect(full.getLocalSocketAddress());
         fill.add(c);
       }
-      peers.start(peers.config(Peers.entry("s-1", full.getLocalPort(), "active")));
+      peers.start(peers.config(Peers.rosterEntry("s-1", full.getLocalPort(), "active")));
       long from = System.nanoTime();
       assertEquals(503, peers.client().ask(Peers.post("r1", "b")).status());
       assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(2_900));
@@ -170,7 +170,7 @@
         closed.countDown();
       }
     }).getLocalPort();
-    peers.start(peers.config(Peers.entry("s-1", port, "active")));
+    peers.start(peers.config(Peers.rosterEntry("s-1", port, "active")));
     long from = System.nanoTime();
     assertNotEquals(200, peers.client().ask(Peers.get("r1", 900)).status());
     assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(950));
@@ -190,8 +190,8 @@
       assertEquals(400, client.ask(bad).status(), bad);
     }
     assertEquals(200, client.ask(good).status());
-    Peers.next(peers.atBackend);
-    assertNull(peers.atBackend.poll());
+    Peers.next(peers.backendRequests);
+    assertNull(peers.backendRequests.poll());
   }
 
   @Test
@@ -199,12 +199,12 @@
     peers.start();
     Client malformed = peers.client();
     assertEquals(400, malformed.ask("GET /quote HTTP/1.1\r\nbroken header\r\n\r\n").status());
-    assertTrue(malformed.ended());
+    assertTrue(malformed.isClosedByPeer());
     Client large = peers.client();
     assertEquals(413, large.ask(Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: 70000"))
         .status());
     large.socket.shutdownOutput();
-    assertTrue(large.ended());
+    assertTrue(large.isClosedByPeer());
     assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
   }
 
@@ -223,8 +223,9 @@
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     Client client = peers.client();
     assertEquals(503, client.ask(up).status());
-    Peers.next(peers.watches);
-    peers.tell(Peers.list(8, true, Peers.entry("s-1", peers.backend.getLocalPort(), "active")) + "\n");
+    Peers.next(peers.watchRequests);
+    peers.sendToNewestWatch(Peers
+        .rosterJson(8, true, Peers.rosterEntry("s-1", peers.backend.getLocalPort(), "active")) + "\n");
     while (client.ask(up).status() != 200) {
       Thread.onSpinWait();
     }
@@ -241,7 +242,7 @@
     };
     Client client = peers.client();
     client.send(Peers.get("r1", 3000));
-    Peers.next(peers.atBackend);
+    Peers.next(peers.backendRequests);
     client.close();
     left.countDown();
     assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
@@ -274,12 +275,12 @@
     assertNull(kept.header("Connection"));
     hold.set(true);
     busy.send(Peers.get("r2", 3000));
-    assertTrue(idle.ended());
+    assertTrue(idle.isClosedByPeer());
     told.countDown();
     Message answer = busy.receive();
     assertEquals(200, answer.status());
     assertEquals("close", answer.header("Connection"));
-    assertTrue(busy.ended());
+    assertTrue(busy.isClosedByPeer());
     end.join(10_000);
     assertTrue(!end.isAlive());
   }
--- a/door/src/test/java/willowdoor/net/GateSeamTest.java
+++ b/door/src/test/java/willowdoor/net/GateSeamTest.java
@@ -81,14 +81,14 @@
     assertEquals(Gate.End.REFUSED, end());
     onLoop(() -> late.pass(null));
     onLoop(() -> late.answer(answer()));
-    assertTrue(peers.atCounter.isEmpty(), () -> "the module heard of it: " + peers.atCounter);
+    assertTrue(peers.counterLines.isEmpty(), () -> "the module heard of it: " + peers.counterLines);
     // What would be sent is sent before this one, which goes the same way.
     client.send(Peers.get("r2", 3_000));
     Gate.Passage next = entry();
     onLoop(() -> next.pass(null));
     assertEquals(200, client.receive().status());
-    assertEquals("r2", Peers.next(peers.atBackend).header("Request-Id"));
-    assertEquals(1, peers.atCounter.size(), () -> "one call, of r2 alone: " + peers.atCounter);
+    assertEquals("r2", Peers.next(peers.backendRequests).header("Request-Id"));
+    assertEquals(1, peers.counterLines.size(), () -> "one call, of r2 alone: " + peers.counterLines);
     assertEquals(Gate.End.SERVED, end());
     assertNull(ended.poll());
     assertEquals(0, heldBy(door));
@@ -112,8 +112,8 @@
     Gate.Passage next = entry();
     onLoop(() -> next.pass(null));
     assertEquals(200, client.receive().status());
-    assertEquals(1, peers.atCounter.size(), () -> "one call, of r2 alone: " + peers.atCounter);
-    assertEquals("r2", Peers.next(peers.atBackend).header("Request-Id"));
+    assertEquals(1, peers.counterLines.size(), () -> "one call, of r2 alone: " + peers.counterLines);
+    assertEquals("r2", Peers.next(peers.backendRequests).header("Request-Id"));
     assertEquals(0, heldBy(door));
   }
 
@@ -138,7 +138,7 @@
     assertEquals(403, client.receive().status());
     assertEquals(Gate.End.ANSWERED_HERE, end());
     assertNull(ended.poll());
-    assertEquals("r1", Peers.next(peers.atBackend).header("Request-Id"));
-    assertTrue(peers.atBackend.isEmpty(), "neither r1 twice nor r2");
+    assertEquals("r1", Peers.next(peers.backendRequests).header("Request-Id"));
+    assertTrue(peers.backendRequests.isEmpty(), "neither r1 twice nor r2");
   }
 }
--- a/door/src/test/java/willowdoor/net/GoneClientTest.java
+++ b/door/src/test/java/willowdoor/net/GoneClientTest.java
@@ -57,7 +57,7 @@
   private void startBefore(int... backendPorts) throws Exception {
     String[] entries = new String[backendPorts.length];
     for (int i = 0; i < entries.length; i++) {
-      entries[i] = Peers.entry("s-" + (i + 1), backendPorts[i], "active");
+      entries[i] = Peers.rosterEntry("s-" + (i + 1), backendPorts[i], "active");
     }
     gateway = new ServingProcess(folder,
         peers.config(entries).replace("\"DialTimeoutMs\":250", SLOW_CONNECTS)
@@ -72,7 +72,7 @@
     Peers.Answer usual = peers.answer;
     peers.answer = (request, out) -> {
       pause(UNDER_WAY_MS);
-      return usual.to(request, out);
+      return usual.respond(request, out);
     };
     List<Client> clients = new ArrayList<>();
     for (int i = 0; i < 4 * CROWD; i++) {
@@ -84,7 +84,7 @@
       client.close();
     }
     peers.answer = usual;
-    peers.atBackend.clear();
+    peers.backendRequests.clear();
   }
 
   private static void pause(long ms) {
@@ -113,7 +113,7 @@
     gateway.signal("CONT");
     assertEquals(200, crowd.stays.receive().status(), gateway.log());
     pause(LONG_GONE_MS);
-    assertEquals(Set.of(served), ids(peers.atBackend), gateway.log());
+    assertEquals(Set.of(served), ids(peers.backendRequests), gateway.log());
   }
 
   /** Clients with one request each, of which all but the first leave. */
@@ -166,7 +166,7 @@
   @Test
   void whileItComesUpInAGatewayThatReloads() throws Exception {
     leaveWhileConnecting(() -> {
-      gateway.replace(peers.config(Peers.entry("s-1", late.port(), "active")));
+      gateway.replace(peers.config(Peers.rosterEntry("s-1", late.port(), "active")));
       gateway.signal("HUP");
     });
   }
@@ -191,9 +191,9 @@
     startBeforeUsedBackends();
     CountDownLatch answer = new CountDownLatch(1);
     CountDownLatch asked = new CountDownLatch(1);
-    peers.counting = line -> {
+    peers.counterScript = line -> {
       asked.countDown();
-      return await(answer) ? peers.count(line) : null;
+      return await(answer) ? peers.addToCount(line) : null;
     };
     Crowd crowd = new Crowd();
     assertTrue(await(asked));
@@ -211,11 +211,11 @@
     peers.answer = (request, out) -> {
       boolean first = sent.getCount() > 0;
       sent.countDown();
-      return first ? await(reject) && Peers.write(out, Peers.NOT_STARTED) : usual.to(request, out);
+      return first ? await(reject) && Peers.write(out, Peers.NOT_STARTED) : usual.respond(request, out);
     };
     Crowd crowd = new Crowd();
     assertTrue(await(sent));
-    peers.atBackend.clear();
+    peers.backendRequests.clear();
     heldUpWhile(reject::countDown, crowd);
   }
 
@@ -228,11 +228,11 @@
     Peers.Answer usual = peers.answer;
     peers.answer = (request, out) -> {
       sent.countDown();
-      return await(answer) && usual.to(request, out);
+      return await(answer) && usual.respond(request, out);
     };
     Crowd crowd = new Crowd();
     assertTrue(await(sent));
-    peers.atBackend.clear();
+    peers.backendRequests.clear();
     crowd.ask("behind-");
     pause(ALL_READ_MS);
     heldUpWhile(answer::countDown, crowd, "behind-stays");
@@ -251,7 +251,7 @@
   @Test
   void whatIsWithdrawnHoldsNothing() throws Exception {
     late = new LateBackend();
-    FrontDoor inside = peers.start(peers.config(Peers.entry("s-1", late.port(), "active"))
+    FrontDoor inside = peers.start(peers.config(Peers.rosterEntry("s-1", late.port(), "active"))
         .replace("\"DialTimeoutMs\":250", SLOW_CONNECTS));
     Client client = peers.client();
     client.send(Peers.get("leaves", 3_500));
--- a/door/src/test/java/willowdoor/net/HangUpTest.java
+++ b/door/src/test/java/willowdoor/net/HangUpTest.java
@@ -46,7 +46,7 @@
         .redirectOutput(folder.resolve("log").toFile());
     builder.environment().put("GW_CONFIG", file.toString());
     door = builder.start();
-    Peers.next(before.watches);
+    Peers.next(before.watchRequests);
   }
 
   private void replace() throws Exception {
@@ -62,7 +62,7 @@
     assertTrue(isIn("SigCgt", Long.toString(door.pid())));
     replace();
     new ProcessBuilder("kill", "-HUP", Long.toString(door.pid())).start().waitFor();
-    Peers.next(after.watches);
+    Peers.next(after.watchRequests);
     assertTrue(door.isAlive());
   }
 
@@ -92,7 +92,7 @@
   void whereItIsStartedWithTheSignalIgnored() throws Exception {
     started("trap '' HUP; ");
     replace();
-    Peers.next(after.watches);
+    Peers.next(after.watchRequests);
     assertTrue(door.isAlive());
   }
 }
--- a/door/src/test/java/willowdoor/net/LateBackend.java
+++ b/door/src/test/java/willowdoor/net/LateBackend.java
@@ -21,27 +21,27 @@
 final class LateBackend implements Closeable {
 
   private static final int BACKLOG = 1;
-  private static final int FULL_AFTER_MS = 150;
+  private static final int CONNECT_LIMIT_MS = 150;
 
   final BlockingQueue<Peers.Message> requests = new LinkedBlockingQueue<>();
   private final ServerSocket server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-  private final int filling;
+  private final int queuedFillers;
 
   LateBackend() throws IOException {
-    List<Socket> fill = new ArrayList<>();
+    List<Socket> accepted = new ArrayList<>();
     boolean full = false;
     while (!full) {
       Socket socket = new Socket();
       sockets.add(socket);
       try {
-        socket.connect(new InetSocketAddress(server.getInetAddress(), port()), FULL_AFTER_MS);
-        fill.add(socket);
+        socket.connect(new InetSocketAddress(server.getInetAddress(), port()), CONNECT_LIMIT_MS);
+        accepted.add(socket);
       } catch (SocketTimeoutException e) {
         full = true;
       }
     }
-    filling = fill.size();
+    queuedFillers = accepted.size();
   }
 
   int port() {
@@ -50,7 +50,7 @@
 
   /** Lets connections in from here on, and answers each request. */
   void open() throws IOException {
-    for (int i = 0; i < filling; i++) {
+    for (int i = 0; i < queuedFillers; i++) {
       server.accept().close();
     }
     Peers.thread(() -> {
--- a/door/src/test/java/willowdoor/net/LateReadTest.java
+++ b/door/src/test/java/willowdoor/net/LateReadTest.java
@@ -26,7 +26,7 @@
   void standStill() throws Exception {
     FrontDoor door = peers.start();
     assertEquals(200, peers.client().ask(Peers.get("first", 3000)).status());
-    Peers.next(peers.atBackend);
+    Peers.next(peers.backendRequests);
     door.loop.execute(() -> {
       standing.countDown();
       try {
@@ -54,7 +54,7 @@
     stays.send(Peers.get("stays", 3000));
     go.countDown();
     assertEquals(200, stays.receive().status());
-    assertEquals("stays", Peers.next(peers.atBackend).header("Request-Id"));
+    assertEquals("stays", Peers.next(peers.backendRequests).header("Request-Id"));
   }
 
   /** A backend is told the time that is left, not that which was there when the request came. */
@@ -66,7 +66,7 @@
     TimeUnit.MILLISECONDS.sleep(500);
     go.countDown();
     assertEquals(200, client.receive().status());
-    Message sent = Peers.next(peers.atBackend);
+    Message sent = Peers.next(peers.backendRequests);
     int left = Integer.parseInt(sent.header("Request-Timeout-Ms"));
     assertTrue(left < 2_600, left + " ms told, 500 of 3000 were over");
   }
@@ -79,6 +79,6 @@
     TimeUnit.MILLISECONDS.sleep(400);
     go.countDown();
     assertEquals(503, client.receive().status());
-    assertTrue(peers.atBackend.isEmpty());
+    assertTrue(peers.backendRequests.isEmpty());
   }
 }
--- a/door/src/test/java/willowdoor/net/LongAnswerTest.java
+++ b/door/src/test/java/willowdoor/net/LongAnswerTest.java
@@ -26,9 +26,9 @@
 @Timeout(60)
 class LongAnswerTest {
 
-  private static final int LONG = 3_000_001;
+  private static final int LONG_BYTES = 3_000_001;
   private final Peers peers = new Peers();
-  private final byte[] body = new byte[LONG];
+  private final byte[] body = new byte[LONG_BYTES];
 
   @BeforeEach
   void start() throws Exception {
@@ -49,20 +49,20 @@
     }
   }
 
-  private static void head(OutputStream out, String fields) throws IOException {
+  private static void writeHead(OutputStream out, String fields) throws IOException {
     Peers.write(out, "HTTP/1.1 200 OK\r\nX-Units-Charged: 2\r\n" + fields + "\r\n");
   }
 
-  private static void chunk(OutputStream out, byte[] from, int at, int length) throws IOException {
+  private static void writeChunk(OutputStream out, byte[] from, int at, int length) throws IOException {
     Peers.write(out, Integer.toHexString(length) + ";a=b\r\n");
     out.write(from, at, length);
     Peers.write(out, "\r\n");
   }
 
   @Test
-  void aLongAnswerPassesThroughAndItsConnectionIsKept() throws Exception {
+  void longAnswerPassesThroughAndTheClientConnectionIsKept() throws Exception {
     peers.answer = (request, out) -> {
-      head(out, "Content-Length: " + LONG + "\r\n");
+      writeHead(out, "Content-Length: " + LONG_BYTES + "\r\n");
       out.write(body);
       return true;
     };
@@ -74,33 +74,33 @@
   }
 
   @Test
-  void nothingIsHeldBackWhileTheBackendPauses() throws Exception {
+  void firstBytesArriveWhileTheBackendPauses() throws Exception {
     peers.answer = (request, out) -> {
-      head(out, "Content-Length: " + LONG + "\r\n");
+      writeHead(out, "Content-Length: " + LONG_BYTES + "\r\n");
       out.write(body, 0, 1_000);
       pause(1_500);
-      out.write(body, 1_000, LONG - 1_000);
+      out.write(body, 1_000, LONG_BYTES - 1_000);
       return true;
     };
     Client client = peers.client();
     client.send(Peers.get("r1", 1000));
     InputStream in = client.socket.getInputStream();
-    long asked = System.nanoTime();
+    long sentNanos = System.nanoTime();
     StringBuilder head = new StringBuilder();
     while (!head.toString().endsWith("\r\n\r\n")) {
       head.append((char) in.read());
     }
     in.readNBytes(1_000);
-    assertTrue(System.nanoTime() - asked < TimeUnit.MILLISECONDS.toNanos(1_200), "the first bytes");
-    assertEquals(LONG - 1_000, in.readNBytes(LONG - 1_000).length, "the rest, after its time");
+    assertTrue(System.nanoTime() - sentNanos < TimeUnit.MILLISECONDS.toNanos(1_200), "the first bytes");
+    assertEquals(LONG_BYTES - 1_000, in.readNBytes(LONG_BYTES - 1_000).length, "the rest, after its time");
   }
 
   @Test
-  void chunksWithExtensionsAndTrailersAndInSmallPiecesAreReadWhole() throws Exception {
+  void chunkedAnswersWithExtensionsAndTrailersAreComplete() throws Exception {
     peers.answer = (request, out) -> {
-      head(out, "Transfer-Encoding: chunked\r\n");
+      writeHead(out, "Transfer-Encoding: chunked\r\n");
       for (int at = 0; at < 2_000; at += 10) {
-        chunk(out, body, at, 10);
+        writeChunk(out, body, at, 10);
       }
       Peers.write(out, "0\r\nTrailer: x\r\n\r\n");
       return true;
@@ -108,22 +108,22 @@
     Message small = peers.client().ask(Peers.get("r1", 3000));
     assertEquals("2000", small.header("Content-Length"), "a short one is made whole");
     peers.answer = (request, out) -> {
-      head(out, "Transfer-Encoding: chunked\r\n");
-      chunk(out, body, 0, 50_000);
-      chunk(out, body, 50_000, LONG - 50_000);
+      writeHead(out, "Transfer-Encoding: chunked\r\n");
+      writeChunk(out, body, 0, 50_000);
+      writeChunk(out, body, 50_000, LONG_BYTES - 50_000);
       Peers.write(out, "0\r\nTrailer: x\r\n\r\n");
       return true;
     };
     Client client = peers.client();
     Message answer = client.ask(Peers.get("r2", 3000));
     assertEquals("chunked", answer.header("Transfer-Encoding"));
-    assertArrayEquals(body, client.chunks());
+    assertArrayEquals(body, client.readChunks());
   }
 
   @Test
-  void anAnswerThatEndsWithItsConnectionIsReadAndOneThatIsResetIsNot() throws Exception {
+  void answerDelimitedByConnectionCloseIsRead() throws Exception {
     peers.answer = (request, out) -> {
-      head(out, "Connection: close\r\n");
+      writeHead(out, "Connection: close\r\n");
       Peers.write(out, "until the end");
       return false;
     };
@@ -131,9 +131,9 @@
   }
 
   @Test
-  void aSlowAnswerInPiecesIsNotCutOff() throws Exception {
+  void slowAnswerInPiecesIsComplete() throws Exception {
     peers.answer = (request, out) -> {
-      head(out, "Content-Length: 20\r\n");
+      writeHead(out, "Content-Length: 20\r\n");
       for (int i = 0; i < 20; i++) {
         Peers.write(out, "x");
         pause(20);
@@ -141,14 +141,14 @@
       return true;
     };
     assertEquals("x".repeat(20), peers.client().ask(Peers.get("r1", 3000)).text());
-    assertEquals(1, peers.atBackend.size(), "asked once");
+    assertEquals(1, peers.backendRequests.size(), "asked once");
   }
 
   @Test
-  void oneThatBreaksOffIsSeenToBeNotWhole() throws Exception {
-    for (String framing : new String[] {"Content-Length: " + LONG, "Transfer-Encoding: chunked"}) {
+  void clientDetectsATruncatedAnswer() throws Exception {
+    for (String framing : new String[] {"Content-Length: " + LONG_BYTES, "Transfer-Encoding: chunked"}) {
       peers.answer = (request, out) -> {
-        head(out, framing + "\r\n");
+        writeHead(out, framing + "\r\n");
         if (framing.startsWith("T")) {
           Peers.write(out, "200000\r\n");
         }
@@ -160,21 +160,21 @@
       assertThrows(IOException.class, () -> {
         Message answer = client.receive();
         if (answer.header("Transfer-Encoding") != null) {
-          client.chunks();
+          client.readChunks();
         }
       });
     }
   }
 
   @Test
-  void aSlowReaderHoldsBytesThatAreBoundedAndNobodyElse() throws Exception {
+  void slowReadersHoldBoundedMemoryAndDelayNobody() throws Exception {
     AtomicLong written = new AtomicLong();
     byte[] piece = new byte[64 * 1024];
     peers.answer = (request, out) -> {
       if (request.firstLine().contains("POST")) {
         return Peers.write(out, Peers.OK);
       }
-      head(out, "Content-Length: " + (32 << 20) + "\r\n");
+      writeHead(out, "Content-Length: " + (32 << 20) + "\r\n");
       for (int at = 0; at < 32 << 20; at += piece.length) {
         out.write(piece);
         written.addAndGet(piece.length);
@@ -186,16 +186,16 @@
       Client client = peers.client();
       client.send(Peers.get("s" + i, 3000));
       slow.add(client);
-      Peers.next(peers.atBackend);
+      Peers.next(peers.backendRequests);
     }
-    long before = -1;
-    while (written.get() == 0 || before != written.get()) {
-      before = written.get();
+    long writtenBefore = -1;
+    while (written.get() == 0 || writtenBefore != written.get()) {
+      writtenBefore = written.get();
       pause(300);
     }
-    assertTrue(before < 10L * (32 << 20), "the backends wait: " + before);
-    long direct = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
-    assertTrue(direct < 32 << 20, "held: " + direct);
+    assertTrue(writtenBefore < 10L * (32 << 20), "the backends wait: " + writtenBefore);
+    long directBytes = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
+    assertTrue(directBytes < 32 << 20, "held: " + directBytes);
     assertEquals(200, peers.client().ask(Peers.post("quick", "b")).status(), "others are served");
     Client first = slow.get(0);
     assertEquals(32 << 20, first.receive().body().length);
@@ -203,14 +203,14 @@
   }
 
   @Test
-  void aClientThatLeavesEndsItsLongAnswer() throws Exception {
-    AtomicLong failed = new AtomicLong();
+  void clientDisconnectEndsItsLongAnswer() throws Exception {
+    AtomicLong failedWrites = new AtomicLong();
     peers.answer = (request, out) -> {
-      head(out, "Content-Length: " + (32 << 20) + "\r\n");
+      writeHead(out, "Content-Length: " + (32 << 20) + "\r\n");
       try {
         out.write(new byte[32 << 20]);
       } catch (IOException e) {
-        failed.incrementAndGet();
+        failedWrites.incrementAndGet();
         throw e;
       }
       return true;
@@ -219,16 +219,16 @@
     client.send(Peers.get("r1", 3000));
     client.socket.getInputStream().readNBytes(100_000);
     client.close();
-    for (int looks = 0; failed.get() == 0; looks++) {
-      assertTrue(looks < 500, "the backend's connection ends");
+    for (int polls = 0; failedWrites.get() == 0; polls++) {
+      assertTrue(polls < 500, "the backend's connection ends");
       pause(10);
     }
   }
 
   @Test
-  void aLongErrorIsAnError() throws Exception {
+  void longErrorAnswerIsAnError() throws Exception {
     peers.answer = (request, out) -> {
-      Peers.write(out, "HTTP/1.1 500 Oops\r\nContent-Length: " + LONG + "\r\n\r\n");
+      Peers.write(out, "HTTP/1.1 500 Oops\r\nContent-Length: " + LONG_BYTES + "\r\n\r\n");
       out.write(body);
       return true;
     };
--- a/door/src/test/java/willowdoor/net/ManagementTest.java
+++ b/door/src/test/java/willowdoor/net/ManagementTest.java
@@ -26,7 +26,7 @@
 
   @BeforeEach
   void start() throws Exception {
-    door = peers.start(peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
+    door = peers.start(peers.config(Peers.rosterEntry("s-1", peers.backend.getLocalPort(), "active"))
         .replace("\"seed\"", "\"management\":\"127.0.0.1:0\",\"seed\""));
   }
 
@@ -38,7 +38,7 @@
   private Message call(String text) throws IOException {
     try (Client operator = new Client((InetSocketAddress) door.managementAddress())) {
       Message answer = operator.ask(text);
-      assertTrue(operator.ended(), "one call to a connection");
+      assertTrue(operator.isClosedByPeer(), "one call to a connection");
       return answer;
     }
   }
@@ -69,8 +69,8 @@
     assertEquals("close", last.header("Connection"));
     assertEquals(200, peers.client().ask(Peers.get("r4", 3000)).status(), "on new connections too");
     long asked = System.nanoTime();
-    assertTrue(idle.ended());
-    assertTrue(fresh.ended());
+    assertTrue(idle.isClosedByPeer());
+    assertTrue(fresh.isClosedByPeer());
     assertTrue(System.nanoTime() - asked < 3_000_000_000L, "well before 4 s");
     assertEquals(200, call("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").status(), "the process is ready yet");
     assertEquals(200, order("/undrain"));
@@ -85,19 +85,19 @@
   void aBackendThatIsOutGetsNothingUntilItIsBackWhateverDiscoverySays() throws Exception {
     Client client = peers.client();
     assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
-    Peers.next(peers.atBackend);
+    Peers.next(peers.backendRequests);
     assertEquals(200, order("/backends/disable?member=s-1"));
     assertEquals(200, order("/backends/disable?member=s%2D1"), "it may be said twice");
     assertEquals(404, order("/backends/disable?member=s-9"));
     assertEquals(503, client.ask(Peers.get("r2", 3000)).status());
-    Peers.next(peers.watches);
-    String listed = Peers.entry("s-1", peers.backend.getLocalPort(), "active");
-    peers.tell(Peers.list(8, true, listed, Peers.entry("s-2", 1, "leaving")) + "\n");
+    Peers.next(peers.watchRequests);
+    String listed = Peers.rosterEntry("s-1", peers.backend.getLocalPort(), "active");
+    peers.sendToNewestWatch(Peers.rosterJson(8, true, listed, Peers.rosterEntry("s-2", 1, "leaving")) + "\n");
     while (order("/backends/disable?member=s-2") != 200) {
       Thread.onSpinWait();
     }
     assertEquals(503, client.ask(Peers.get("r3", 3000)).status());
-    assertTrue(peers.atBackend.isEmpty());
+    assertTrue(peers.backendRequests.isEmpty());
     assertEquals(200, order("/backends/enable?member=s-1"));
     Message back = client.ask(Peers.get("r4", 3000));
     for (int n = 0; back.status() != 200; n++) {
@@ -118,12 +118,12 @@
     };
     Client slow = peers.client();
     slow.send(Peers.get("r1", 4000));
-    Peers.next(peers.atBackend);
+    Peers.next(peers.backendRequests);
     assertEquals(200, order("/drain"));
     Message answer = slow.receive();
     assertEquals(200, answer.status());
     assertEquals("close", answer.header("Connection"));
-    assertTrue(slow.ended());
+    assertTrue(slow.isClosedByPeer());
   }
 
   @Test
@@ -157,7 +157,7 @@
     long asked = System.nanoTime();
     assertEquals(200, call("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").status());
     assertTrue(System.nanoTime() - asked < 1_000_000_000L, "a whole caller waits 1 s at most");
-    assertTrue(silent.get(0).ended());
+    assertTrue(silent.get(0).isClosedByPeer());
     assertFalse(silent.get(99).socket.isClosed());
     for (Client caller : silent) {
       caller.close();
--- a/door/src/test/java/willowdoor/net/Peers.java
+++ b/door/src/test/java/willowdoor/net/Peers.java
@@ -33,7 +33,7 @@
   static final String NOT_STARTED =
       "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 
-  static final int FEW_SOCKETS = 160;
+  static final int SMALL_SOCKET_LIMIT = 160;
 
   /** A message as it came: first line with headers, and body. */
   record Message(String head, byte[] body) {
@@ -63,17 +63,17 @@
 
   /** What a backend does with a request: true keeps the connection. */
   interface Answer {
-    boolean to(Message request, OutputStream out) throws IOException;
+    boolean respond(Message request, OutputStream out) throws IOException;
   }
 
-  final BlockingQueue<Message> atBackend = new LinkedBlockingQueue<>();
-  final BlockingQueue<String> atCounter = new LinkedBlockingQueue<>();
-  final BlockingQueue<String> watches = new LinkedBlockingQueue<>();
-  final List<OutputStream> watchers = new CopyOnWriteArrayList<>();
+  final BlockingQueue<Message> backendRequests = new LinkedBlockingQueue<>();
+  final BlockingQueue<String> counterLines = new LinkedBlockingQueue<>();
+  final BlockingQueue<String> watchRequests = new LinkedBlockingQueue<>();
+  final List<OutputStream> watchOutputs = new CopyOnWriteArrayList<>();
   volatile Answer answer = (request, out) -> write(out, OK);
-  volatile UnaryOperator<String> counting = this::count;
+  volatile UnaryOperator<String> counterScript = this::addToCount;
   private final Map<String, Double> counts = new ConcurrentHashMap<>();
-  private final List<Closeable> open = new CopyOnWriteArrayList<>();
+  private final List<Closeable> closeables = new CopyOnWriteArrayList<>();
   final ServerSocket backend = listen(50, this::serveBackend);
   final ServerSocket counter = listen(50, this::serveCounter);
   final ServerSocket discovery = listen(50, this::serveDiscovery);
@@ -89,11 +89,11 @@
   ServerSocket listen(int backlog, Script script) {
     try {
       ServerSocket server = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
-      open.add(server);
+      closeables.add(server);
       thread(() -> {
         while (true) {
           Socket socket = server.accept();
-          open.add(socket);
+          closeables.add(socket);
           thread(() -> script.run(new BufferedInputStream(socket.getInputStream()), socket.getOutputStream(),
               socket));
         }
@@ -124,8 +124,8 @@
   void serveBackend(InputStream in, OutputStream out, Socket socket) throws IOException {
     while (true) {
       Message request = read(in);
-      atBackend.add(request);
-      if (!answer.to(request, out)) {
+      backendRequests.add(request);
+      if (!answer.respond(request, out)) {
         socket.close();
         return;
       }
@@ -139,15 +139,15 @@
         write(out, "pong\r\n");
         continue;
       }
-      atCounter.add(line);
-      String reply = counting.apply(line);
+      counterLines.add(line);
+      String reply = counterScript.apply(line);
       if (reply != null) {
         write(out, reply + "\r\n");
       }
     }
   }
 
-  String count(String line) {
+  String addToCount(String line) {
     String[] parts = line.split(" ");
     return "ok " + counts.merge(parts[1], Double.valueOf(parts[2]), Double::sum);
   }
@@ -160,21 +160,22 @@
   private void serveDiscovery(InputStream in, OutputStream out, Socket socket) throws IOException {
     Message request = read(in);
     write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    watchers.add(out);
-    watches.add(request.firstLine());
+    watchOutputs.add(out);
+    watchRequests.add(request.firstLine());
   }
 
   /** Sends bytes of the list as one chunk to the newest watch. */
-  void tell(String bytes) throws IOException {
-    write(watchers.get(watchers.size() - 1), Integer.toHexString(bytes.length()) + "\r\n" + bytes + "\r\n");
+  void sendToNewestWatch(String bytes) throws IOException {
+    write(watchOutputs.get(watchOutputs.size() - 1),
+        Integer.toHexString(bytes.length()) + "\r\n" + bytes + "\r\n");
   }
 
-  static String entry(String id, int port, String state) {
+  static String rosterEntry(String id, int port, String state) {
     return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + port + "\",\"zone\":\"a\",\"kind\":\"k\","
         + "\"cell\":0,\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
   }
 
-  static String list(int version, boolean full, String... entries) {
+  static String rosterJson(int version, boolean full, String... entries) {
     return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
         + String.join(",", entries) + "]}";
   }
@@ -193,19 +194,19 @@
            {"Name":"buy","Repeat":"token","AimMs":1500,"DeadlineMs":4000,"Value":5,"Group":"all",
             "RepeatWindowMs":4000}],
           "Tariffs":[{"Name":"basic","Refill":400,"PeakUnits":4000,"WorthFactor":1,"OverrunCost":1}]}}
-        """.formatted(discovery.getLocalPort(), counter.getLocalPort(), list(7, true, entries));
+        """.formatted(discovery.getLocalPort(), counter.getLocalPort(), rosterJson(7, true, entries));
   }
 
   /** The configuration with this test's one backend and limits that leave few places. */
   String smallConfig() {
-    return config(entry("s-1", backend.getLocalPort(), "active"))
+    return config(rosterEntry("s-1", backend.getLocalPort(), "active"))
         .replace("\"seed\"",
-            "\"limits\":{\"cores\":1,\"memory_mb\":128,\"sockets\":" + FEW_SOCKETS + "},\"seed\"");
+            "\"limits\":{\"cores\":1,\"memory_mb\":128,\"sockets\":" + SMALL_SOCKET_LIMIT + "},\"seed\"");
   }
 
   /** Starts the front door with this test's one backend. */
   FrontDoor start() throws Exception {
-    return start(config(entry("s-1", backend.getLocalPort(), "active")));
+    return start(config(rosterEntry("s-1", backend.getLocalPort(), "active")));
   }
 
   FrontDoor start(String config) throws Exception {
@@ -222,16 +223,16 @@
 
   Client client() throws IOException {
     Client client = new Client((InetSocketAddress) door.address());
-    open.add(client);
+    closeables.add(client);
     return client;
   }
 
   static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-    T found = queue.poll(10, TimeUnit.SECONDS);
-    if (found == null) {
+    T element = queue.poll(10, TimeUnit.SECONDS);
+    if (element == null) {
       throw new AssertionError("nothing came in 10 s");
     }
-    return found;
+    return element;
   }
 
   static String get(String id, int timeoutMs) {
@@ -253,13 +254,13 @@
     for (String l = line(in); !l.isEmpty(); l = line(in)) {
       head.append(l).append("\r\n");
     }
-    Message bare = new Message(head.toString(), new byte[0]);
-    String length = bare.header("Content-Length");
+    Message withoutBody = new Message(head.toString(), new byte[0]);
+    String length = withoutBody.header("Content-Length");
     byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
     if (length != null && body.length < Integer.parseInt(length)) {
       throw new EOFException("body was cut");
     }
-    return new Message(bare.head(), body);
+    return new Message(withoutBody.head(), body);
   }
 
   private static String line(InputStream in) throws IOException {
@@ -300,7 +301,7 @@
     }
 
     /** The body of an answer in chunks, whose head has been received. */
-    byte[] chunks() throws IOException {
+    byte[] readChunks() throws IOException {
       ByteArrayOutputStream all = new ByteArrayOutputStream();
       for (int length = -1; length != 0;) {
         length = Integer.parseInt(line(in), 16);
@@ -315,7 +316,7 @@
     }
 
     /** True when nothing more comes and the connection ends. */
-    boolean ended() throws IOException {
+    boolean isClosedByPeer() throws IOException {
       try {
         return in.read() < 0;
       } catch (SocketException e) {
@@ -334,7 +335,7 @@
     if (door != null) {
       door.stop();
     }
-    for (Closeable c : open) {
+    for (Closeable c : closeables) {
       c.close();
     }
   }
--- a/door/src/test/java/willowdoor/net/PinnedProcessFormsTest.java
+++ b/door/src/test/java/willowdoor/net/PinnedProcessFormsTest.java
@@ -24,14 +24,14 @@
     try (InputStream in = getClass().getResourceAsStream("/pinned/state.txt")) {
       text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
-    assertEquals(text, TwinState.read(text).text());
+    assertEquals(text, FrontDoorState.parse(text).format());
   }
 
   @Test
   void theProcessFileIsReadAndWrittenAsBefore() throws IOException {
     Path file = folder.resolve("front-door.process");
     Files.writeString(file, "front-door-process 1 127.0.0.1:8123 end\n");
-    TwinFile twin = new TwinFile(folder.toString());
+    ProcessFile twin = new ProcessFile(folder.toString());
     InetSocketAddress address = twin.read();
     assertEquals(8123, address.getPort());
     twin.write(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 8124));
--- a/door/src/test/java/willowdoor/net/PipelinedTest.java
+++ b/door/src/test/java/willowdoor/net/PipelinedTest.java
@@ -39,7 +39,7 @@
     };
     client = peers.client();
     client.send(Peers.get("first", 3_500));
-    Peers.next(peers.atBackend);
+    Peers.next(peers.backendRequests);
   }
 
   @AfterEach
@@ -60,7 +60,7 @@
         + "x".repeat(OVER_THE_BOUND));
     answers.release(MANY);
     assertEquals(200, client.receive().status());
-    assertTrue(client.ended());
+    assertTrue(client.isClosedByPeer());
   }
 
   /** Guards against requests that were read whole and are dropped with the end of their connection. */
@@ -72,7 +72,7 @@
     assertNull(client.receive().header("Connection"));
     assertNull(client.receive().header("Connection"));
     assertEquals("close", client.receive().header("Connection"));
-    assertTrue(client.ended());
+    assertTrue(client.isClosedByPeer());
   }
 
   /** Guards against a client that keeps a gateway from its end by sending on and on. */
@@ -85,7 +85,7 @@
     sendBehind(Peers.get("third", 3_500));
     answers.release();
     assertEquals("close", client.receive().header("Connection"));
-    assertTrue(client.ended());
+    assertTrue(client.isClosedByPeer());
   }
 
   /** Guards against attempts that begin when the process is about to end, and nobody would answer them. */
@@ -100,6 +100,6 @@
     assertEquals(503, client.receive().status());
     halfway.send(request.substring(20));
     assertEquals(503, halfway.receive().status());
-    assertTrue(peers.atBackend.isEmpty());
+    assertTrue(peers.backendRequests.isEmpty());
   }
 }
--- a/door/src/test/java/willowdoor/net/ReloadTest.java
+++ b/door/src/test/java/willowdoor/net/ReloadTest.java
@@ -28,7 +28,7 @@
   void start() throws Exception {
     file = folder.resolve("config.json");
     door = before.start();
-    Peers.next(before.watches);
+    Peers.next(before.watchRequests);
   }
 
   @AfterEach
@@ -46,19 +46,19 @@
   void movesToTheNewAddressesAndLosesNothing() throws Exception {
     Client client = before.client();
     assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
-    Peers.next(before.atCounter);
+    Peers.next(before.counterLines);
     reload(after.config());
-    assertTrue(Peers.next(after.watches).contains("index=7 "));
-    after.tell(Peers.list(8, false) + "\n");
+    assertTrue(Peers.next(after.watchRequests).contains("index=7 "));
+    after.sendToNewestWatch(Peers.rosterJson(8, false) + "\n");
     int n = 0;
-    while (after.atCounter.poll(20, TimeUnit.MILLISECONDS) == null) {
+    while (after.counterLines.poll(20, TimeUnit.MILLISECONDS) == null) {
       assertEquals(200, client.ask(Peers.get("m" + n++, 3000)).status());
     }
-    before.atCounter.clear();
+    before.counterLines.clear();
     assertEquals(200, client.ask(Peers.get("r2", 3000)).status());
-    Peers.next(after.atCounter);
-    assertTrue(before.atCounter.isEmpty());
-    assertTrue(before.watches.isEmpty());
+    Peers.next(after.counterLines);
+    assertTrue(before.counterLines.isEmpty());
+    assertTrue(before.watchRequests.isEmpty());
   }
 
   @Test
@@ -69,11 +69,11 @@
     door.reload(file);
     Client client = before.client();
     assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
-    Peers.next(before.atCounter);
-    before.tell(Peers.list(8, true) + "\n");
+    Peers.next(before.counterLines);
+    before.sendToNewestWatch(Peers.rosterJson(8, true) + "\n");
     for (int n = 0; client.ask(Peers.get("r" + n, 500)).status() == 200; n++) {
       Thread.onSpinWait();
     }
-    assertTrue(after.watches.isEmpty());
+    assertTrue(after.watchRequests.isEmpty());
   }
 }
--- a/door/src/test/java/willowdoor/net/WarmUpTest.java
+++ b/door/src/test/java/willowdoor/net/WarmUpTest.java
@@ -21,12 +21,13 @@
   /** They go the whole way, or they would warm nothing; and nobody outside sees anything of them. */
   @Test
   void goesTheWholeWayAndTouchesNoSocket() throws Exception {
-    String config = peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"));
+    String config = peers.config(Peers.rosterEntry("s-1", peers.backend.getLocalPort(), "active"));
     int served = new WarmUp(Peers.parse(config)).run(20_000);
     assertTrue(served > WarmUp.REQUESTS / 2, served + " served");
-    assertTrue(peers.atBackend.isEmpty() && peers.atCounter.isEmpty() && peers.watches.isEmpty());
+    assertTrue(peers.backendRequests.isEmpty() && peers.counterLines.isEmpty()
+        && peers.watchRequests.isEmpty());
     peers.start(config);
     assertEquals(200, peers.client().ask(Peers.get("real", 3000)).status());
-    assertEquals("real", Peers.next(peers.atBackend).header("Request-Id"));
+    assertEquals("real", Peers.next(peers.backendRequests).header("Request-Id"));
   }
 }
