--- a/door/src/main/java/willowdoor/net/AnswerPipe.java
+++ b/door/src/main/java/willowdoor/net/AnswerPipe.java
@@ -6,30 +6,33 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The rest of a long answer, which passes through as it comes: what a backend gives is handed to the client's
- * side at once, and the backend's side is read on only while the client's side takes more. So a slow reader
- * holds what the two sockets hold and a few pieces, and nothing else. It knows bytes and who may read on; it
- * holds no rule. All on the loop.
+ * Passes the rest of a long response through as it arrives. Bytes from the backend are forwarded to the
+ * client's side at once, and the backend is read only while the client's side accepts more. A slow client
+ * therefore holds no more memory than the buffers of the two sockets and a few pieces. The pipe transfers
+ * bytes and applies backpressure; it makes no policy decision. All methods are called on the event loop.
  */
 final class AnswerPipe {
 
-  /** One in which nothing has moved for so long is given up: peers may take seconds, not longer. */
+  /**
+   * Interval of the stall checks. A pipe without progress between two checks is aborted; pauses of seconds
+   * are allowed.
+   */
   static final long STALL_LIMIT_MS = 15_000;
 
   /** The client's side. */
   interface Receiver {
-    /** A piece, which the taker releases. */
+    /** Takes a piece; the receiver releases it. */
     void onPiece(ByteBuf bytes);
 
-    /** All has come. */
+    /** Called when the response is complete. */
     void onComplete();
 
-    /** The rest will not come. */
+    /** Called when the rest of the response will not arrive. */
     void onAborted();
   }
 
   private final Channel backend;
-  /** What came before there was a taker: no more than one read gives. */
+  /** Pieces that arrived before the receiver was set: no more than one read returns. */
   private final ArrayDeque<ByteBuf> buffered = new ArrayDeque<>(2);
   private Receiver receiver;
   private boolean ended;
@@ -52,7 +55,7 @@
     }, STALL_LIMIT_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Has the taker get what has come and all that comes. */
+  /** Sets the receiver, which gets the pieces that have arrived and all that follow. */
   void setReceiver(Receiver newReceiver) {
     receiver = newReceiver;
     for (ByteBuf piece = buffered.poll(); piece != null; piece = buffered.poll()) {
@@ -63,7 +66,7 @@
     }
   }
 
-  /** The client's side takes more, or no more for now. */
+  /** Resumes or pauses reading from the backend, as the client's side accepts more or not. */
   void setReading(boolean reading) {
     if (!ended) {
       progressed |= reading;
@@ -71,7 +74,7 @@
     }
   }
 
-  /** A piece from the backend, which is handed over with it. */
+  /** Forwards a piece from the backend and takes ownership of its buffer. */
   void forward(ByteBuf bytes) {
     if (ended) {
       bytes.release();
@@ -85,12 +88,15 @@
     }
   }
 
-  /** The backend has given all. */
+  /** Called when the backend has sent the complete response. */
   void complete() {
     end(true);
   }
 
-  /** The backend gives no more, or the client takes no more. */
+  /**
+   * Ends the transfer early, because the backend sends or the client accepts no more; closes the backend's
+   * connection.
+   */
   void abort() {
     end(false);
     backend.close();
--- a/door/src/main/java/willowdoor/net/Attempt.java
+++ b/door/src/main/java/willowdoor/net/Attempt.java
@@ -6,21 +6,20 @@
 import willowdoor.policy.AttemptStart;
 import willowdoor.policy.GatewayApi.Status;
 
-/** One attempt of a request at one backend, from the module's send to its one outcome. */
+/** One attempt of a request at one backend, from the policy's send action to its single outcome. */
 abstract class Attempt {
 
   final FullHttpRequest message;
-  /** When its time is up, on the gateway's clock: never after the moment at which its client gives up. */
+  /** Deadline on the door's clock; never later than the moment at which the client gives up. */
   final double deadlineMs;
-  /** Where it was sent. */
   long backendId;
-  /** Null while the attempt has no connection yet. */
+  /** Null until the request is about to be written. */
   BackendConnection connection;
-  /** True once the request's last byte went to the kernel: from then on the backend may have run it. */
+  /** True once the request's last byte was handed to the kernel; from then on the backend may have run it. */
   boolean written;
-  /** Fires when the attempt's time is up. */
+  /** Fires at the deadline. */
   Future<?> timer;
-  /** What of a long answer is still to come, or null. */
+  /** The rest of a response that is passed through, or null. */
   AnswerPipe restOfAnswer;
   private boolean ended;
 
@@ -29,7 +28,6 @@
     this.deadlineMs = deadlineMs;
   }
 
-  /** The id of its request. */
   final String requestId() {
     return message.headers().get(Headers.REQUEST_ID);
   }
@@ -39,8 +37,10 @@
   }
 
   /**
-   * How a broken connection ends this attempt: whether it may have run is told by the write alone. Stale: the
-   * connection had been kept, and nothing came of this attempt's answer.
+   * The status of this attempt when its connection breaks. Only the write shows whether the request may
+   * have run.
+   *
+   * @param stale the connection was reused, and nothing of this attempt's response was read
    */
   final Status statusOnDisconnect(boolean stale) {
     if (!written) {
@@ -49,12 +49,15 @@
     return stale ? Status.SPOILT : Status.RESET;
   }
 
-  /** How running out of time ends this attempt; one without a connection tells nothing of its backend. */
+  /**
+   * The status of this attempt when its time is up; one that was not written shows nothing about its
+   * backend.
+   */
   final Status statusOnTimeout() {
     return written ? Status.TIMED_OUT : Status.NOT_SENT;
   }
 
-  /** Ends the attempt; later endings are ignored, so that the module gets exactly one outcome. */
+  /** Ends the attempt. Later calls are ignored, so that the policy receives exactly one outcome. */
   final void end(Status status, FullHttpResponse answer) {
     if (ended) {
       return;
@@ -66,7 +69,10 @@
     onEnd(status, answer);
   }
 
-  /** Stops waiting. The connection is given up with it, as an answer may still come on it. */
+  /**
+   * Ends the attempt without its response. Its connection is closed, as the response may still arrive on
+   * it.
+   */
   final void abandon(Status status) {
     if (ended) {
       return;
@@ -78,16 +84,19 @@
     }
   }
 
-  /** Whether it may begin, by all that is known at this moment; asked just before its first byte leaves. */
+  /**
+   * Whether the attempt may start, by all that is known at this moment; called just before its first byte
+   * is sent.
+   */
   AttemptStart startDecision(double nowMs) {
     return AttemptStart.of(ended, false, false, deadlineMs - nowMs);
   }
 
-  /** It was not allowed to begin, for that reason. */
+  /** Called instead of the write when the attempt is not allowed to start, with the reason. */
   void onWithheld(AttemptStart reason) {
     end(Status.NOT_SENT, null);
   }
 
-  /** The answer is only lent, and null unless the status is OK. */
+  /** Called once at the end. The answer is null unless the status is OK, and stays owned by the caller. */
   abstract void onEnd(Status status, FullHttpResponse answer);
 }
--- a/door/src/main/java/willowdoor/net/BackendConnection.java
+++ b/door/src/main/java/willowdoor/net/BackendConnection.java
@@ -23,45 +23,54 @@
 import willowdoor.policy.AttemptStart;
 import willowdoor.policy.GatewayApi.Status;
 
-/** One connection to a backend: at most one attempt at a time, and what its answer means. */
+/**
+ * One connection to a backend. It serves at most one attempt at a time and derives the outcome from the
+ * response.
+ */
 final class BackendConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-  /** Held until it is whole; a longer one passes through. */
+  /** A response body up to this size is held until it is complete; a larger one is passed through. */
   private static final int MAX_HELD_BODY_BYTES = 64 * 1024;
-  /** What a backend says to be longer is no answer. */
+  /** A response that announces a longer body is treated as malformed. */
   private static final long MAX_CONTENT_LENGTH_BYTES = 1L << 30;
-  /** Answers 1xx that may come ahead of the real one. */
+  /** Informational (1xx) responses that are accepted before the final response. */
   private static final int MAX_INFORMATIONAL = 16;
-  /** One that has begun and gives nothing for so long does not go on: backends may take seconds to write. */
+  /**
+   * Interval of the progress checks on an incomplete response. The attempt ends when nothing was decoded
+   * between two checks; there is no limit on the total, as backends may take seconds to write a response.
+   */
   private static final long PROGRESS_CHECK_MS = 700;
-  /** One of unknown length that is not whole by then passes through, so that nothing is held back. */
+  /**
+   * An incomplete response of unknown length that is older than this is passed through, so as not to delay
+   * it.
+   */
   private static final long MAX_HOLD_MS = 1_000;
 
   private final BackendPool pool;
   private final ResponseDecoder decoder;
   final BackendPool.Backend backend;
-  /** Where it leads; its backend may move. */
+  /** The address that this connection was opened to; its backend may have moved since. */
   final InetSocketAddress address;
   private Channel channel;
   private Attempt currentAttempt;
   double idleSinceMs;
-  /** It has carried an answer before. */
+  /** A response was completed on this connection, and this side has not closed it. */
   private boolean hasAnswered;
-  /** The answer being read, its body so far, and whether its end has come. */
+  /** The response being read: its head, its body so far, and whether it is complete. */
   private HttpResponse head;
   private ByteBuf body;
   private boolean complete;
   private int informationalCount;
-  /** More has come than the one answer. */
+  /** More than the one response has been read. */
   private boolean excessRead;
-  /** Ends an answer that stops half way. */
+  /** The next progress check on an incomplete response, or null. */
   private Future<?> progressTimer;
   private int partsAtLastCheck;
   private int partsRead;
   private double headReadMs;
-  /** Where the rest of the answer goes; null while it is gathered. */
+  /** Receives the rest of a response that is passed through; null while the response is held. */
   private AnswerPipe pipe;
-  /** The connection was reset: an answer that ends with it is not whole. */
+  /** The connection failed: a response whose end is the end of the connection is incomplete. */
   private boolean wasReset;
 
   BackendConnection(BackendPool pool, BackendPool.Backend backend, ResponseDecoder decoder) {
@@ -86,8 +95,8 @@
   }
 
   /**
-   * Writes the attempt's request if it may still begin; nothing below the module ever writes it again. Every
-   * attempt begins here, however long and for what it waited before.
+   * Writes the attempt's request if the attempt may still start; no layer below the policy ever writes it
+   * again. Every attempt passes this check, however long and for whatever reason it waited before.
    */
   void start(Attempt attempt) {
     double now = pool.now();
@@ -118,7 +127,7 @@
     if (pipe != null) {
       forward(part);
     } else if (currentAttempt == null) {
-      // An answer that nobody asked for.
+      // Unsolicited input: no attempt is waiting for a response.
       ctx.close();
     } else if (complete) {
       excessRead = true;
@@ -135,14 +144,13 @@
   }
 
   private void onHead(HttpResponse response) {
-    // Without a length the end of the connection is the end of the body, if the backend says that it ends.
+    // Without a length or chunks the body ends with the connection, if the response announces its close.
     boolean hasKnownEnd = HttpUtil.isContentLengthSet(response)
-        || HttpUtil.isTransferEncodingChunked(response)
-        || !HttpUtil.isKeepAlive(response);
+        || HttpUtil.isTransferEncodingChunked(response) || !HttpUtil.isKeepAlive(response);
     boolean isInformational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
     long length = HttpUtil.getContentLength(response, 0L);
-    if (isInformational ? ++informationalCount > MAX_INFORMATIONAL : !hasKnownEnd
-        || length > MAX_CONTENT_LENGTH_BYTES) {
+    if (isInformational ? ++informationalCount > MAX_INFORMATIONAL
+        : !hasKnownEnd || length > MAX_CONTENT_LENGTH_BYTES) {
       endAsSpoilt();
     } else {
       head = response;
@@ -175,8 +183,8 @@
   }
 
   /**
-   * Has the answer go to the client as it comes from here on: it is too long to be held, or too slow. With it
-   * the attempt has ended, as no other may follow: what has been passed on cannot be taken back.
+   * Passes the response to the client as it arrives from here on, because it is too long to be held or too
+   * slow. This ends the attempt. No retry may follow, as bytes that were passed on cannot be taken back.
    */
   private void passThrough() {
     Status status = statusOf(head);
@@ -206,7 +214,7 @@
         target.forward(content.content().retain());
       }
       if (content instanceof LastHttpContent && !wasReset) {
-        // What has carried so much is not kept: its backend has earned the place.
+        // A connection that has carried a passed-through response is not reused; closing frees its place.
         target.complete();
         channel.close();
       }
@@ -214,8 +222,8 @@
   }
 
   /**
-   * Hands the answer on once the read is finished: only then it shows whether more than the answer has come.
-   * Guards against a second copy, or noise, that would be taken for the next attempt's answer.
+   * Ends the attempt only after the whole read, when it is known whether more than the response has arrived.
+   * Otherwise a second copy, or noise, would be taken for the response to the next attempt.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -233,7 +241,7 @@
     }
   }
 
-  /** An answer has begun, and is not whole yet. */
+  /** Checks whether a response that has begun and is not complete makes progress. */
   private void checkProgress() {
     progressTimer = null;
     if (currentAttempt == null || pipe != null) {
@@ -247,8 +255,8 @@
       passThrough();
     } else {
       partsAtLastCheck = partsRead;
-      progressTimer = channel.eventLoop()
-          .schedule(this::checkProgress, PROGRESS_CHECK_MS, TimeUnit.MILLISECONDS);
+      progressTimer = channel.eventLoop().schedule(this::checkProgress, PROGRESS_CHECK_MS,
+          TimeUnit.MILLISECONDS);
     }
   }
 
@@ -266,19 +274,22 @@
     } else {
       channel.close();
     }
-    // An answer ahead of the request's end is none to this request.
+    // A response that is complete before the request was written cannot be a response to this request.
     Status status = requestWritten ? statusOf(response) : Status.BROKEN;
     hasAnswered = true;
     attempt.end(status, status == Status.OK ? response : null);
     response.release();
   }
 
-  /** What came cannot be the answer: the request may have run, and the connection is of no more use. */
+  /**
+   * Ends the attempt and closes the connection after malformed input; the request may have run if it was
+   * written.
+   */
   private void endAsSpoilt() {
     endAsSpoilt(null);
   }
 
-  /** The same for an answer that tells its status and is no use beyond that. */
+  /** Does the same with the status that the response's head has shown, if there is one. */
   private void endAsSpoilt(Status knownStatus) {
     Attempt attempt = currentAttempt;
     currentAttempt = null;
@@ -331,7 +342,7 @@
     }
   }
 
-  /** A reset or a fault of ours: this connection is of no more use. */
+  /** Closes the connection after a reset or an internal error. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     wasReset = true;
--- a/door/src/main/java/willowdoor/net/BackendPool.java
+++ b/door/src/main/java/willowdoor/net/BackendPool.java
@@ -19,24 +19,32 @@
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Status;
 
-/** The connections to the backends, and the attempts on them. It picks no backend and repeats nothing. */
+/**
+ * The pool of connections to the backends; runs attempts on them. The choice of the backend and all retries
+ * are decided by the policy.
+ */
 final class BackendPool {
 
-  /** An idle connection is retired at this share of the backends' own limit, well before they close it. */
+  /**
+   * Share of the backends' idle limit after which an idle connection is closed, well before they close it.
+   */
   private static final double RETIRE_SHARE = 0.6;
   /**
-   * A connection is used again only when it has been quiet for this long after an answer. Guards against a
-   * second copy just behind, which nothing but the moment of its coming tells from the next answer.
+   * Minimum idle time after a response before a connection is reused. A backend may send a second copy right
+   * after a response, which only its time of arrival distinguishes from the response to the next request.
    */
   private static final double SETTLE_MS = 4;
   private static final long SWEEP_INTERVAL_MS = 500;
 
-  /** One backend's place and connections. */
+  /** Address and connections of one backend. */
   static final class Backend {
     InetSocketAddress address;
     private double startedMs;
     private boolean removed;
-    /** The last one in was used last, and is used next: the others grow old and are retired. */
+    /**
+     * Ordered by release. The last one is reused first, so that surplus connections stay idle and are
+     * retired.
+     */
     private final ArrayDeque<BackendConnection> idle = new ArrayDeque<>();
     private final Set<Attempt> connecting = new HashSet<>();
   }
@@ -58,7 +66,10 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** Takes the places that discovery tells; backends that drain or are gone lose their unused connections. */
+  /**
+   * Applies a roster update. Idle connections are closed when their backend drains, is removed, has moved to
+   * another address or has restarted.
+   */
   void onRoster(EndpointUpdate update) {
     Set<Long> listedIds = new HashSet<>();
     for (BackendEntry entry : update.entries()) {
@@ -80,7 +91,10 @@
     }
   }
 
-  /** Guards the rule on drains: an attempt that still waits for its connection is not written any more. */
+  /**
+   * Removes a backend that drains or is gone. Attempts that still wait for their connection end as NOT_SENT,
+   * because no request may be written to a draining backend.
+   */
   private void remove(long id) {
     Backend backend = backends.remove(id);
     if (backend != null) {
@@ -98,7 +112,10 @@
     return !backends.isEmpty();
   }
 
-  /** Starts an attempt on an idle connection, or on a new one. */
+  /**
+   * Starts an attempt on an idle connection, or on a new one. The attempt ends as NOT_SENT if the backend is
+   * not in the roster or no further connection may be opened.
+   */
   void start(long id, Attempt attempt) {
     Backend backend = backends.get(id);
     if (backend == null) {
@@ -106,8 +123,8 @@
       return;
     }
     long timeoutMicros = Math.max(0, (long) ((attempt.deadlineMs - clock.now()) * 1000));
-    attempt.timer = loop
-        .schedule(() -> attempt.abandon(attempt.statusOnTimeout()), timeoutMicros, TimeUnit.MICROSECONDS);
+    attempt.timer = loop.schedule(() -> attempt.abandon(attempt.statusOnTimeout()), timeoutMicros,
+        TimeUnit.MICROSECONDS);
     BackendConnection connection = takeIdle(backend);
     if (connection != null) {
       connection.start(attempt);
@@ -118,7 +135,11 @@
     }
   }
 
-  /** The connection used last, if it has settled, and not so long ago that the backend may be closing it. */
+  /**
+   * Takes the most recently used connection that has been idle for longer than {@link #SETTLE_MS}, or
+   * returns null. Connections on the way that are closed, or idle for so long that the backend may be
+   * closing them, are discarded.
+   */
   private BackendConnection takeIdle(Backend backend) {
     double now = clock.now();
     BackendConnection found = null;
@@ -161,16 +182,21 @@
   }
 
   /**
-   * A reset shows that something lives there, which took the connection and dropped it: BROKEN. Guards
-   * against taking live backends for restarted ones, whatever resets: their full tables, a box between, a
-   * slow loop that first looks when all is over. Harm: a machine that comes back and resets what was under
-   * way meanwhile is met once more before a refusal, or the list, tells of its restart.
+   * Returns BROKEN for a reset, UNREACHABLE for any other failure to connect. A reset shows that a host
+   * accepted the connection and dropped it. A running backend must not be taken for a restarted one,
+   * whatever causes the reset: full connection tables at the backend, a middlebox, or an event loop here so
+   * late that it sees the connection only after the reset. Drawback: a host that restarts, and resets
+   * connections that were being opened meanwhile, gets one more attempt before a refused connection or the
+   * roster shows its restart.
    */
   private static Status connectFailureStatus(Throwable cause) {
     return String.valueOf(cause.getMessage()).contains("reset") ? Status.BROKEN : Status.UNREACHABLE;
   }
 
-  /** What is written of an attempt now: the backend is told the time that is left now. */
+  /**
+   * Returns the attempt's request as it is written at this moment, with the time left in its timeout
+   * header.
+   */
   static FullHttpRequest requestFor(Attempt attempt, double nowMs) {
     FullHttpRequest request = attempt.message.retainedDuplicate();
     request.headers().set(Headers.TIMEOUT_MS, Long.toString((long) Math.ceil(attempt.deadlineMs - nowMs)));
--- a/door/src/main/java/willowdoor/net/CeilingShares.java
+++ b/door/src/main/java/willowdoor/net/CeilingShares.java
@@ -23,8 +23,8 @@
 import willowdoor.recovery.RightsEvent.Woken;
 
 /**
- * Takes requests of firms under a ceiling to {@link CeilingRights} and its calls to the counter. All on the
- * event loop's thread.
+ * Reports requests of firms with a ceiling to {@link CeilingRights}, and makes the calls to the counter
+ * that it asks for. All methods are called on the event loop.
  */
 final class CeilingShares {
 
@@ -48,17 +48,26 @@
     }
   }
 
-  /** This door takes requests from here on, or again after {@link #handOver}. */
+  /**
+   * Called when this process starts to take the door's requests, also when it does so again after {@link
+   * #handOver}.
+   */
   void begin() {
     dispatch(new Begun());
   }
 
-  /** Another process is this door from here on: what still comes here gets nothing of a ceiling. */
+  /**
+   * Called when another process takes over this door: requests that still arrive here get no share of a
+   * ceiling.
+   */
   void handOver() {
     dispatch(new HandedOver());
   }
 
-  /** The request with the share that this door may use of its firm's ceiling, if there is one. */
+  /**
+   * Returns the request with the share of its firm's ceiling that this door may use; unchanged without a
+   * ceiling.
+   */
   Request withShare(Request request) {
     Plan plan = plansWithCeiling.get(request.planName());
     return plan == null ? request
@@ -66,7 +75,7 @@
         plan.ceilingRate(), plan.ceilingBurst(), maxUnits, request.units())));
   }
 
-  /** Takes the end of a call that was made for this; false when it was not. */
+  /** Handles the end of a call that was made for a ceiling; returns false for any other call. */
   boolean acceptIfOwn(Counted ended) {
     if (!CeilingRights.owns(ended.name())) {
       return false;
--- a/door/src/main/java/willowdoor/net/CounterClient.java
+++ b/door/src/main/java/willowdoor/net/CounterClient.java
@@ -36,9 +36,9 @@
 import willowdoor.recovery.WatchEvent.Woken;
 
 /**
- * Calls to the counter, pipelined on a few kept connections. A call goes to the connection with the fewest
- * answers owed, so that one slow part of the counter holds up only what already waits behind it; calls for
- * one name keep their order.
+ * Client of the counter. Calls are pipelined on a few persistent connections. A call goes to the connection
+ * with the fewest unanswered calls, so that a slow part of the counter delays only calls that already wait
+ * behind it; calls for one name keep their order.
  */
 final class CounterClient implements CounterStore {
 
@@ -46,24 +46,30 @@
 
   static final int CONNECTIONS = 12;
   static final double CONNECT_LIMIT_MS = 250;
-  /** Answers that one connection may owe; beyond that a call is turned away here. */
+  /** Unanswered calls allowed on one connection; beyond that a call fails here without being sent. */
   private static final int MAX_UNANSWERED = 256;
   private static final int MAX_LINE_BYTES = 256;
   private static final long SWEEP_INTERVAL_MS = 100;
-  /** A line comes whole; a part of one that stays alone for so long is none. */
+  /** A partial line that is not completed within this time is invalid; the counter writes whole lines. */
   private static final long PARTIAL_LINE_LIMIT_MS = 10;
-  /** A connection silent for so many limits of a call, though it owes an answer, is taken for dead. */
+  /** A connection with unanswered calls is considered dead after a silence of this many call limits. */
   private static final double SILENCE_LIMIT_FACTOR = 12;
-  /** An idle connection is pinged this often: it stays open, and a dead one shows. */
+  /** An idle connection is pinged at this interval, which keeps it open and reveals a dead one. */
   private static final double PING_INTERVAL_MS = 3_000;
-  /** A left address closes its connections after 1.5 s; what is owed on them by then is given up before. */
+  /**
+   * Connections to a previous address are closed after this time, and their unanswered calls end. The counter
+   * at that address closes them after 1.5 s.
+   */
   private static final long OLD_ADDRESS_CLOSE_MS = 1_300;
   private static final double MIN_BACKOFF_MS = 50;
   private static final double MAX_BACKOFF_MS = 400;
 
-  /** One call, or a ping where the name is null; it keeps its place when it is given up. */
+  /**
+   * One call, or a ping if the name is null. A call that timed out keeps its place in the queue of its
+   * connection.
+   */
   private static final class Call {
-    /** The watch's number of it, or -1 for any other call. */
+    /** The number that the watch gave to this check, or -1 for any other call. */
     long checkNumber = -1;
     final String name;
     final double startedAtMs;
@@ -82,21 +88,20 @@
   private final double callLimitMs;
   private final Consumer<Counted> listener;
   private final Dialer dialer;
-  /** Null where nothing is to be told of a counter that was replaced. */
+  /** Null if a replacement of the counter is not to be detected. */
   private CounterWatch watch;
   private DoubleConsumer onReplaced;
   private final List<Link> links = new ArrayList<>(CONNECTIONS);
-  /** Connections to the address that a new configuration has left; in use until new ones are up. */
+  /** Connections to the previous address; in use until one to the new address is open. */
   private final List<Link> oldLinks = new ArrayList<>(0);
   private InetSocketAddress counterAddress;
-  /** Calls in the order of their starts, and so of their limits. */
+  /** Calls in the order of their starts, and therefore of their time limits. */
   private final ArrayDeque<Call> pendingCalls = new ArrayDeque<>();
   private final Map<String, Call> lastCallByName = new HashMap<>();
   private boolean limitTimerScheduled;
 
   CounterClient(EventLoop loop, Clock clock, Dialer dialer, InetSocketAddress counterAddress,
-      double callLimitMs,
-      Consumer<Counted> listener) {
+      double callLimitMs, Consumer<Counted> listener) {
     this.loop = loop;
     this.clock = clock;
     this.callLimitMs = callLimitMs;
@@ -106,9 +111,10 @@
   }
 
   /**
-   * Has the counter asked who it is, on each new connection first; to be told before the start.
+   * Sets the watch that checks the counter's identity, first of all on each new connection. To be
+   * called before {@link #start}.
    *
-   * @param replacementListener run when another counter answers than before
+   * @param replacementListener called when another counter answers than before; see {@link Listener#replaced}
    */
   void setWatch(CounterWatch counterWatch, DoubleConsumer replacementListener) {
     watch = counterWatch;
@@ -135,7 +141,9 @@
     }
   }
 
-  /** Opens connections to another address; those to the old one finish what they owe. */
+  /**
+   * Opens connections to another address; calls on the old connections may still end normally for a while.
+   */
   @Override
   public void moveTo(InetSocketAddress newAddress) {
     if (newAddress == null || newAddress.equals(counterAddress)) {
@@ -150,10 +158,10 @@
     loop.schedule(() -> old.forEach(Link::close), OLD_ADDRESS_CLOSE_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Its connections end with the loop. */
+  /** Does nothing: the connections end with the event loop. */
   @Override
   public void close() {
-    // Nothing else is held.
+    // No other resource is held.
   }
 
   @Override
@@ -176,13 +184,11 @@
       if (action instanceof Check c) {
         sendCheck(c);
       } else if (action instanceof Replaced r) {
-        LOG.info("another counter answers than before (" + r.origin() + "); it is number " + r.incarnation());
+        LOG.info("counter was replaced (origin " + r.origin() + "), incarnation " + r.incarnation());
         onReplaced.accept(r.lostSinceMs());
       } else if (action instanceof WakeAt w) {
         loop.schedule(() -> dispatch(new Woken()),
-            (long) Math.ceil(Math.max(0, w.atMs() - clock.now()) * 1000)
-            + 1,
-            TimeUnit.MICROSECONDS);
+            (long) Math.ceil(Math.max(0, w.atMs() - clock.now()) * 1000) + 1, TimeUnit.MICROSECONDS);
       }
     }
   }
@@ -197,12 +203,12 @@
     Call call = new Call(check.name(), clock.now());
     call.checkNumber = check.number();
     pendingCalls.add(call);
-    link.send(call,
-        "incr " + check.name() + ' ' + formatAmount(check.amount()) + ' ' + (long) check.ttlMs() + "\r\n");
+    link.send(call, "incr " + check.name() + ' ' + formatAmount(check.amount()) + ' ' + (long) check.ttlMs()
+        + "\r\n");
     scheduleLimitTimer();
   }
 
-  /** Decimal digits without an exponent, which the counter does not read. */
+  /** Formats an amount as decimal digits without an exponent, as the counter does not read exponents. */
   static String formatAmount(double amount) {
     if (amount == Math.rint(amount) && Math.abs(amount) < 1e9) {
       return Long.toString((long) amount);
@@ -238,7 +244,7 @@
     }
   }
 
-  /** One timer for all calls: their limits come in the order of their starts. */
+  /** Schedules the one timer for all calls, which reach their limits in the order of their starts. */
   private void scheduleLimitTimer() {
     if (!limitTimerScheduled && !pendingCalls.isEmpty()) {
       limitTimerScheduled = true;
@@ -266,7 +272,7 @@
     }
   }
 
-  /** The lines of one connection. */
+  /** Splits the input of one connection into lines. */
   private static final class LineDecoder extends LineBasedFrameDecoder {
     LineDecoder() {
       super(MAX_LINE_BYTES, true, true);
@@ -277,7 +283,7 @@
     }
   }
 
-  /** One kept connection and the answers that it owes, in order. */
+  /** One persistent connection and its unanswered calls, in order. */
   private final class Link extends ChannelInitializer<Channel> {
     private final ArrayDeque<Call> unanswered = new ArrayDeque<>();
     private final InetSocketAddress address;
@@ -290,7 +296,7 @@
       this.address = address;
     }
 
-    /** Ends it for good. */
+    /** Closes the connection without reopening it. */
     void close() {
       closed = true;
       oldLinks.remove(this);
@@ -342,7 +348,7 @@
       channel.writeAndFlush(bytes).addListener(f -> call.written = f.isSuccess());
     }
 
-    /** Replaces the connection when it is silent: a vanished machine resets nothing. */
+    /** Pings an idle connection, and closes one that does not answer: a host that vanished sends no reset. */
     void checkLiveness(double now) {
       if (!isOpen()) {
         return;
@@ -351,8 +357,8 @@
         if (now - lastReadMs > PING_INTERVAL_MS) {
           send(new Call(null, now), "ping\r\n");
         }
-      } else if (now - Math.max(lastReadMs, unanswered.peekFirst().startedAtMs) > SILENCE_LIMIT_FACTOR
-          * callLimitMs) {
+      } else if (now - Math.max(lastReadMs, unanswered.peekFirst().startedAtMs)
+          > SILENCE_LIMIT_FACTOR * callLimitMs) {
         channel.close();
       }
     }
@@ -366,7 +372,7 @@
           onLine(line.toString(StandardCharsets.US_ASCII));
         }
 
-        /** Guards against noise without a line's end, to which the next answer would be added. */
+        /** Detects input without a line end, to which the next answer would be appended. */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
           if (lines.hasUnconsumedBytes()) {
@@ -422,7 +428,10 @@
       onInvalidLine();
     }
 
-    /** Junk: what was asked for first was added; nothing that follows on this connection can be trusted. */
+    /**
+     * Handles input that is no valid answer. The first unanswered call ends as SPOILT, since it may have been
+     * applied; the connection is closed, as nothing that follows on it can be trusted.
+     */
     private void onInvalidLine() {
       Call call = unanswered.poll();
       Channel used = channel;
@@ -435,7 +444,7 @@
       }
     }
 
-    /** What was not written whole added nothing; anything else may have been added. */
+    /** Ends all unanswered calls. One that was not completely written added nothing; any other may have. */
     private void onDisconnected() {
       channel = null;
       while (!unanswered.isEmpty()) {
--- a/door/src/main/java/willowdoor/net/CounterStore.java
+++ b/door/src/main/java/willowdoor/net/CounterStore.java
@@ -6,51 +6,52 @@
 import willowdoor.policy.GatewayApi.Counted;
 
 /**
- * Where the shared counts are: adds an amount to a name and tells the total, or a known kind of not knowing;
- * and tells when the counts that answer are not those that answered before. All calls and all that is told
- * are on the door's loop; nothing here may block it.
+ * The shared counts. Adds an amount to a name and reports the total, or a status that says what is known
+ * about an add without a total. Also reports when the counts that answer are not those that answered
+ * before. All calls and all reports are made on the door's event loop, which no method may block.
  */
 public interface CounterStore {
 
-  /** Opens its connections; to be called once. */
+  /** Opens the connections; called once. */
   void start();
 
   /**
-   * Adds to a name. Its end is told exactly once, at the call's limit at the latest, and the ends of calls
-   * for one name in the order of the calls. An add whose end is not OK and does not prove otherwise may have
-   * been made, or may yet be made.
+   * Adds to a name. The end of the call is reported exactly once, no later than at the call's time limit,
+   * and the ends of calls for one name in the order of the calls. An add that ended with a status other
+   * than OK, and not with one that proves that it was not made, may have been made or may still be made.
    *
-   * @param amount 1e9 at the most, of either sign; 0 reads
-   * @param ttlMs life of a new name, 60,000 at the most
+   * @param amount at most 1e9, of either sign; 0 only reads the total
+   * @param ttlMs lifetime of a new name in milliseconds, at most 60,000
    */
   void add(String name, double amount, double ttlMs);
 
-  /** Moves to another address; what is out at the old one ends there. Null changes nothing. */
+  /** Moves to another address; calls pending at the old address end there. Null changes nothing. */
   void moveTo(InetSocketAddress newAddress);
 
-  /** Closes its connections and ends its threads, if it has any. */
+  /** Closes the connections and ends the threads, if there are any. */
   void close();
 
-  /** Who uses the counts. */
+  /** Receives the results of calls. */
   interface Listener {
-    /** The end of a call. */
+    /** Reports the end of a call. */
     void counted(Counted end);
 
     /**
-     * Others' counts answer than before.
+     * Reports that other counts answer than before.
      *
-     * @param lostSinceMs on the door's clock: what was added until then may be in them, what was added later
-     * is not; negative infinity when they have nothing
+     * @param lostSinceMs on the door's clock: amounts added until then may be in the new counts, later ones
+     *     are not; negative infinity when none are
      */
     void replaced(double lostSinceMs);
   }
 
-  /** Makes a door's store. */
+  /** Creates a door's store. */
   interface Maker {
     /**
-     * A store that is not started yet.
+     * Creates a store that is not started yet.
      *
-     * @param doorId distinguishes this life of this door from all others; letters and digits
+     * @param doorId distinguishes this run of this door from all other doors and from its own
+     *     earlier runs; letters and digits
      */
     CounterStore make(EventLoop loop, DoubleSupplier clock, String doorId, Config config, Listener listener);
   }
--- a/door/src/main/java/willowdoor/net/Dialer.java
+++ b/door/src/main/java/willowdoor/net/Dialer.java
@@ -10,10 +10,10 @@
 /** Opens connections to backends and to the counter. */
 interface Dialer {
 
-  /** Connects; the handler sets the new channel up. */
+  /** Opens a connection; the handler sets up the new channel. */
   ChannelFuture dial(InetSocketAddress address, ChannelHandler handler);
 
-  /** Real ones, driven by the loop, that come up within the limit or not at all. */
+  /** A dialer of sockets on the event loop; a connection that is not open within the limit fails. */
   static Dialer sockets(EventLoop loop, double connectLimitMs) {
     Bootstrap bootstrap = new Bootstrap().group(loop).channel(Transport.BEST.socket())
         .option(ChannelOption.TCP_NODELAY, true)
--- a/door/src/main/java/willowdoor/net/DiscoveryClient.java
+++ b/door/src/main/java/willowdoor/net/DiscoveryClient.java
@@ -31,18 +31,23 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Watches the list of backends; while the watch is down the last list stays in use. */
+/** Watches discovery's list of backends. While the watch is disconnected, the last list stays in use. */
 final class DiscoveryClient {
 
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
   private static final int MAX_LINE_BYTES = 4 << 20;
-  /** Empty lines come every 2 s; a watch silent for more than two of them is replaced. */
+  /**
+   * Discovery sends an empty line every 2 s as a heartbeat; a watch that misses more than two is replaced.
+   */
   private static final long SILENCE_LIMIT_MS = 5_000;
-  /** For so long a silent watch may still show that its news only waits to be read. */
+  /** Time in which a silent watch may still read lines that have arrived and only wait to be read. */
   private static final long UNREAD_INPUT_GRACE_MS = 100;
   private static final double MIN_BACKOFF_MS = 100;
   private static final double MAX_BACKOFF_MS = 1_500;
-  /** A watch that lasted so long was a good one; junk on each new one must not make a busy loop. */
+  /**
+   * A watch that lasted longer resets the backoff; invalid input on each new watch must not cause a busy
+   * loop.
+   */
   private static final double STABLE_WATCH_MS = 5_000;
 
   private final EventLoop loop;
@@ -52,7 +57,7 @@
   private long version;
   private double backoffMs = MIN_BACKOFF_MS;
   private Watch watch;
-  /** The watch at the address that a new configuration has left, until the new one has told something. */
+  /** The watch at the previous address, until the new watch has read a line; null if there is none. */
   private Watch previousWatch;
 
   DiscoveryClient(EventLoop loop, Clock clock, InetSocketAddress address, long version,
@@ -70,7 +75,7 @@
     watch.connect();
   }
 
-  /** Watches at another address; the old watch goes on until the new one tells something. */
+  /** Watches at another address; the old watch continues until the new one has read a line. */
   void moveTo(InetSocketAddress newAddress) {
     if (newAddress.equals(watch.address)) {
       return;
@@ -99,7 +104,7 @@
     }, (long) waitMs, TimeUnit.MILLISECONDS);
   }
 
-  /** Passes on the bytes of the answer's body, in which lines and chunks end where they like. */
+  /** Extracts the bytes of the response body; the boundaries of chunks are independent of those of lines. */
   private static final class BodyExtractor extends SimpleChannelInboundHandler<HttpObject> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
@@ -171,15 +176,16 @@
         previousWatch = null;
       }
       if (update != null) {
-        // A version that is none must not be asked for: the watch would be refused for good.
+        // Discovery refuses a watch from an invalid version, so the last valid one is kept.
         version = update.version() > 0 ? update.version() : version;
         listener.accept(update);
       }
     }
 
     /**
-     * Guards against a process that was stopped, or short of CPU, for longer than the silence: its timer runs
-     * out before it has read what came meanwhile, and a drain that was told would be dropped unread.
+     * Closes a silent watch after a grace period. If this process was stopped, or short of CPU, for longer
+     * than the silence limit, the timer fires before the input that arrived meanwhile is read; without the
+     * grace period a drain among that input would be dropped unread.
      */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
@@ -193,10 +199,13 @@
       }
     }
 
-    /** Junk, silence or a broken connection: a new watch from the last good version makes up for it. */
+    /**
+     * Closes the watch after invalid input or a broken connection; a new one resumes from the last valid
+     * version.
+     */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.log(Level.FINE, "watch ended", cause);
+      LOG.log(Level.FINE, "the watch at discovery failed", cause);
       ctx.close();
     }
   }
--- a/door/src/main/java/willowdoor/net/FrontDoorState.java
+++ b/door/src/main/java/willowdoor/net/FrontDoorState.java
@@ -7,12 +7,12 @@
 import willowdoor.membership.Out;
 
 /**
- * What a process tells the one that is to replace it, as lines of text: a version, one fact a line, and an
- * end that shows it whole. Bounded by {@link #MAX_LINES}; anything else is an IOException that names the
- * line.
+ * The state that a process hands over to its replacement, as lines of text: a version, one fact per line, and
+ * an end line that shows that the text is complete. The number of lines is at most {@link #MAX_LINES}; any
+ * other text is rejected by an IOException that names the fault.
  *
- * @param clientsSentAway operators have sent the clients away
- * @param backendsOut the backends that operators have taken out
+ * @param clientsSentAway whether operators have sent the clients away
+ * @param backendsOut the backends that operators have taken out of use
  */
 record FrontDoorState(boolean clientsSentAway, List<Out> backendsOut) {
 
@@ -36,10 +36,10 @@
       throw new IOException("state of more than " + MAX_LINES + " lines");
     }
     if (lines.size() < 2 || !lines.get(0).equals(HEADER)) {
-      throw new IOException("state: expected '" + HEADER + "' first");
+      throw new IOException("state: expected a first line '" + HEADER + "'");
     }
     if (!lines.get(lines.size() - 1).equals(END_MARK)) {
-      throw new IOException("state: it is not whole, as no '" + END_MARK + "' is last");
+      throw new IOException("state: incomplete, as the last line is not '" + END_MARK + "'");
     }
     boolean clientsSentAway = false;
     List<Out> backendsOut = new ArrayList<>();
@@ -50,11 +50,11 @@
           case "sent-away" -> clientsSentAway = Boolean.parseBoolean(words[1]);
           case "out" -> backendsOut.add(new Out(Long.parseLong(words[1], 16), Double.parseDouble(words[2])));
           default -> {
-            // A newer process may tell more.
+            // Lines of other kinds, which a newer version may write, are skipped.
           }
         }
       } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
-        throw new IOException("state, line " + (i + 1) + ": '" + lines.get(i) + "' is not understood", e);
+        throw new IOException("state, line " + (i + 1) + ": '" + lines.get(i) + "' cannot be parsed", e);
       }
     }
     return new FrontDoorState(clientsSentAway, backendsOut);
--- a/door/src/main/java/willowdoor/net/MergedRoster.java
+++ b/door/src/main/java/willowdoor/net/MergedRoster.java
@@ -18,7 +18,10 @@
 import willowdoor.membership.Told;
 import willowdoor.policy.GatewayApi.Phase;
 
-/** Takes what sources and operators tell to the one merge, and its roster to the door, with the places. */
+/**
+ * Reports discovery's lists, operators' orders and the fleet's decisions to {@link Membership}, and passes
+ * the merged roster on to the door, with the backends' addresses.
+ */
 final class MergedRoster {
 
   private final Membership membership = new Membership();
@@ -26,7 +29,7 @@
   private final Consumer<EndpointUpdate> listener;
   private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
   private long version;
-  /** Null where nobody else listens. */
+  /** Receives discovery's updates before they are merged; null if there is none. */
   private Consumer<EndpointUpdate> sourceListener;
 
   MergedRoster(DoubleSupplier clockMs, Consumer<EndpointUpdate> listener) {
@@ -34,12 +37,12 @@
     this.listener = listener;
   }
 
-  /** Has it hear what discovery tells, as it is told, too. */
+  /** Sets a further listener, which receives discovery's updates before they are merged. */
   void setSourceListener(Consumer<EndpointUpdate> newListener) {
     sourceListener = newListener;
   }
 
-  /** What discovery tells. */
+  /** Handles an update from discovery. */
   void onUpdate(EndpointUpdate update) {
     if (sourceListener != null) {
       sourceListener.accept(update);
@@ -47,7 +50,7 @@
     listener.accept(merge(update));
   }
 
-  /** The same without telling it on: a door's first list. */
+  /** Merges an update without notifying a listener; for a door's first list. */
   EndpointUpdate merge(EndpointUpdate update) {
     if (update.full()) {
       addresses.clear();
@@ -58,22 +61,22 @@
     return toUpdate(membership.on(clockMs.getAsDouble(), new Listed(update.full(), update.entries())));
   }
 
-  /** Takes a backend out; false when there is none of that id. */
+  /** Takes a backend out of use on an operator's order; false if it is not listed or too many are out. */
   boolean takeOut(String name) {
     return apply(new TakeOut(EndpointUpdate.idOf(name)));
   }
 
-  /** Puts it back; false when there is none of that id. */
+  /** Puts a backend back into use on an operator's order; false if it is not known. */
   boolean putBack(String name) {
     return apply(new PutBack(EndpointUpdate.idOf(name)));
   }
 
-  /** By what the fleet has agreed on it is out, or no longer. */
+  /** Applies the fleet's decision that a backend is out of use, or no longer is. */
   void applyFleetDecision(long id, boolean out) {
     apply(out ? new AgreedOut(id) : new AgreedBack(id));
   }
 
-  /** Takes out what another process of this front door knows to be out. */
+  /** Takes out of use the backends that another process of this front door holds out of use. */
   void inherit(List<Out> out) {
     apply(new Inherited(out));
   }
--- a/door/src/main/java/willowdoor/net/PeerProcess.java
+++ b/door/src/main/java/willowdoor/net/PeerProcess.java
@@ -13,15 +13,15 @@
 import willowdoor.management.Reply;
 
 /**
- * The other process of this front door, while a new one replaces an old one. Both hold each other's
- * management address, so that an operator's call to either holds in both, and both notice when the other is
- * gone. All on the loop.
+ * The other process of this front door while a new process replaces an old one. Each holds the other's
+ * management address, so that an operator's order to either process applies to both, and each notices when
+ * the other has ended. All methods are called on the event loop.
  */
 final class PeerProcess {
 
   private static final Logger LOG = Logger.getLogger(PeerProcess.class.getName());
   private static final long CHECK_INTERVAL_MS = 500;
-  /** An operator waits 1 s for a yes, which is one for both processes. */
+  /** Limit of a forwarded order. An operator waits 1 s for a confirmation, which covers both processes. */
   private static final long ORDER_LIMIT_MS = 750;
   private static final long HELLO_LIMIT_MS = 1_500;
 
@@ -29,7 +29,7 @@
   private final Caller caller;
   private final InetSocketAddress address;
   private final Consumer<PeerProcess> goneListener;
-  /** It takes clients at the same address as this process. */
+  /** The other process takes clients at the same address as this one. */
   private boolean serving;
   private boolean gone;
 
@@ -54,10 +54,10 @@
   }
 
   /**
-   * Tells the other process of this one.
+   * Announces this process to the other one.
    *
-   * @param ownAddress where this one is managed
-   * @param takesClients whether it takes clients
+   * @param ownAddress management address of this process
+   * @param takesClients whether this process takes clients
    */
   void announce(InetSocketAddress ownAddress, boolean takesClients, Consumer<End> endListener) {
     caller.call(address, HttpMethod.POST, "/twin?at=" + ownAddress.getAddress().getHostAddress() + ":"
@@ -69,7 +69,10 @@
         });
   }
 
-  /** Has an order hold there too; what was yes here stays so if the other process is no more. */
+  /**
+   * Forwards an order to the other process. The result is this process's own reply, also if the other
+   * process has ended, but 503 if the other process does not answer in time.
+   */
   void forward(Order order, Reply ownReply, Consumer<Reply> replyListener) {
     caller.call(address, HttpMethod.POST, order.target(), ORDER_LIMIT_MS, end -> {
       if (end.came() == Came.NOBODY) {
@@ -95,7 +98,7 @@
   private void markGone() {
     if (!gone) {
       gone = true;
-      LOG.info("the other process of this front door is gone: " + address);
+      LOG.info("the other process of this front door has ended: " + address);
       goneListener.accept(this);
     }
   }
--- a/door/src/main/java/willowdoor/net/ProcessFile.java
+++ b/door/src/main/java/willowdoor/net/ProcessFile.java
@@ -10,9 +10,9 @@
 import java.util.logging.Logger;
 
 /**
- * The one file by which a second process of a front door finds the first: its management address. It is
- * written whole or not at all. One that is torn, of another version or too long is named in the log and left
- * aside; one that names a dead process is found out by the call to it.
+ * The file by which a second process of a front door finds the first. It holds the first process's management
+ * address and is written atomically. A file that is incomplete, of another version or too long is logged and
+ * ignored. That a file names a process which has ended is found out by the call to that process.
  */
 final class ProcessFile {
 
@@ -23,12 +23,14 @@
 
   private final Path file;
 
-  /** In the folder that both processes share; with null there is none, and no file. */
+  /**
+   * Uses the file in the folder that both processes share; if the folder is null or empty there is no file.
+   */
   ProcessFile(String folder) {
     file = folder == null || folder.isEmpty() ? null : Path.of(folder, FILE_NAME);
   }
 
-  /** Where the process that wrote it is managed, or null. */
+  /** Returns the management address of the process that wrote the file; null without a valid file. */
   InetSocketAddress read() {
     if (file == null) {
       return null;
@@ -40,26 +42,26 @@
           ? EndpointUpdate.parseAddress(text.substring(PREFIX.length(), text.length() - " end\n".length()))
           : null;
       if (address == null) {
-        LOG.warning(file + " is left aside: expected '" + PREFIX + "ADDRESS end' in one line");
+        LOG.warning(file + " is ignored: expected '" + PREFIX + "ADDRESS end' on one line");
       }
       return address;
     } catch (NoSuchFileException e) {
       return null;
     } catch (IOException | RuntimeException e) {
-      LOG.warning(file + " is left aside: " + e.getMessage());
+      LOG.warning(file + " is ignored: " + e.getMessage());
       return null;
     }
   }
 
-  /** Names this process, so that the next one finds it; without a file it will not. */
+  /** Writes this process's address, so that the next process finds it. A failure is only logged. */
   void write(InetSocketAddress ownAddress) {
     if (file == null) {
       return;
     }
     try {
       Path temporary = Files.createTempFile(file.getParent(), FILE_NAME, ".new");
-      Files.writeString(temporary,
-          PREFIX + ownAddress.getAddress().getHostAddress() + ":" + ownAddress.getPort() + " end\n");
+      Files.writeString(temporary, PREFIX + ownAddress.getAddress().getHostAddress() + ":"
+          + ownAddress.getPort() + " end\n");
       Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     } catch (IOException | RuntimeException e) {
       LOG.warning(file + " could not be written: " + e.getMessage());
--- a/door/src/main/java/willowdoor/net/ResponseDecoder.java
+++ b/door/src/main/java/willowdoor/net/ResponseDecoder.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.util.AsciiString;
 
-/** Decodes backends' answers, and tells whether more has come than belongs to them. */
+/** Decodes backends' responses and shows whether input is left that does not belong to them. */
 final class ResponseDecoder extends HttpResponseDecoder {
 
   private static final int MAX_STATUS_LINE_BYTES = 1_024;
@@ -18,19 +18,22 @@
         .setUseRfc9112TransferEncoding(true));
   }
 
-  /** Two lengths that need not agree: where the body ends is anyone's guess. */
+  /** Rejects the message: the two lengths may contradict each other, so the end of the body is ambiguous. */
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
     throw new IllegalArgumentException("Content-Length with Transfer-Encoding");
   }
 
-  /** No switch was asked for: after a stray 101 the answer is still one of HTTP/1.1. */
+  /** Always false: no upgrade was requested, so what follows an unexpected 101 response is still HTTP/1.1. */
   @Override
   protected boolean isSwitchingToNonHttp1Protocol(HttpResponse answer) {
     return false;
   }
 
-  /** Netty ends an answer's header name at a blank too, and so takes a line with no colon for a header. */
+  /**
+   * Rejects a line without a colon. Netty also ends a response's header name at a blank, and would accept
+   * it.
+   */
   @Override
   protected AsciiString splitHeaderName(byte[] line, int start, int length) {
     if (start + length >= line.length || line[start + length] != ':') {
--- a/door/src/test/java/willowdoor/net/AnswerPipeTest.java
+++ b/door/src/test/java/willowdoor/net/AnswerPipeTest.java
@@ -8,7 +8,7 @@
 import io.netty.channel.embedded.EmbeddedChannel;
 import org.junit.jupiter.api.Test;
 
-/** A pipe that nobody takes from holds nothing. */
+/** A pipe without a receiver releases its buffers when it is aborted. */
 class AnswerPipeTest {
 
   @Test
--- a/door/src/test/java/willowdoor/net/BackendPoolTest.java
+++ b/door/src/test/java/willowdoor/net/BackendPoolTest.java
@@ -28,7 +28,10 @@
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Status;
 
-/** How attempts end that never got a connection: only some of the endings tell of a restarted backend. */
+/**
+ * The status of attempts that got no connection; only some statuses are evidence that the backend has
+ * restarted.
+ */
 @Timeout(30)
 class BackendPoolTest {
 
@@ -59,13 +62,13 @@
     };
   }
 
-  /** The loop stands still until the backend has taken the connection and reset it. */
+  /** The event loop is blocked until the backend has accepted the connection and reset it. */
   @Test
   void resetDuringConnectEndsAsBroken() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       loop.submit(() -> {
         pool(100, server.getLocalPort()).start(1, attempt(5_000));
-        // Behind the connecting, which is the loop's next task.
+        // Queued after the connect, which is the loop's next task.
         return loop.submit(() -> {
           Socket accepted = server.accept();
           accepted.setSoLinger(true, 0);
@@ -84,7 +87,9 @@
     assertEquals(Status.UNREACHABLE, Peers.next(ends));
   }
 
-  /** No place here, a backend that has just left the list, no time left to connect: none is its fault. */
+  /**
+   * No free connection here, a backend that has left the roster, no time left: none is the backend's fault.
+   */
   @Test
   void failuresOfThisProcessEndAsNotSent() throws Exception {
     int port = freePort();
@@ -99,7 +104,7 @@
     assertEquals(Status.NOT_SENT, Peers.next(ends));
   }
 
-  /** Guards against an attempt whose connection is read as up ahead of its timer, by a late loop. */
+  /** A delayed event loop may see that the connection is open before it runs the attempt's expired timer. */
   @Test
   void attemptThatExpiresDuringConnectIsNotWritten() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
--- a/door/src/test/java/willowdoor/net/BadBackendTest.java
+++ b/door/src/test/java/willowdoor/net/BadBackendTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Timeout;
 import willowdoor.net.Peers.Client;
 
-/** Answers that come spoilt, and good ones that bring more than belongs to them. */
+/** Malformed responses, and valid ones followed by input that does not belong to them. */
 @Timeout(30)
 class BadBackendTest {
 
@@ -25,7 +25,7 @@
     return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
-  /** What lies behind an answer must never be served as the answer to the next request. */
+  /** Input after a response must never be served as the response to the next request. */
   @Test
   void bytesAfterAnAnswerAreNotTheNextAnswer() throws Exception {
     peers.start();
@@ -41,7 +41,7 @@
     }
   }
 
-  /** The same where the second copy comes in a segment of its own. */
+  /** The same for a second copy of the response that arrives in a segment of its own. */
   @Test
   void aSecondCopyJustBehindIsNotTheNextAnswer() throws Exception {
     peers.start();
@@ -71,7 +71,7 @@
     }
   }
 
-  /** None is served, and none holds its request for long: the module tries again at once. */
+  /** A malformed response is never served and delays its request little, as the policy retries at once. */
   @Test
   void malformedAnswerFailsTheAttempt() throws Exception {
     peers.start();
@@ -89,22 +89,22 @@
         "HTTP/1.1 200 OK\r\n\r\nno end is told", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\ntoo short",
         "HTTP/1.1 200 OK\r\nContent-Le", "HTTP/1.1 200 OK\r\n" + "X-Pad: pppppppppp\r\n".repeat(1_000)}) {
       AtomicInteger requests = new AtomicInteger();
-      peers.answer = (request, out) ->
-          Peers.write(out, requests.incrementAndGet() == 1 ? malformed : Peers.OK);
+      peers.answer = (request, out) -> Peers.write(out, requests.incrementAndGet() == 1 ? malformed
+          : Peers.OK);
       long startNanos = System.nanoTime();
       assertEquals("fine", client.ask(Peers.get("r" + n++, 3900)).text(), malformed);
       assertEquals(2, requests.get(), malformed);
       assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(900), malformed);
       for (int i = 0; i < 8; i++) {
-        // Earns the next repeat: the module allows so many for each first attempt.
+        // Earns the next retry: the policy allows a number of retries in proportion to first attempts.
         assertEquals(200, client.ask(Peers.get("g" + n + "-" + i, 3900)).status());
       }
     }
   }
 
   /**
-   * Kept connections that are dead at their next request, again and again: each costs one attempt, not the
-   * budget for further attempts.
+   * The backend closes each connection at its second request. Each such connection costs one attempt, but
+   * nothing of the budget for retries.
    */
   @Test
   void closedIdleConnectionsFailNoRequest() throws Exception {
@@ -122,7 +122,7 @@
     }
   }
 
-  /** Figures that cannot be read are unknown, not nought: nothing is settled by them. */
+  /** An unreadable number of charged units is unknown, not zero, so nothing is settled by it. */
   @Test
   void unreadableUnitsHeaderSettlesNothing() throws Exception {
     peers.start();
--- a/door/src/test/java/willowdoor/net/CounterClientTest.java
+++ b/door/src/test/java/willowdoor/net/CounterClientTest.java
@@ -18,7 +18,7 @@
 import willowdoor.policy.GatewayApi.Status;
 import willowdoor.recovery.CounterWatch;
 
-/** The counter's client against a scripted counter. */
+/** The client of the counter, against a scripted counter. */
 @Timeout(30)
 class CounterClientTest {
 
@@ -33,7 +33,7 @@
     peers.close();
   }
 
-  /** Calls until one gets through, as the connections come up on their own. */
+  /** Starts the client and calls until one call succeeds, as connections open in the background. */
   private void start(double limitMs) throws Exception {
     client = new CounterClient(group.next(), new Clock(), Dialer.sockets(group.next(), 250),
         new InetSocketAddress("127.0.0.1", peers.counter.getLocalPort()), limitMs, ends::add);
@@ -62,7 +62,7 @@
     assertEquals(Status.REJECTED, Peers.next(ends).status());
   }
 
-  /** A call that its part holds up delays no call for another name. */
+  /** A call that the counter delays does not delay calls for other names. */
   @Test
   void slowNameDoesNotDelayOthers() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
@@ -80,7 +80,7 @@
     assertEquals("slow", Peers.next(ends).name());
   }
 
-  /** The late answer to a call that was given up is not taken for that of the call behind it. */
+  /** The late answer to a call that timed out must not be taken for the answer to the next call. */
   @Test
   void lateAnswerBelongsToItsTimedOutCall() throws Exception {
     start(1_500);
@@ -115,7 +115,9 @@
     assertEquals(Status.OK, Peers.next(ends).status());
   }
 
-  /** A silent connection is replaced: calls get through again though no old one was ever answered. */
+  /**
+   * Silent connections are replaced, so that calls succeed again although the old ones were never answered.
+   */
   @Test
   void silentConnectionsAreReplaced() throws Exception {
     start(50);
@@ -138,7 +140,10 @@
     }
   }
 
-  /** A new configuration's counter is used once it is up; what the old one owes is still heard. */
+  /**
+   * The counter at the new address is used once it is connected; pending calls at the old one still get
+   * answers.
+   */
   @Test
   void pendingCallsAtTheOldAddressEndAfterAMove() throws Exception {
     start(5_000);
@@ -165,7 +170,7 @@
     }
   }
 
-  /** Noise, with or without a line's end, spoils one answer; calls go on over other connections. */
+  /** Invalid input, with or without a line end, spoils one call; further calls use other connections. */
   @Test
   void invalidInputSpoilsOneCallOnly() throws Exception {
     start(5_000);
@@ -216,11 +221,11 @@
     while (!group.next().submit(watch::vouched).get()) {
       Thread.onSpinWait();
     }
-    // A check a quarter of a second; the emptied counter shows with the next one.
+    // The counter is checked every 250 ms; the next check reveals that it was emptied.
     empty.set(true);
     assertEquals("replaced", Peers.next(replaced));
     add("a", 2);
     assertEquals(2, Peers.next(ends).total());
-    assertEquals(0, ends.size(), "no check is told as a call of the module");
+    assertEquals(0, ends.size(), "checks must not be reported as calls");
   }
 }
--- a/door/src/test/java/willowdoor/net/DiscoveryTest.java
+++ b/door/src/test/java/willowdoor/net/DiscoveryTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import willowdoor.net.Peers.Client;
 
-/** The list of backends: how changes arrive, and what follows from them. */
+/** Updates of the list of backends, and their effects. */
 @Timeout(40)
 class DiscoveryTest {
 
@@ -63,7 +63,7 @@
     }
   }
 
-  /** An attempt whose connection is still coming up when its backend drains is not written any more. */
+  /** An attempt whose connection is still being opened when its backend drains is not written. */
   @Test
   void connectingAttemptIsNotWrittenToADrainingBackend() throws Exception {
     List<SocketChannel> queueFillers = new ArrayList<>();
@@ -83,11 +83,11 @@
       long startNanos = System.nanoTime();
       client.send(Peers.post("r1", "b").replace("Request-Timeout-Ms: 3000", "Request-Timeout-Ms: 15000"));
       Peers.next(peers.counterLines);
-      // The next call follows the first one's answer, so the first attempt is under way.
+      // The next call to the counter follows the first one's answer, so the first attempt has started.
       peers.client().send(Peers.post("r2", "b"));
       Peers.next(peers.counterLines);
-      peers.sendToNewestWatch(Peers
-          .rosterJson(8, false, Peers.rosterEntry("s-1", full.getLocalPort(), "leaving")) + "\n");
+      peers.sendToNewestWatch(Peers.rosterJson(8, false,
+          Peers.rosterEntry("s-1", full.getLocalPort(), "leaving")) + "\n");
       assertEquals(503, client.receive().status());
       assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(9));
     } finally {
@@ -107,14 +107,14 @@
     assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
   }
 
-  /** Junk in one entry, or a list that is none, neither hides the other entries nor empties the list. */
+  /** An invalid entry does not hide the others, and a message without a list does not empty the list. */
   @Test
   void unusableEntriesAndListsAreSkipped() throws Exception {
     int second = backendNamed("2").getLocalPort();
     peers.start();
     Peers.next(peers.watchRequests);
-    peers.sendToNewestWatch(Peers
-        .rosterJson(9, false, Peers.rosterEntry("s-9", 1, "active").replace("127.0.0.1:1", "nowhere"),
+    peers.sendToNewestWatch(Peers.rosterJson(9, false, Peers.rosterEntry("s-9", 1, "active")
+        .replace("127.0.0.1:1", "nowhere"),
         "{\"id\":7}", Peers.rosterEntry("s-1", peers.backend.getLocalPort(), "leaving"),
         Peers.rosterEntry("s-2", second, "active")) + "\n");
     requestUntilServedBy("2");
@@ -123,7 +123,7 @@
     requestUntilServedBy("2");
   }
 
-  /** A machine that vanished resets nothing: the watch is replaced for its silence alone. */
+  /** A host that vanished sends no reset, so silence alone must replace the watch. */
   @Test
   void silentWatchIsReplaced() throws Exception {
     peers.start();
--- a/door/src/test/java/willowdoor/net/LateBackend.java
+++ b/door/src/test/java/willowdoor/net/LateBackend.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /**
- * A backend to which connections come up late: its accept queue is full until {@link #open}, so the kernel
- * drops what asks to connect, and lets it in when the peer asks again, a second after the first time.
+ * A backend whose connections open late. Its accept queue is full until {@link #open}, so the kernel drops
+ * the client's SYN, and the connection opens only with a retransmission, one second after the first.
  */
 final class LateBackend implements Closeable {
 
@@ -48,7 +48,7 @@
     return server.getLocalPort();
   }
 
-  /** Lets connections in from here on, and answers each request. */
+  /** Empties the accept queue, accepts connections from here on, and answers each request. */
   void open() throws IOException {
     for (int i = 0; i < queuedFillers; i++) {
       server.accept().close();
--- a/door/src/test/java/willowdoor/net/LongAnswerTest.java
+++ b/door/src/test/java/willowdoor/net/LongAnswerTest.java
@@ -22,7 +22,7 @@
 import willowdoor.net.Peers.Client;
 import willowdoor.net.Peers.Message;
 
-/** Answers that are long, slow, in pieces or without a length, through a real front door. */
+/** Responses that are long, slow, in pieces or without a length, passed through a running front door. */
 @Timeout(60)
 class LongAnswerTest {
 
@@ -70,7 +70,7 @@
     Message answer = client.ask(Peers.get("r1", 3000));
     assertArrayEquals(body, answer.body());
     peers.answer = (request, out) -> Peers.write(out, Peers.OK);
-    assertEquals("fine", client.ask(Peers.get("r2", 3000)).text(), "the next on the same connection");
+    assertEquals("fine", client.ask(Peers.get("r2", 3000)).text(), "next response on the same connection");
   }
 
   @Test
@@ -91,8 +91,10 @@
       head.append((char) in.read());
     }
     in.readNBytes(1_000);
-    assertTrue(System.nanoTime() - sentNanos < TimeUnit.MILLISECONDS.toNanos(1_200), "the first bytes");
-    assertEquals(LONG_BYTES - 1_000, in.readNBytes(LONG_BYTES - 1_000).length, "the rest, after its time");
+    assertTrue(System.nanoTime() - sentNanos < TimeUnit.MILLISECONDS.toNanos(1_200),
+        "first bytes arrive before the backend resumes");
+    assertEquals(LONG_BYTES - 1_000, in.readNBytes(LONG_BYTES - 1_000).length,
+        "rest of the body, after the request's timeout");
   }
 
   @Test
@@ -106,7 +108,7 @@
       return true;
     };
     Message small = peers.client().ask(Peers.get("r1", 3000));
-    assertEquals("2000", small.header("Content-Length"), "a short one is made whole");
+    assertEquals("2000", small.header("Content-Length"), "a short response is collected and gets a length");
     peers.answer = (request, out) -> {
       writeHead(out, "Transfer-Encoding: chunked\r\n");
       writeChunk(out, body, 0, 50_000);
@@ -141,7 +143,7 @@
       return true;
     };
     assertEquals("x".repeat(20), peers.client().ask(Peers.get("r1", 3000)).text());
-    assertEquals(1, peers.backendRequests.size(), "asked once");
+    assertEquals(1, peers.backendRequests.size(), "one attempt only");
   }
 
   @Test
@@ -193,10 +195,10 @@
       writtenBefore = written.get();
       pause(300);
     }
-    assertTrue(writtenBefore < 10L * (32 << 20), "the backends wait: " + writtenBefore);
+    assertTrue(writtenBefore < 10L * (32 << 20), "backends are held back, bytes written: " + writtenBefore);
     long directBytes = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
-    assertTrue(directBytes < 32 << 20, "held: " + directBytes);
-    assertEquals(200, peers.client().ask(Peers.post("quick", "b")).status(), "others are served");
+    assertTrue(directBytes < 32 << 20, "direct memory held: " + directBytes);
+    assertEquals(200, peers.client().ask(Peers.post("quick", "b")).status(), "other clients are served");
     Client first = slow.get(0);
     assertEquals(32 << 20, first.receive().body().length);
     assertNull(peers.client().ask(Peers.post("again", "b")).header("Connection"));
@@ -220,7 +222,7 @@
     client.socket.getInputStream().readNBytes(100_000);
     client.close();
     for (int polls = 0; failedWrites.get() == 0; polls++) {
-      assertTrue(polls < 500, "the backend's connection ends");
+      assertTrue(polls < 500, "the backend's connection was not closed");
       pause(10);
     }
   }
--- a/door/src/test/java/willowdoor/net/Peers.java
+++ b/door/src/test/java/willowdoor/net/Peers.java
@@ -26,7 +26,7 @@
 import java.util.function.UnaryOperator;
 import willowdoor.wire.JsonFields;
 
-/** Small peers of a front door on loopback, each with its script: backends, counter, discovery, clients. */
+/** Scripted peers of a front door on the loopback interface: backends, counter, discovery and clients. */
 final class Peers implements Closeable {
 
   static final String OK = "HTTP/1.1 200 OK\r\nX-Units-Charged: 2\r\nContent-Length: 4\r\n\r\nfine";
@@ -35,7 +35,7 @@
 
   static final int SMALL_SOCKET_LIMIT = 160;
 
-  /** A message as it came: first line with headers, and body. */
+  /** A message as received: first line with headers, and body. */
   record Message(String head, byte[] body) {
     String firstLine() {
       return head.substring(0, head.indexOf("\r\n"));
@@ -61,7 +61,7 @@
     void run(InputStream in, OutputStream out, Socket socket) throws IOException;
   }
 
-  /** What a backend does with a request: true keeps the connection. */
+  /** What a backend does with a request; true keeps the connection open. */
   interface Answer {
     boolean respond(Message request, OutputStream out) throws IOException;
   }
@@ -85,7 +85,7 @@
     return true;
   }
 
-  /** Listens on a port of its own and runs the script for each connection. */
+  /** Listens on a free port and runs the script for each connection, in a thread per connection. */
   ServerSocket listen(int backlog, Script script) {
     try {
       ServerSocket server = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
@@ -108,13 +108,13 @@
     void run() throws IOException;
   }
 
-  /** Runs it on a thread of its own until one side closes the socket. */
+  /** Runs the work in a new daemon thread; it ends when one side closes the socket. */
   static void thread(Work work) {
     Thread thread = new Thread(() -> {
       try {
         work.run();
       } catch (IOException e) {
-        // The other side, or the end of the test, closed the socket.
+        // The other side or the end of the test closed the socket.
       }
     });
     thread.setDaemon(true);
@@ -152,7 +152,7 @@
     return "ok " + counts.merge(parts[1], Double.valueOf(parts[2]), Double::sum);
   }
 
-  /** As a counter that began anew. */
+  /** Clears all counts, like a counter that was restarted. */
   void forgetCounts() {
     counts.clear();
   }
@@ -164,10 +164,10 @@
     watchRequests.add(request.firstLine());
   }
 
-  /** Sends bytes of the list as one chunk to the newest watch. */
+  /** Sends bytes of a roster as one chunk on the newest watch. */
   void sendToNewestWatch(String bytes) throws IOException {
-    write(watchOutputs.get(watchOutputs.size() - 1),
-        Integer.toHexString(bytes.length()) + "\r\n" + bytes + "\r\n");
+    write(watchOutputs.get(watchOutputs.size() - 1), Integer.toHexString(bytes.length()) + "\r\n" + bytes
+        + "\r\n");
   }
 
   static String rosterEntry(String id, int port, String state) {
@@ -180,7 +180,7 @@
         + String.join(",", entries) + "]}";
   }
 
-  /** The configuration, with the given backends in its list. */
+  /** A configuration with the given entries in its list of known backends. */
   String config(String... entries) {
     return """
         {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","counter":"127.0.0.1:%d",
@@ -197,14 +197,14 @@
         """.formatted(discovery.getLocalPort(), counter.getLocalPort(), rosterJson(7, true, entries));
   }
 
-  /** The configuration with this test's one backend and limits that leave few places. */
+  /** A configuration with this test's one backend and limits that allow few connections. */
   String smallConfig() {
     return config(rosterEntry("s-1", backend.getLocalPort(), "active"))
         .replace("\"seed\"",
             "\"limits\":{\"cores\":1,\"memory_mb\":128,\"sockets\":" + SMALL_SOCKET_LIMIT + "},\"seed\"");
   }
 
-  /** Starts the front door with this test's one backend. */
+  /** Starts a front door with this test's one backend. */
   FrontDoor start() throws Exception {
     return start(config(rosterEntry("s-1", backend.getLocalPort(), "active")));
   }
@@ -230,7 +230,7 @@
   static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
     T element = queue.poll(10, TimeUnit.SECONDS);
     if (element == null) {
-      throw new AssertionError("nothing came in 10 s");
+      throw new AssertionError("nothing received within 10 s");
     }
     return element;
   }
@@ -258,7 +258,7 @@
     String length = withoutBody.header("Content-Length");
     byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
     if (length != null && body.length < Integer.parseInt(length)) {
-      throw new EOFException("body was cut");
+      throw new EOFException("body is truncated");
     }
     return new Message(withoutBody.head(), body);
   }
@@ -276,7 +276,7 @@
     return bytes.toString(StandardCharsets.ISO_8859_1);
   }
 
-  /** A client's connection. */
+  /** A client with one connection. */
   static final class Client implements Closeable {
     final Socket socket;
     private final InputStream in;
@@ -300,14 +300,14 @@
       return receive();
     }
 
-    /** The body of an answer in chunks, whose head has been received. */
+    /** Reads a chunked response body after the response's head. */
     byte[] readChunks() throws IOException {
       ByteArrayOutputStream all = new ByteArrayOutputStream();
       for (int length = -1; length != 0;) {
         length = Integer.parseInt(line(in), 16);
         byte[] piece = in.readNBytes(length);
         if (piece.length < length) {
-          throw new EOFException("chunk was cut");
+          throw new EOFException("chunk is truncated");
         }
         all.write(piece);
         line(in);
@@ -315,7 +315,7 @@
       return all.toByteArray();
     }
 
-    /** True when nothing more comes and the connection ends. */
+    /** Waits for the next byte; true if the connection ends instead. */
     boolean isClosedByPeer() throws IOException {
       try {
         return in.read() < 0;
--- a/door/src/test/java/willowdoor/net/UpgradeTest.java
+++ b/door/src/test/java/willowdoor/net/UpgradeTest.java
@@ -19,7 +19,7 @@
 import willowdoor.membership.Out;
 import willowdoor.net.Peers.Client;
 
-/** A second process of a front door starts beside the first, and replaces it. */
+/** A second process of a front door starts beside the first and replaces it. */
 @Timeout(60)
 class UpgradeTest {
 
@@ -93,8 +93,8 @@
     startReplacement();
     Thread ending = end(old);
     awaitCondition(() -> call(old, "GET /ready") != 200);
-    assertEquals(200, kept.ask(UP_REQUEST).status(), "the front door as a whole is up");
-    assertTrue(kept.isClosedByPeer(), "the answer was the connection's last");
+    assertEquals(200, kept.ask(UP_REQUEST).status(), "/up answers for the front door as a whole");
+    assertTrue(kept.isClosedByPeer(), "connection is closed after the response");
     for (int i = 0; i < 40; i++) {
       try (Client client = client()) {
         assertEquals(200, client.ask(Peers.get("n" + i, 3000)).status());
@@ -114,13 +114,13 @@
     assertEquals(200, call(old, "POST /drain"));
     startReplacement();
     assertEquals(List.of(EndpointUpdate.idOf("s-1")), idsOut(replacement));
-    assertEquals(503, upStatus(), "sent away at both");
+    assertEquals(503, upStatus(), "clients are sent away at both processes");
     assertEquals(200, call(old, "POST /undrain"));
     assertEquals(200, call(replacement, "POST /backends/enable?member=s-1"));
     assertEquals(List.of(), idsOut(old));
     assertEquals(List.of(), idsOut(replacement));
     for (int i = 0; i < 20; i++) {
-      assertEquals(200, upStatus(), "both take clients");
+      assertEquals(200, upStatus(), "both processes take clients");
     }
     assertEquals(200, call(replacement, "POST /backends/disable?member=s-1"));
     assertEquals(List.of(EndpointUpdate.idOf("s-1")), idsOut(old));
@@ -145,7 +145,7 @@
     replacement.stop();
     String own = ":" + ((InetSocketAddress) old.managementAddress()).getPort() + " ";
     awaitCondition(() -> Files.readString(folder.resolve("front-door.process")).contains(own));
-    assertEquals(200, call(old, "POST /drain"), "nobody else has to agree");
+    assertEquals(200, call(old, "POST /drain"), "no other process has to confirm");
     startReplacement();
     assertEquals(503, upStatus());
   }
@@ -160,13 +160,13 @@
     }
     Files.writeString(file, "front-door-process 1 127.0.0.1:" + peers.backend.getLocalPort() + " end\n");
     startReplacement();
-    assertEquals(200, upStatus(), "whoever answers there is none of ours");
+    assertEquals(200, upStatus(), "the process at that address is no front door");
   }
 
   @Test
   void incompleteStateIsRejected() throws Exception {
-    FrontDoorState state =
-        new FrontDoorState(true, List.of(new Out(EndpointUpdate.idOf("s-1"), 1_700_000_000_123.0),
+    FrontDoorState state = new FrontDoorState(true,
+        List.of(new Out(EndpointUpdate.idOf("s-1"), 1_700_000_000_123.0),
         new Out(7, 2)));
     assertEquals(state, FrontDoorState.parse(state.format()));
     assertEquals(state, FrontDoorState.parse(state.format().replace("sent-away", "later 3 4\nsent-away")));
