--- a/authz/src/main/java/willowdoor/extauthz/ExtAuthzGate.java
+++ b/authz/src/main/java/willowdoor/extauthz/ExtAuthzGate.java
@@ -30,18 +30,18 @@
 import java.util.function.DoubleSupplier;
 import java.util.logging.Logger;
 import willowdoor.authz.AuthzAction;
-import willowdoor.authz.AuthzAction.Ask;
-import willowdoor.authz.AuthzAction.Cancel;
+import willowdoor.authz.AuthzAction.StartCall;
+import willowdoor.authz.AuthzAction.CancelCall;
 import willowdoor.authz.AuthzAction.Deny;
 import willowdoor.authz.AuthzAction.Pass;
 import willowdoor.authz.AuthzAction.Refuse;
 import willowdoor.authz.AuthzEvent;
-import willowdoor.authz.AuthzEvent.Answered;
+import willowdoor.authz.AuthzEvent.CallEnded;
 import willowdoor.authz.AuthzEvent.Arrived;
-import willowdoor.authz.AuthzEvent.Over;
+import willowdoor.authz.AuthzEvent.RequestEnded;
 import willowdoor.authz.AuthzEvent.Result;
 import willowdoor.authz.AuthzSettings.Member;
-import willowdoor.authz.Gatekeeper;
+import willowdoor.authz.AuthzEngine;
 import willowdoor.extauthz.ExtAuthzSettings.Link;
 import willowdoor.net.FrontDoor;
 import willowdoor.net.Gate;
@@ -49,7 +49,7 @@
 
 /**
  * The gate that has members' policy servers asked (envoy.service.auth.v3). Takes events to the
- * {@link Gatekeeper} and its actions to the authorisers' channels and the request's passage; it chooses
+ * {@link AuthzEngine} and its actions to the authorisers' channels and the request's passage; it chooses
  * nothing. All on the door's loop, but for TLS files and the log, which one thread of its own sees to.
  */
 public final class ExtAuthzGate implements Gate, AutoCloseable {
@@ -61,7 +61,7 @@
   private final String door;
   private final EventLoop loop;
   private final DoubleSupplier clock;
-  private final Gatekeeper keeper;
+  private final AuthzEngine keeper;
   private final Answers answers;
   private final List<AuthoriserLink> links = new ArrayList<>();
   private final Map<String, Held> held = new HashMap<>();
@@ -76,7 +76,7 @@
     this.door = door;
     this.loop = loop;
     this.clock = clock;
-    keeper = new Gatekeeper(settings.decisions(), seed);
+    keeper = new AuthzEngine(settings.decisions(), seed);
     answers = new Answers(settings.bounds());
     log = settings.log() == null ? null : new DecisionLog(settings.log());
     errands = Executors.newSingleThreadScheduledExecutor(task -> {
@@ -159,7 +159,7 @@
 
   /** Requests without their decision. */
   public int undecided() {
-    return keeper.undecided();
+    return keeper.undecidedCount();
   }
 
   /** One request from its entering to its end. */
@@ -187,12 +187,12 @@
     }
 
     void arrived() {
-      String subject = member.cacheMostMs() > 0 ? Checks.subject(check) : null;
+      String subject = member.maxCacheMs() > 0 ? Checks.subject(check) : null;
       deliver(new Arrived(request.id(), request.className(), request.planName(), request.customer(),
           request.giveUpMs(), message.content().readableBytes(), subject));
     }
 
-    void ask(Ask ask) {
+    void ask(StartCall ask) {
       double askedMs = clock.getAsDouble();
       AuthoriserLink link = links.get(ask.authoriser());
       call = link.check(check, ask.timeoutMs(), ask.probe(), (status, answer, reached) -> {
@@ -208,7 +208,7 @@
         if (read instanceof Answers.Denied d) {
           denial = d.denial();
         }
-        deliver(new Answered(request.id(), ask.call(), result, read instanceof Answers.Allowed a
+        deliver(new CallEnded(request.id(), ask.call(), result, read instanceof Answers.Allowed a
             ? a.allowForMs() : 0, grant));
       });
     }
@@ -219,7 +219,7 @@
     }
 
     void pass(Pass pass) {
-      decided(pass.why().name());
+      decided(pass.reason().name());
       Grant grant = (Grant) pass.grant();
       if (grant == null) {
         passage.pass(null);
@@ -247,7 +247,7 @@
       boolean undecided = decision.equals("none");
       if (undecided) {
         decidedMs = clock.getAsDouble();
-        deliver(new Over(request.id()));
+        deliver(new RequestEnded(request.id()));
         cancel();
       }
       held.remove(request.id(), this);
@@ -290,7 +290,7 @@
   }
 
   private void execute(AuthzAction action) {
-    if (action instanceof Ask a) {
+    if (action instanceof StartCall a) {
       held.get(a.id()).ask(a);
     } else if (action instanceof Pass a) {
       held.get(a.id()).pass(a);
@@ -298,7 +298,7 @@
       held.get(a.id()).deny();
     } else if (action instanceof Refuse a) {
       held.get(a.id()).refuse(a);
-    } else if (action instanceof Cancel a && held.containsKey(a.id())) {
+    } else if (action instanceof CancelCall a && held.containsKey(a.id())) {
       held.get(a.id()).cancel();
     }
   }
--- a/authz/src/main/java/willowdoor/extauthz/GateWarmUp.java
+++ b/authz/src/main/java/willowdoor/extauthz/GateWarmUp.java
@@ -35,7 +35,7 @@
 import willowdoor.authz.AuthzSettings;
 import willowdoor.authz.AuthzSettings.Authoriser;
 import willowdoor.authz.AuthzSettings.Choice;
-import willowdoor.authz.AuthzSettings.Choosable;
+import willowdoor.authz.AuthzSettings.WeightedAuthoriser;
 import willowdoor.authz.AuthzSettings.Health;
 import willowdoor.authz.AuthzSettings.Member;
 import willowdoor.extauthz.ExtAuthzSettings.AnswerBounds;
@@ -112,7 +112,7 @@
 
   private static ExtAuthzSettings settings(LocalAddress address) {
     Member member = new Member("made-up", List.of(), Set.of(), Set.of("made-up"),
-        List.of(new Choosable(0, 1)), Choice.ORDER, CHECK_MS, 0.1, false, Set.of(), 0, 1);
+        List.of(new WeightedAuthoriser(0, 1)), Choice.ORDER, CHECK_MS, 0.1, false, Set.of(), 0, 1);
     return new ExtAuthzSettings(new AuthzSettings(List.of(new Authoriser("made-up", 1_000, 1 << 20)),
         List.of(member), new Health(1_000, 1, 1, 1, 0)), List.of(new Link("made-up", address, null, 60_000,
         10_000)), List.of(new Content(List.of("content-type"), 100)), new AnswerBounds(65_536, 32, 8_192,
--- a/authz/src/test/java/willowdoor/extauthz/ChecksTest.java
+++ b/authz/src/test/java/willowdoor/extauthz/ChecksTest.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import willowdoor.authz.AuthzSettings.Choice;
-import willowdoor.authz.AuthzSettings.Choosable;
+import willowdoor.authz.AuthzSettings.WeightedAuthoriser;
 import willowdoor.authz.AuthzSettings.Member;
 import willowdoor.extauthz.ExtAuthzSettings.Content;
 import willowdoor.net.Gate.Origin;
@@ -27,7 +27,7 @@
 class ChecksTest {
 
   private static final Member MEMBER = new Member("acme", List.of(), Set.of(), Set.of("buy"),
-      List.of(new Choosable(0, 1)), Choice.ORDER, 100, 0.5, false, Set.of(), 1_000, 10);
+      List.of(new WeightedAuthoriser(0, 1)), Choice.ORDER, 100, 0.5, false, Set.of(), 1_000, 10);
 
   private static CheckRequest check(String id, long firm, String path, HttpHeaders headers, byte[] body,
       int bodyBytes) {
--- a/daemon/src/main/java/willowdoor/daemon/agreement/ReleaseCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/agreement/ReleaseCommand.java
@@ -107,7 +107,7 @@
       while (System.nanoTime() < until) {
         if (operator.look(at.limitMs) instanceof Answer.Stands e) {
           Release now = last(e.standing().releases());
-          if (now.id() != id || now.still()) {
+          if (now.id() != id || now.hasStopped()) {
             spec.commandLine().getOut().println("nothing of it is under way any more");
             return 0;
           }
@@ -189,7 +189,8 @@
     private static void print(PrintWriter out, Release r) {
       out.printf(Locale.ROOT, "release %d, %s to %s, %s, %s: %s%n  %d doors with %s, %d with %s, of %d;"
           + " wave %d of %d%s%n", r.id(), r.plan().from(), r.plan().to(), lower(r.course()), lower(r.mode()),
-          r.why(), r.having(r.plan().from()), r.plan().from(), r.having(r.plan().to()), r.plan().to(),
+          r.why(), r.countWithVersion(r.plan().from()), r.plan().from(), r.countWithVersion(r.plan().to()),
+          r.plan().to(),
           r.order().size(), r.wave() + 1, r.plan().waves().size(), r.bakesSince() >= 0 ? ", compared now"
               : "");
       for (Step x : r.steps()) {
--- a/daemon/src/main/java/willowdoor/daemon/config/AuthorisationReader.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/AuthorisationReader.java
@@ -11,8 +11,8 @@
 import willowdoor.authz.AuthzSettings;
 import willowdoor.authz.AuthzSettings.Authoriser;
 import willowdoor.authz.AuthzSettings.Choice;
-import willowdoor.authz.AuthzSettings.Choosable;
-import willowdoor.authz.AuthzSettings.Firms;
+import willowdoor.authz.AuthzSettings.WeightedAuthoriser;
+import willowdoor.authz.AuthzSettings.FirmRange;
 import willowdoor.authz.AuthzSettings.Health;
 import willowdoor.authz.AuthzSettings.Member;
 import willowdoor.extauthz.ExtAuthzSettings;
@@ -116,9 +116,9 @@
 
   private Member member(Section s, List<Authoriser> authorisers, Set<String> names) {
     String name = DaemonConfig.Reader.unique(s, "name", names);
-    List<Firms> firms = new ArrayList<>();
+    List<FirmRange> firms = new ArrayList<>();
     for (String text : s.texts("firms", List.of())) {
-      Firms f = firms(text);
+      FirmRange f = firms(text);
       if (f == null) {
         s.problem("firms", '"' + text + '"', FIRMS);
       } else {
@@ -139,14 +139,14 @@
       s.problem("weights", weights.size() + " weights", "one for each of the " + asked.size()
           + " authorisers, or none");
     }
-    List<Choosable> choosable = new ArrayList<>();
+    List<WeightedAuthoriser> choosable = new ArrayList<>();
     List<String> known = authorisers.stream().map(Authoriser::name).toList();
     for (int i = 0; i < asked.size(); i++) {
       int at = known.indexOf(asked.get(i));
       if (at < 0) {
         s.problem("authorisers", '"' + asked.get(i) + '"', "the name of an [[authoriser]], one of " + known);
       } else {
-        choosable.add(new Choosable(at, i < weights.size() ? weights.get(i) : 1));
+        choosable.add(new WeightedAuthoriser(at, i < weights.size() ? weights.get(i) : 1));
       }
     }
     double limit = s.number("limit_ms", 300, 5, MOST_MS);
@@ -174,13 +174,13 @@
     return new Content(headers, s.whole("body_bytes", 0, 0, 65_536));
   }
 
-  private static Firms firms(String text) {
+  private static FirmRange firms(String text) {
     String[] ends = text.split("-", -1);
     try {
       if (ends.length <= 2) {
         long first = Long.parseLong(ends[0], 16);
         long last = Long.parseLong(ends[ends.length - 1], 16);
-        return first >= 0 && last >= first ? new Firms(first, last) : null;
+        return first >= 0 && last >= first ? new FirmRange(first, last) : null;
       }
     } catch (NumberFormatException e) {
       // Falls through: the caller tells what was expected.
--- a/daemon/src/main/java/willowdoor/daemon/config/DaemonConfig.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/DaemonConfig.java
@@ -15,7 +15,7 @@
 import willowdoor.extauthz.ExtAuthzSettings;
 import willowdoor.fairgate.FairGate;
 import willowdoor.fairness.FairSettings;
-import willowdoor.life.InstanceLife;
+import willowdoor.life.InstanceLifecycle;
 import willowdoor.net.Bounds;
 import willowdoor.net.Config;
 import willowdoor.net.EndpointUpdate;
@@ -40,7 +40,7 @@
  * @param effective every key with the value in force, defaults included
  */
 public record DaemonConfig(Instance instance, InetSocketAddress discovery, Counter counter, Limits limits,
-    InstanceLife.Bounds end, TakeOver takeOver, Backends backends, Settings settings,
+    InstanceLifecycle.ShutdownLimits end, TakeOver takeOver, Backends backends, Settings settings,
     ExtAuthzSettings authorisation, Fair fair, Agreement agreement, Map<String, Object> effective) {
 
   /** Who this instance is in its fleet; zone may be empty. */
@@ -153,7 +153,8 @@
       l.end();
       Section e = root.table("end");
       double accept = e.number("accept_ms", 550, 0, MOST_MS);
-      InstanceLife.Bounds end = new InstanceLife.Bounds(accept, Math.max(accept, answerMs(e, accept)),
+      InstanceLifecycle.ShutdownLimits end = new InstanceLifecycle
+          .ShutdownLimits(accept, Math.max(accept, answerMs(e, accept)),
           e.number("hurried_ms", 500, 0, MOST_MS), e.number("last_ms", 400, 1, MOST_MS));
       e.end();
       Section t = root.table("take_over");
--- a/daemon/src/main/java/willowdoor/daemon/config/PlanFile.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/PlanFile.java
@@ -25,15 +25,15 @@
 
   private static Plan read(Section root) {
     Section c = root.table("compare");
-    Comparison usual = Comparison.USUAL;
+    Comparison usual = Comparison.DEFAULT;
     double tolerated = c.number("tolerated", usual.tolerated(), 0.01, 999);
     double suspected = c.number("suspected", usual.suspected(), 0.01, 999);
     double falseAlarm = c.number("false_alarm", usual.falseAlarm(), 1e-9, 0.5);
     double clump = c.number("clump", usual.clump(), 1, 1_000);
     c.end();
     Section r = root.table("release");
-    Plan.Of of = r.choice("of", Plan.Of.class, Plan.Of.DOORS);
-    boolean named = of == Plan.Of.DOORS;
+    Plan.Kind of = r.choice("of", Plan.Kind.class, Plan.Kind.DOORS);
+    boolean named = of == Plan.Kind.DOORS;
     String from = r.text("from", named ? null : "before");
     String to = r.text("to", named ? null : "restarted");
     java.util.List<Double> waves = r.weights("waves");
--- a/daemon/src/main/java/willowdoor/daemon/fleet/RecordGrowth.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/RecordGrowth.java
@@ -85,8 +85,9 @@
       long bytesBefore = logBytes;
       String from = i % 2 == 1 ? "1" : "2";
       String to = i % 2 == 1 ? "2" : "1";
-      on(new StartRelease(at, "r" + i, new Plan(Plan.Of.DOORS, from, to, List.of(0.02, 0.25, 1.0), 1_000, 500,
-          60_000, 1_000, Comparison.USUAL), "ana"));
+      on(new StartRelease(at, "r" + i,
+          new Plan(Plan.Kind.DOORS, from, to, List.of(0.02, 0.25, 1.0), 1_000, 500,
+          60_000, 1_000, Comparison.DEFAULT), "ana"));
       while (last().mode() == Release.Mode.GOING) {
         round(to);
       }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/ReleaseRun.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/ReleaseRun.java
@@ -108,7 +108,7 @@
   }
 
   static Plan plan(String to, double bakeMs) {
-    return new Plan(Plan.Of.DOORS, OLD, to, List.of(0.01, 0.4, 1.0), bakeMs, 1_500, 30_000, 1_500,
+    return new Plan(Plan.Kind.DOORS, OLD, to, List.of(0.01, 0.4, 1.0), bakeMs, 1_500, 30_000, 1_500,
         new Comparison(1.25, 2.5,
         0.01, 2));
   }
@@ -135,7 +135,8 @@
   Outcome steer(Steering what) throws InterruptedException {
     Release last = awaitRelease(x -> true, CALL_MS);
     if (last != null && (what == Steering.BACK || what == Steering.RESUME)) {
-      note(Ledger.Kind.LET_ON, last.plan(), what == Steering.BACK ? last.plan().from() : last.target());
+      note(Ledger.Kind.LET_ON, last.plan(),
+          what == Steering.BACK ? last.plan().from() : last.targetVersion());
     }
     return last == null ? null : outcome(operator.put(new SteerRelease(0, "steer-" + ++requests, last.id(),
         what,
@@ -165,18 +166,18 @@
 
   /** Waits until it has ended, or is halted with nothing under way; null where it wasn't within the time. */
   Release awaitStill(long limitMs) {
-    Release still = awaitRelease(x -> x.mode() == Mode.ENDED || x.mode() == Mode.HALTED && x.still(),
+    Release still = awaitRelease(x -> x.mode() == Mode.ENDED || x.mode() == Mode.HALTED && x.hasStopped(),
         limitMs);
     if (still != null) {
       note(still.mode() == Mode.ENDED ? Ledger.Kind.RELEASED : Ledger.Kind.HALTED, still.plan(),
-          still.target());
+          still.targetVersion());
     }
     return still;
   }
 
   /** The versions that the ledger knows of are the doors'. */
   private void note(Ledger.Kind kind, Plan plan, String version) {
-    if (plan.of() == Plan.Of.DOORS) {
+    if (plan.of() == Plan.Kind.DOORS) {
       run.rig().ledger().machine(kind, "", version);
     }
   }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/ReleasedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/ReleasedCommand.java
@@ -114,8 +114,8 @@
   }
 
   private Plan plan(String from, String to) {
-    return new Plan(Plan.Of.DOORS, from, to, List.of(0.01, 0.25, 1.0), bakeMs, 1_500, 60_000, 2_000,
-        Comparison.USUAL);
+    return new Plan(Plan.Kind.DOORS, from, to, List.of(0.01, 0.25, 1.0), bakeMs, 1_500, 60_000, 2_000,
+        Comparison.DEFAULT);
   }
 
   private static long since(long nanos) {
@@ -178,10 +178,10 @@
   private void broken(ReleaseRun run) throws InterruptedException {
     long from = System.nanoTime();
     begin(run, plan(ReleaseRun.OLD, ReleaseRun.GOOD));
-    run.awaitRelease(x -> x.having(ReleaseRun.GOOD) >= 2, RELEASE_LIMIT_MS);
+    run.awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD) >= 2, RELEASE_LIMIT_MS);
     DoorProcess leader = run.stewards().processes().get(Math.max(0, run.stewards().leader()));
     leader.kill();
-    run.awaitRelease(x -> x.having(ReleaseRun.GOOD) >= 4, RELEASE_LIMIT_MS);
+    run.awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD) >= 4, RELEASE_LIMIT_MS);
     leader.start();
     for (int i = 1; i < doors; i += 2) {
       run.stewards().door(i, Relay.Mode.SILENT);
@@ -240,9 +240,10 @@
     boolean back = last != null && last.mode() != Mode.ENDED;
     if (back) {
       run.steer(Steering.BACK);
-    } else if (last != null && !last.target().equals(ReleaseRun.OLD)) {
-      begin(run, new Plan(Plan.Of.DOORS, last.target(), ReleaseRun.OLD, List.of(1.0), 0, 1_500, 60_000,
-          2_000, Comparison.USUAL));
+    } else if (last != null && !last.targetVersion().equals(ReleaseRun.OLD)) {
+      begin(run,
+          new Plan(Plan.Kind.DOORS, last.targetVersion(), ReleaseRun.OLD, List.of(1.0), 0, 1_500, 60_000,
+          2_000, Comparison.DEFAULT));
     }
     Release ended = run.awaitStill(TIDY_LIMIT_MS);
     for (int i = 0; i < 3 && ended != null && ended.mode() != Mode.ENDED; i++) {
--- a/daemon/src/main/java/willowdoor/daemon/life/Agreement.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Agreement.java
@@ -20,10 +20,10 @@
 import willowdoor.agreement.Command.Backend;
 import willowdoor.agreement.Command.Doing;
 import willowdoor.daemon.config.DaemonConfig;
-import willowdoor.life.InstanceLife.Phase;
-import willowdoor.life.LifeEvent.Broken;
-import willowdoor.life.LifeEvent.ComeBack;
-import willowdoor.life.LifeEvent.GoOut;
+import willowdoor.life.InstanceLifecycle.Phase;
+import willowdoor.life.LifecycleEvent.FatalError;
+import willowdoor.life.LifecycleEvent.BackInService;
+import willowdoor.life.LifecycleEvent.OutOfService;
 import willowdoor.net.FrontDoor;
 import willowdoor.net.EndpointUpdate;
 import willowdoor.policy.GatewayApi.BackendEntry;
@@ -139,7 +139,8 @@
       } catch (TimeoutException e) {
         long waited = (System.nanoTime() - from) / 1_000_000;
         if (attempt() > 0 && alone && waited > config.takeOver().readyLimitMs()) {
-          instance.tell(new Broken("nobody says that attempt " + attempt() + " stands, for which this process"
+          instance.tell(
+              new FatalError("nobody says that attempt " + attempt() + " stands, for which this process"
               + " was started, and the process that started it is gone: the door is to be started anew"));
           return;
         }
@@ -325,12 +326,12 @@
 
   @Override
   public void drain() {
-    instance.tell(new GoOut());
+    instance.tell(new OutOfService());
   }
 
   @Override
   public void undrain() {
-    instance.tell(new ComeBack());
+    instance.tell(new BackInService());
   }
 
   @Override
--- a/daemon/src/main/java/willowdoor/daemon/life/ControlSocket.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/ControlSocket.java
@@ -18,9 +18,9 @@
 import java.nio.file.attribute.PosixFilePermissions;
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Logger;
-import willowdoor.life.InstanceLife.Phase;
-import willowdoor.life.LifeEvent.SuccessorLost;
-import willowdoor.life.LifeEvent.SuccessorReady;
+import willowdoor.life.InstanceLifecycle.Phase;
+import willowdoor.life.LifecycleEvent.SuccessorLost;
+import willowdoor.life.LifecycleEvent.SuccessorReady;
 import willowdoor.net.FrontDoor;
 
 /**
--- a/daemon/src/main/java/willowdoor/daemon/life/Daemon.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Daemon.java
@@ -14,11 +14,11 @@
 import willowdoor.extauthz.ExtAuthzGate;
 import willowdoor.fairgate.FairGate;
 import willowdoor.fairness.FairCounts;
-import willowdoor.life.InstanceLife;
-import willowdoor.life.InstanceLife.Phase;
-import willowdoor.life.LifeEvent.Bound;
-import willowdoor.life.LifeEvent.Broken;
-import willowdoor.life.LifeEvent.EndSignal;
+import willowdoor.life.InstanceLifecycle;
+import willowdoor.life.InstanceLifecycle.Phase;
+import willowdoor.life.LifecycleEvent.SocketBound;
+import willowdoor.life.LifecycleEvent.FatalError;
+import willowdoor.life.LifecycleEvent.EndSignal;
 import willowdoor.net.Config;
 import willowdoor.net.FrontDoor;
 import willowdoor.net.Gate;
@@ -59,7 +59,7 @@
     // Without such a store none of its classes is loaded.
     door = FrontDoor.wired(wired, config.counter().valkey() == null ? null
         : ValkeyStore.maker(config.counter().valkey()));
-    instance = new Instance(door, new InstanceLife(config.end()), new Instance.Surroundings() {
+    instance = new Instance(door, new InstanceLifecycle(config.end()), new Instance.Surroundings() {
       @Override
       public void warmUp() {
         FrontDoor.warmUp(wired);
@@ -123,7 +123,7 @@
       close();
       throw e;
     }
-    instance.tell(new Bound());
+    instance.tell(new SocketBound());
     return this;
   }
 
@@ -195,7 +195,7 @@
             "cannot take over: take_over.control_socket is not set, or this machine has no epoll");
       }
       takeOver = TakeOver.ask(door.group(), Path.of(config.takeOver().controlSocket()), text(address),
-          () -> instance.tell(new Broken("the running instance took its word back")), this::learn);
+          () -> instance.tell(new FatalError("the running instance took its word back")), this::learn);
     }
     if (takeOver != null) {
       door.adopt(takeOver.descriptor());
--- a/daemon/src/main/java/willowdoor/daemon/life/Instance.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Instance.java
@@ -5,27 +5,28 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import willowdoor.life.InstanceLife;
-import willowdoor.life.InstanceLife.Phase;
-import willowdoor.life.LifeAction;
-import willowdoor.life.LifeAction.Accept;
-import willowdoor.life.LifeAction.BeFound;
-import willowdoor.life.LifeAction.BeginDrain;
-import willowdoor.life.LifeAction.Close;
-import willowdoor.life.LifeAction.FailAll;
-import willowdoor.life.LifeAction.LeaveListening;
-import willowdoor.life.LifeAction.Resume;
-import willowdoor.life.LifeAction.StopAccepting;
-import willowdoor.life.LifeAction.WakeAt;
-import willowdoor.life.LifeAction.WarmUp;
-import willowdoor.life.LifeEvent;
-import willowdoor.life.LifeEvent.AllAnswered;
-import willowdoor.life.LifeEvent.Warmed;
-import willowdoor.life.LifeEvent.Woken;
+import willowdoor.life.InstanceLifecycle;
+import willowdoor.life.InstanceLifecycle.Phase;
+import willowdoor.life.LifecycleAction;
+import willowdoor.life.LifecycleAction.Accept;
+import willowdoor.life.LifecycleAction.AnnounceReady;
+import willowdoor.life.LifecycleAction.BeginDrain;
+import willowdoor.life.LifecycleAction.Close;
+import willowdoor.life.LifecycleAction.FailPendingRequests;
+import willowdoor.life.LifecycleAction.LeaveSocketToSuccessor;
+import willowdoor.life.LifecycleAction.Resume;
+import willowdoor.life.LifecycleAction.StopAccepting;
+import willowdoor.life.LifecycleAction.WakeAt;
+import willowdoor.life.LifecycleAction.WarmUp;
+import willowdoor.life.LifecycleEvent;
+import willowdoor.life.LifecycleEvent.AllAnswered;
+import willowdoor.life.LifecycleEvent.WarmUpEnded;
+import willowdoor.life.LifecycleEvent.Woken;
 import willowdoor.net.FrontDoor;
 
 /**
- * Drives one door by its {@link InstanceLife}: takes events to it and does what it says, all on the door's
+ * Drives one door by its {@link InstanceLifecycle}: takes events to it and does what it says, all on the
+ * door's
  * loop. It chooses nothing.
  */
 final class Instance {
@@ -51,12 +52,12 @@
 
   private final FrontDoor door;
   private final EventLoop loop;
-  private final InstanceLife life;
+  private final InstanceLifecycle life;
   private final Surroundings surroundings;
   private final CompletableFuture<Integer> ended = new CompletableFuture<>();
   private double wakeAt;
 
-  Instance(FrontDoor door, InstanceLife life, Surroundings surroundings) {
+  Instance(FrontDoor door, InstanceLifecycle life, Surroundings surroundings) {
     this.door = door;
     this.loop = door.loop();
     this.life = life;
@@ -69,7 +70,7 @@
   }
 
   /** Tells an event, from any thread. */
-  void tell(LifeEvent event) {
+  void tell(LifecycleEvent event) {
     loop.execute(() -> on(event));
   }
 
@@ -78,9 +79,9 @@
     return life.phase();
   }
 
-  private void on(LifeEvent event) {
+  private void on(LifecycleEvent event) {
     Phase before = life.phase();
-    for (LifeAction action : life.on(door.now(), event)) {
+    for (LifecycleAction action : life.on(door.now(), event)) {
       execute(action);
     }
     if (life.phase() != before) {
@@ -90,17 +91,17 @@
     }
   }
 
-  private void execute(LifeAction action) {
+  private void execute(LifecycleAction action) {
     if (action instanceof WarmUp) {
       Thread warming = new Thread(() -> {
         surroundings.warmUp();
-        tell(new Warmed());
+        tell(new WarmUpEnded());
       }, "warm-up");
       warming.setDaemon(true);
       warming.start();
     } else if (action instanceof Accept) {
       door.accept();
-    } else if (action instanceof BeFound) {
+    } else if (action instanceof AnnounceReady) {
       door.beFound();
       surroundings.found();
     } else if (action instanceof BeginDrain) {
@@ -108,12 +109,12 @@
     } else if (action instanceof Resume) {
       door.resume();
       surroundings.resumed();
-    } else if (action instanceof LeaveListening) {
+    } else if (action instanceof LeaveSocketToSuccessor) {
       door.leaveListening();
     } else if (action instanceof StopAccepting) {
       door.stopAccepting();
       loop.execute(this::look);
-    } else if (action instanceof FailAll) {
+    } else if (action instanceof FailPendingRequests) {
       door.failAll();
     } else if (action instanceof WakeAt a) {
       wake(a.atMs());
--- a/daemon/src/main/java/willowdoor/daemon/life/Successors.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Successors.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
 import java.util.logging.Logger;
-import willowdoor.life.InstanceLife.Phase;
+import willowdoor.life.InstanceLifecycle.Phase;
 
 /**
  * Starts the processes that a release has take this one's place, by the configured command, and tells what
--- a/daemon/src/test/java/willowdoor/daemon/config/PlanFileTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/config/PlanFileTest.java
@@ -19,8 +19,8 @@
   @Test
   void theShippedFileIsGood() throws Exception {
     Plan plan = PlanFile.read(Path.of("..", "deploy", "release.toml"));
-    assertEquals(new Plan(Plan.Of.DOORS, "1.4", "1.5", List.of(0.02, 0.25, 1.0), 60_000, 3_000, 120_000,
-        5_000, Comparison.USUAL),
+    assertEquals(new Plan(Plan.Kind.DOORS, "1.4", "1.5", List.of(0.02, 0.25, 1.0), 60_000, 3_000, 120_000,
+        5_000, Comparison.DEFAULT),
         plan);
     assertEquals(plan, PlanFile.parse(Path.of("p.toml"),
         "[release]\nfrom = \"1.4\"\nto = \"1.5\"\nwaves = [0.02, 0.25, 1]\n"));
--- a/daemon/src/test/java/willowdoor/daemon/fleet/BackendReleaseTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/BackendReleaseTest.java
@@ -52,8 +52,8 @@
   }
 
   private void begin(String version, double bakeMs) throws InterruptedException {
-    assertInstanceOf(Outcome.Begun.class, fleet.start(new Plan(Plan.Of.BACKENDS, "b1", version,
-        List.of(0.1, 1.0), bakeMs, 0, 30_000, 0, Comparison.USUAL)));
+    assertInstanceOf(Outcome.Begun.class, fleet.start(new Plan(Plan.Kind.BACKENDS, "b1", version,
+        List.of(0.1, 1.0), bakeMs, 0, 30_000, 0, Comparison.DEFAULT)));
   }
 
   private Release still() {
@@ -63,7 +63,7 @@
   }
 
   private Release having(String version, int n) {
-    Release r = fleet.awaitRelease(x -> x.having(version) >= n, LIMIT_MS);
+    Release r = fleet.awaitRelease(x -> x.countWithVersion(version) >= n, LIMIT_MS);
     assertNotNull(r, () -> "not " + n + " have " + version + ": " + fleet.look());
     return r;
   }
@@ -102,7 +102,7 @@
     assertNotNull(fleet.awaitRelease(x -> !x.steps().isEmpty(), LIMIT_MS));
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.HALT));
     Release halted = still();
-    long with = halted.having("b2");
+    long with = halted.countWithVersion("b2");
     assertEquals(Mode.HALTED, halted.mode());
     FleetRun.sleep(2_000);
     assertEquals(with, restarts.versions().size(), "none begins after the word that it is halted");
--- a/daemon/src/test/java/willowdoor/daemon/fleet/ReleaseTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/ReleaseTest.java
@@ -66,7 +66,7 @@
   void allDoorsGetItWithoutALostRequestThoughTheLeaderIsKilled() throws Exception {
     assertInstanceOf(Outcome.Begun.class, fleet.start(ReleaseRun.plan(ReleaseRun.GOOD)));
     assertInstanceOf(Outcome.Refused.class, fleet.start(ReleaseRun.plan(ReleaseRun.MUTE)));
-    assertNotNull(fleet.awaitRelease(x -> x.having(ReleaseRun.GOOD) >= 1, LIMIT_MS));
+    assertNotNull(fleet.awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD) >= 1, LIMIT_MS));
     DoorProcess leader = fleet.stewards().processes().get(fleet.stewards().leader());
     leader.kill();
     Release ended = still();
@@ -81,7 +81,8 @@
   @Test
   void isHaltedAndGoesBack() throws Exception {
     fleet.start(ReleaseRun.plan(ReleaseRun.GOOD));
-    assertNotNull(fleet.awaitRelease(x -> x.having(ReleaseRun.GOOD) >= 1 && !x.steps().isEmpty(), LIMIT_MS));
+    assertNotNull(fleet
+        .awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD) >= 1 && !x.steps().isEmpty(), LIMIT_MS));
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.HALT));
     assertEquals(Mode.HALTED, still().mode());
     FleetRun.sleep(2_000);
--- a/daemon/src/test/java/willowdoor/daemon/life/EndOfADaemonTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/EndOfADaemonTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.life.InstanceLife;
+import willowdoor.life.InstanceLifecycle;
 import willowdoor.testkit.Ledger.Kind;
 import willowdoor.testkit.RequestKind;
 import willowdoor.testkit.StandInBackend.Mood;
@@ -70,7 +70,7 @@
       assertEquals(429, caller.receive());
       assertTrue(Double.parseDouble(caller.headers().get("retry-after")) > 0);
       assertTrue(caller.ended());
-      endsWith(InstanceLife.EXIT_ORDERLY, daemon);
+      endsWith(InstanceLifecycle.EXIT_ORDERLY, daemon);
       assertFalse(world.saw("r1", Kind.FIRST_BYTE));
       for (SocketChannel c : fill) {
         c.close();
@@ -88,7 +88,7 @@
     daemon.end();
     assertEquals(200, caller.receive());
     assertTrue(caller.ended());
-    endsWith(InstanceLife.EXIT_ORDERLY, daemon);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, daemon);
     assertEquals(1, world.history("r1").stream().filter(e -> e.kind() == Kind.EFFECT).count());
     kept();
   }
@@ -104,7 +104,7 @@
     daemon.end();
     world.rig.park().all().forEach(b -> b.mood(Mood.WELL));
     assertEquals(200, caller.receive());
-    endsWith(InstanceLife.EXIT_ORDERLY, daemon);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, daemon);
     assertEquals(1, world.history("r1").stream().filter(e -> e.kind() == Kind.EFFECT).count());
     kept();
   }
@@ -120,7 +120,7 @@
     world.awaitSaw("r1", Kind.LAST_BYTE);
     daemon.end();
     assertEquals(502, caller.receive());
-    endsWith(InstanceLife.EXIT_ORDERLY, daemon);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, daemon);
     kept();
   }
 
@@ -136,7 +136,7 @@
     daemon.end();
     daemon.end();
     assertEquals(502, caller.receive());
-    endsWith(InstanceLife.EXIT_ORDERLY, daemon);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, daemon);
     assertFalse(world.saw("r1", Kind.REPLIED));
     kept();
   }
@@ -151,7 +151,7 @@
     caller.send("r1", RequestKind.BUY, 3_000);
     assertEquals(200, caller.receive());
     assertTrue(caller.ended());
-    endsWith(InstanceLife.EXIT_ORDERLY, daemon);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, daemon);
     kept();
   }
 
@@ -163,7 +163,7 @@
     caller.send("r1", RequestKind.BUY, 3_000);
     daemon.end();
     assertEquals(200, caller.receive());
-    endsWith(InstanceLife.EXIT_ORDERLY, daemon);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, daemon);
     kept();
   }
 
@@ -176,7 +176,7 @@
     caller.send("r1", RequestKind.BUY, 3_000);
     daemon.end();
     assertEquals(200, caller.receive());
-    endsWith(InstanceLife.EXIT_ORDERLY, daemon);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, daemon);
     kept();
   }
 
@@ -191,7 +191,7 @@
     caller.send("r2", RequestKind.BUY, 3_000);
     assertEquals(200, caller.receive());
     assertTrue(caller.ended());
-    endsWith(InstanceLife.EXIT_ORDERLY, daemon);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, daemon);
     kept();
   }
 
@@ -206,7 +206,7 @@
     World.await("not up", () -> !World.up(daemon.address()));
     assertTrue(idle.ended());
     assertEquals(200, busy.receive());
-    endsWith(InstanceLife.EXIT_ORDERLY, daemon);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, daemon);
     assertThrows(IOException.class, () -> new Socket("127.0.0.1", daemon.address().getPort()).close());
     kept();
   }
--- a/daemon/src/test/java/willowdoor/daemon/life/ExternalAuthorisationTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ExternalAuthorisationTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import willowdoor.life.InstanceLife;
+import willowdoor.life.InstanceLifecycle;
 import willowdoor.testkit.Ledger.Kind;
 import willowdoor.testkit.RequestKind;
 import willowdoor.testkit.StandInAuthoriser;
@@ -301,7 +301,7 @@
     at.logged("last");
     assertEquals(31, java.nio.file.Files.readAllLines(at.log).size(), "each ended once");
     daemon.end();
-    assertEquals(InstanceLife.EXIT_ORDERLY, daemon.ended().get(World.LIMIT_MS, TimeUnit.MILLISECONDS));
+    assertEquals(InstanceLifecycle.EXIT_ORDERLY, daemon.ended().get(World.LIMIT_MS, TimeUnit.MILLISECONDS));
     kept();
   }
 
@@ -339,7 +339,7 @@
       assertEquals(503, caller.receive());
       assertTrue(caller.ended());
     }
-    assertEquals(InstanceLife.EXIT_ORDERLY, daemon.ended().get(World.LIMIT_MS, TimeUnit.MILLISECONDS));
+    assertEquals(InstanceLifecycle.EXIT_ORDERLY, daemon.ended().get(World.LIMIT_MS, TimeUnit.MILLISECONDS));
     assertEquals(0, at.world.rig.counter().calls());
     kept();
   }
--- a/daemon/src/test/java/willowdoor/daemon/life/TakeOverTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/TakeOverTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import willowdoor.daemon.config.DaemonConfig;
-import willowdoor.life.InstanceLife;
+import willowdoor.life.InstanceLifecycle;
 import willowdoor.policy.Learned;
 import willowdoor.testkit.Ledger.Kind;
 import willowdoor.testkit.RequestKind;
@@ -82,11 +82,11 @@
     world.awaitSaw("r1", Kind.LAST_BYTE);
     Daemon fresh = world.daemon(address, "").start(true);
     assertEquals(200, caller.receive());
-    endsWith(InstanceLife.EXIT_ORDERLY, old);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, old);
     old.close();
     serves(address, "r2");
     fresh.end();
-    endsWith(InstanceLife.EXIT_ORDERLY, fresh);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, fresh);
     kept();
   }
 
@@ -150,7 +150,7 @@
     Daemon last = first;
     for (int i = 0; i < 3; i++) {
       Daemon next = world.daemon(address, "[end]\naccept_ms = 50\n").start(true);
-      endsWith(InstanceLife.EXIT_ORDERLY, last);
+      endsWith(InstanceLifecycle.EXIT_ORDERLY, last);
       last.close();
       serves(address, "r" + i);
       last = next;
@@ -245,7 +245,7 @@
         return false;
       }
     });
-    endsWith(InstanceLife.EXIT_ORDERLY, old);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, old);
     old.close();
     World.awaitUp(old.address());
     kept();
@@ -299,7 +299,7 @@
     serves(old.address(), "r1");
     Daemon fresh = world.daemon(old.address(), "").start(true);
     World.await("learned", () -> fresh.learned().taken().stream().anyMatch(x -> x.count() > 0));
-    endsWith(InstanceLife.EXIT_ORDERLY, old);
+    endsWith(InstanceLifecycle.EXIT_ORDERLY, old);
     serves(fresh.address(), "r2");
     kept();
   }
--- a/door/src/main/java/willowdoor/net/CeilingShares.java
+++ b/door/src/main/java/willowdoor/net/CeilingShares.java
@@ -16,9 +16,9 @@
 import willowdoor.recovery.RightsAction.Share;
 import willowdoor.recovery.RightsAction.WakeAt;
 import willowdoor.recovery.RightsEvent;
-import willowdoor.recovery.RightsEvent.Answered;
-import willowdoor.recovery.RightsEvent.Asked;
-import willowdoor.recovery.RightsEvent.Begun;
+import willowdoor.recovery.RightsEvent.CallEnded;
+import willowdoor.recovery.RightsEvent.Requested;
+import willowdoor.recovery.RightsEvent.Activated;
 import willowdoor.recovery.RightsEvent.HandedOver;
 import willowdoor.recovery.RightsEvent.Woken;
 
@@ -53,7 +53,7 @@
    * #handOver}.
    */
   void begin() {
-    dispatch(new Begun());
+    dispatch(new Activated());
   }
 
   /**
@@ -71,16 +71,16 @@
   Request withShare(Request request) {
     Plan plan = plansWithCeiling.get(request.planName());
     return plan == null ? request
-        : request.with(dispatch(new Asked(request.customer(), request.entryPoints(), request.place(),
+        : request.with(dispatch(new Requested(request.customer(), request.entryPoints(), request.place(),
         plan.ceilingRate(), plan.ceilingBurst(), maxUnits, request.units())));
   }
 
   /** Handles the end of a call that was made for a ceiling; returns false for any other call. */
   boolean acceptIfOwn(Counted ended) {
-    if (!CeilingRights.owns(ended.name())) {
+    if (!CeilingRights.ownsName(ended.name())) {
       return false;
     }
-    dispatch(new Answered(ended.name(), ended.status() == Status.OK ? ended.total() : Double.NaN));
+    dispatch(new CallEnded(ended.name(), ended.status() == Status.OK ? ended.total() : Double.NaN));
     return true;
   }
 
@@ -88,7 +88,7 @@
     CeilingShare share = null;
     for (RightsAction action : rights.on(clock.now(), event)) {
       if (action instanceof Share s) {
-        share = new CeilingShare(s.share(), s.untilMs(), s.then());
+        share = new CeilingShare(s.share(), s.untilMs(), s.shareAfter());
       } else if (action instanceof Call c) {
         counter.add(c.name(), c.amount(), c.ttlMs());
       } else if (action instanceof WakeAt w) {
--- a/door/src/main/java/willowdoor/net/CounterClient.java
+++ b/door/src/main/java/willowdoor/net/CounterClient.java
@@ -31,7 +31,7 @@
 import willowdoor.recovery.WatchAction.Replaced;
 import willowdoor.recovery.WatchAction.WakeAt;
 import willowdoor.recovery.WatchEvent;
-import willowdoor.recovery.WatchEvent.Answered;
+import willowdoor.recovery.WatchEvent.CheckEnded;
 import willowdoor.recovery.WatchEvent.Connected;
 import willowdoor.recovery.WatchEvent.Woken;
 
@@ -197,7 +197,7 @@
     Link link = check.link() >= 0 && check.link() < links.size() ? links.get(check.link())
         : leastLoaded(links);
     if (link == null || !link.isOpen() || link.unanswered.size() >= MAX_UNANSWERED) {
-      loop.execute(() -> dispatch(new Answered(check.number(), Double.NaN)));
+      loop.execute(() -> dispatch(new CheckEnded(check.number(), Double.NaN)));
       return;
     }
     Call call = new Call(check.name(), clock.now());
@@ -238,7 +238,7 @@
     call.done = true;
     lastCallByName.remove(call.name, call);
     if (call.checkNumber >= 0) {
-      dispatch(new Answered(call.checkNumber, status == Status.OK ? total : Double.NaN));
+      dispatch(new CheckEnded(call.checkNumber, status == Status.OK ? total : Double.NaN));
     } else if (call.name != null) {
       listener.accept(new Counted(call.name, status, total, clock.now() - call.startedAtMs));
     }
--- a/door/src/main/java/willowdoor/net/FrontDoor.java
+++ b/door/src/main/java/willowdoor/net/FrontDoor.java
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 import java.util.logging.Logger;
 import willowdoor.management.ManagementServer;
-import willowdoor.membership.Out;
+import willowdoor.membership.DisabledBackend;
 import willowdoor.policy.GatewayApi.Request;
 import willowdoor.policy.Learned;
 import willowdoor.policy.QuotaPolicy;
@@ -289,7 +289,7 @@
   }
 
   /** The backends that operators have taken out; on the loop. */
-  List<Out> out() {
+  List<DisabledBackend> out() {
     return roster.backendsOut();
   }
 
--- a/door/src/main/java/willowdoor/net/FrontDoorState.java
+++ b/door/src/main/java/willowdoor/net/FrontDoorState.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import willowdoor.membership.Out;
+import willowdoor.membership.DisabledBackend;
 
 /**
  * The state that a process hands over to its replacement, as lines of text: a version, one fact per line, and
@@ -14,7 +14,7 @@
  * @param clientsSentAway whether operators have sent the clients away
  * @param backendsOut the backends that operators have taken out of use
  */
-record FrontDoorState(boolean clientsSentAway, List<Out> backendsOut) {
+record FrontDoorState(boolean clientsSentAway, List<DisabledBackend> backendsOut) {
 
   private static final String HEADER = "front-door-state 1";
   private static final String END_MARK = "end";
@@ -23,7 +23,7 @@
   String format() {
     StringBuilder text = new StringBuilder(HEADER).append('\n');
     text.append("sent-away ").append(clientsSentAway).append('\n');
-    for (Out backend : backendsOut) {
+    for (DisabledBackend backend : backendsOut) {
       text.append("out ").append(Long.toHexString(backend.id())).append(' ')
           .append(String.format(Locale.ROOT, "%.0f", backend.sinceMs())).append('\n');
     }
@@ -42,13 +42,15 @@
       throw new IOException("state: incomplete, as the last line is not '" + END_MARK + "'");
     }
     boolean clientsSentAway = false;
-    List<Out> backendsOut = new ArrayList<>();
+    List<DisabledBackend> backendsOut = new ArrayList<>();
     for (int i = 1; i < lines.size() - 1; i++) {
       String[] words = lines.get(i).split(" ");
       try {
         switch (words[0]) {
           case "sent-away" -> clientsSentAway = Boolean.parseBoolean(words[1]);
-          case "out" -> backendsOut.add(new Out(Long.parseLong(words[1], 16), Double.parseDouble(words[2])));
+          case "out" ->
+              backendsOut.add(
+                  new DisabledBackend(Long.parseLong(words[1], 16), Double.parseDouble(words[2])));
           default -> {
             // Lines of other kinds, which a newer version may write, are skipped.
           }
--- a/door/src/main/java/willowdoor/net/Managed.java
+++ b/door/src/main/java/willowdoor/net/Managed.java
@@ -16,7 +16,7 @@
 import willowdoor.management.Operations;
 import willowdoor.management.Order;
 import willowdoor.management.Reply;
-import willowdoor.membership.Out;
+import willowdoor.membership.DisabledBackend;
 
 /**
  * As its operators have a front door: backends out and back, clients sent away and taken back, and a second
@@ -209,7 +209,7 @@
     if (order instanceof Order.Disable o) {
       if (forwarded) {
         // It is known to the other process; the list here may be older.
-        roster.inherit(List.of(new Out(EndpointUpdate.idOf(o.member()), door.now())));
+        roster.inherit(List.of(new DisabledBackend(EndpointUpdate.idOf(o.member()), door.now())));
         return Reply.yes("out: " + o.member());
       }
       return roster.takeOut(o.member()) ? Reply.yes("out: " + o.member()) : unknown(o.member());
--- a/door/src/main/java/willowdoor/net/MergedRoster.java
+++ b/door/src/main/java/willowdoor/net/MergedRoster.java
@@ -8,14 +8,14 @@
 import java.util.function.DoubleSupplier;
 import willowdoor.membership.Membership;
 import willowdoor.membership.MembershipEvent;
-import willowdoor.membership.MembershipEvent.AgreedBack;
-import willowdoor.membership.MembershipEvent.AgreedOut;
+import willowdoor.membership.MembershipEvent.FleetPutBack;
+import willowdoor.membership.MembershipEvent.FleetTakeOut;
 import willowdoor.membership.MembershipEvent.Inherited;
 import willowdoor.membership.MembershipEvent.Listed;
 import willowdoor.membership.MembershipEvent.PutBack;
 import willowdoor.membership.MembershipEvent.TakeOut;
-import willowdoor.membership.Out;
-import willowdoor.membership.Told;
+import willowdoor.membership.DisabledBackend;
+import willowdoor.membership.RosterUpdate;
 import willowdoor.policy.GatewayApi.Phase;
 
 /**
@@ -73,11 +73,11 @@
 
   /** Applies the fleet's decision that a backend is out of use, or no longer is. */
   void applyFleetDecision(long id, boolean out) {
-    apply(out ? new AgreedOut(id) : new AgreedBack(id));
+    apply(out ? new FleetTakeOut(id) : new FleetPutBack(id));
   }
 
   /** Takes out of use the backends that another process of this front door holds out of use. */
-  void inherit(List<Out> out) {
+  void inherit(List<DisabledBackend> out) {
     apply(new Inherited(out));
   }
 
@@ -85,19 +85,19 @@
     return !addresses.isEmpty();
   }
 
-  List<Out> backendsOut() {
-    return membership.out();
+  List<DisabledBackend> backendsOut() {
+    return membership.disabled();
   }
 
   private boolean apply(MembershipEvent event) {
-    Told result = membership.on(clockMs.getAsDouble(), event);
+    RosterUpdate result = membership.on(clockMs.getAsDouble(), event);
     if (!result.entries().isEmpty()) {
       listener.accept(toUpdate(result));
     }
     return result.known();
   }
 
-  private EndpointUpdate toUpdate(Told result) {
+  private EndpointUpdate toUpdate(RosterUpdate result) {
     return new EndpointUpdate(version, result.full(), result.entries(), addresses);
   }
 }
--- a/door/src/test/java/willowdoor/net/CounterClientTest.java
+++ b/door/src/test/java/willowdoor/net/CounterClientTest.java
@@ -218,7 +218,7 @@
     do {
       add("up", 0);
     } while (Peers.next(ends).status() == Status.UNREACHABLE);
-    while (!group.next().submit(watch::vouched).get()) {
+    while (!group.next().submit(watch::hasConfirmedTotal).get()) {
       Thread.onSpinWait();
     }
     // The counter is checked every 250 ms; the next check reveals that it was emptied.
--- a/door/src/test/java/willowdoor/net/UpgradeTest.java
+++ b/door/src/test/java/willowdoor/net/UpgradeTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import willowdoor.membership.Out;
+import willowdoor.membership.DisabledBackend;
 import willowdoor.net.Peers.Client;
 
 /** A second process of a front door starts beside the first and replaces it. */
@@ -128,7 +128,7 @@
   }
 
   private static List<Long> idsOut(FrontDoor door) throws Exception {
-    return door.loop().submit(door::out).get().stream().map(Out::id).toList();
+    return door.loop().submit(door::out).get().stream().map(DisabledBackend::id).toList();
   }
 
   private int upStatus() throws IOException {
@@ -166,8 +166,8 @@
   @Test
   void incompleteStateIsRejected() throws Exception {
     FrontDoorState state = new FrontDoorState(true,
-        List.of(new Out(EndpointUpdate.idOf("s-1"), 1_700_000_000_123.0),
-        new Out(7, 2)));
+        List.of(new DisabledBackend(EndpointUpdate.idOf("s-1"), 1_700_000_000_123.0),
+        new DisabledBackend(7, 2)));
     assertEquals(state, FrontDoorState.parse(state.format()));
     assertEquals(state, FrontDoorState.parse(state.format().replace("sent-away", "later 3 4\nsent-away")));
     String text = state.format();
--- a/emulator/src/main/java/willowdoor/emulator/agreement/FleetWorld.java
+++ b/emulator/src/main/java/willowdoor/emulator/agreement/FleetWorld.java
@@ -216,8 +216,9 @@
       attempt("rui", "rui1", new Subject(Kind.BACKEND, "b" + random.nextInt(BACKENDS)), clock.now() + 2_500,
           0);
     } else {
-      persist("ana", new Command.StartRelease(0, "release", new Plan(script == Script.RELEASE ? Plan.Of.DOORS
-          : Plan.Of.BACKENDS, OLD, NEW, List.of(1.0), 0, 200, 12_000, 500, Comparison.USUAL), "ana"), 0);
+      persist("ana",
+          new Command.StartRelease(0, "release", new Plan(script == Script.RELEASE ? Plan.Kind.DOORS
+          : Plan.Kind.BACKENDS, OLD, NEW, List.of(1.0), 0, 200, 12_000, 500, Comparison.DEFAULT), "ana"), 0);
       clock.after(1_200, () -> persist("rui", new Command.SteerRelease(0, "halt", 1, Command.Steering.HALT,
           "rui"), 0));
     }
@@ -302,9 +303,9 @@
   /** Somebody begins one, and others do with it what comes to their minds. */
   private void release() {
     String to = List.of(NEW, NEW, MUTE, FAINT).get(random.nextInt(4));
-    Plan.Of of = random.nextInt(3) > 0 ? Plan.Of.DOORS : Plan.Of.BACKENDS;
-    persist("mia", new Command.StartRelease(0, "release", new Plan(of, OLD, of == Plan.Of.DOORS ? to : NEW,
-        List.of(0.01, 0.5, 1.0), 500, 800, 12_000, 500, Comparison.USUAL), "mia"), 0);
+    Plan.Kind of = random.nextInt(3) > 0 ? Plan.Kind.DOORS : Plan.Kind.BACKENDS;
+    persist("mia", new Command.StartRelease(0, "release", new Plan(of, OLD, of == Plan.Kind.DOORS ? to : NEW,
+        List.of(0.01, 0.5, 1.0), 500, 800, 12_000, 500, Comparison.DEFAULT), "mia"), 0);
     for (int i = 0; i < 3; i++) {
       Command.Steering what = Command.Steering.values()[random.nextInt(4)];
       int number = i;
@@ -394,15 +395,16 @@
 
   /** Whoever is told that all doors have it can rely on that. */
   private void ended(Release r) {
-    if (r.plan().of() == Plan.Of.BACKENDS) {
-      servers.values().stream().filter(x -> x.listed && !x.version.equals(r.target()))
+    if (r.plan().of() == Plan.Kind.BACKENDS) {
+      servers.values().stream().filter(x -> x.listed && !x.version.equals(r.targetVersion()))
           .forEach(x -> breach(x.name + " has " + x.version + ", and release " + r.id() + " has ended with "
-              + r.target()));
+              + r.targetVersion()));
       return;
     }
     for (Process p : processes) {
-      if (!p.dead && p.serving && !p.ending && !p.version.equals(r.target())) {
-        breach(p.door + " has " + p.version + ", and release " + r.id() + " has ended with " + r.target());
+      if (!p.dead && p.serving && !p.ending && !p.version.equals(r.targetVersion())) {
+        breach(p.door + " has " + p.version + ", and release " + r.id() + " has ended with "
+            + r.targetVersion());
       }
     }
   }
--- a/policy/src/main/java/willowdoor/agreement/FleetRecord.java
+++ b/policy/src/main/java/willowdoor/agreement/FleetRecord.java
@@ -36,10 +36,10 @@
 import willowdoor.rollout.Release;
 import willowdoor.rollout.Release.Mode;
 import willowdoor.rollout.Rollout;
-import willowdoor.rollout.Seen;
-import willowdoor.rollout.Seen.Held;
+import willowdoor.rollout.TargetStatus;
+import willowdoor.rollout.TargetStatus.PermitState;
 import willowdoor.rollout.Step;
-import willowdoor.rollout.Wish;
+import willowdoor.rollout.PermitAction;
 
 /**
  * The record that the stewards agree on: which processes of which doors live, what may be out and what is.
@@ -227,7 +227,7 @@
     Permit permit = permitOf(new Subject(Kind.BACKEND, x.name()));
     Release r = rollout == null ? null : rollout.state();
     return permit != null && permit.holds() || r != null && r.mode() != Mode.ENDED
-        && r.plan().of() == Plan.Of.BACKENDS && r.plan().to().equals(r.versions().get(x.name()));
+        && r.plan().of() == Plan.Kind.BACKENDS && r.plan().to().equals(r.versions().get(x.name()));
   }
 
   /**
@@ -290,7 +290,7 @@
   private void compare(Life life, Beat beat) {
     if (rollout != null && life.doing() == Doing.READY && beat.doing() == Doing.READY && life.reached(now)
         && now - life.readyMs() >= rollout.state().plan().settleMs()) {
-      rollout.said(life.door(), life.version(), beat.report().tally().since(life.report().tally()), now);
+      rollout.addTally(life.door(), life.version(), beat.report().tally().since(life.report().tally()), now);
     }
   }
 
@@ -366,7 +366,7 @@
       return new Refused("permit " + e.permit() + " is over" + (permit == null ? "" : "; " + e.subject()
           + " is " + permit.stage().name().toLowerCase(java.util.Locale.ROOT) + " by permit " + permit.id()));
     }
-    if (rollout != null && rollout.state().plan().of() == Plan.Of.DOORS
+    if (rollout != null && rollout.state().plan().of() == Plan.Kind.DOORS
         && !e.by().equals(asker(rollout.state()))
         && rollout.state().steps().stream().anyMatch(x -> permit.request().equals(request(rollout.state(),
             x)))) {
@@ -398,7 +398,7 @@
     }
     long id = last == null ? 1 : last.id() + 1;
     try {
-      Rollout next = Rollout.begin(id, e.request(), e.by(), e.plan(), now, e.plan().of() == Plan.Of.DOORS
+      Rollout next = Rollout.begin(id, e.request(), e.by(), e.plan(), now, e.plan().of() == Plan.Kind.DOORS
           ? seen(null) : backends.values().stream().map(x -> seen(x, null, e.plan().from())).toList(),
               last == null ? 0 : last.attempts());
       if (last != null) {
@@ -429,7 +429,7 @@
       case PAUSE -> rollout.pause(e.by());
       case HALT -> rollout.halt("halted by " + e.by());
       case RESUME -> rollout.resume(e.by(), now);
-      case BACK -> rollout.back(e.by(), now);
+      case BACK -> rollout.rollBack(e.by(), now);
       default -> throw new IllegalStateException(e.steering().name());
     }
     note(e.by(), "has release " + e.release() + " " + e.steering().name().toLowerCase(java.util.Locale.ROOT));
@@ -440,11 +440,11 @@
   private void carryOn() {
     for (int turn = 0; rollout != null && rollout.state().mode() != Mode.ENDED && turn < MOST_TURNS; turn++) {
       Mode before = rollout.state().mode();
-      List<Wish> wishes = rollout.settle(now, index, seenNow(rollout.state()));
+      List<PermitAction> wishes = rollout.advance(now, index, seenNow(rollout.state()));
       if (rollout.state().mode() != before) {
         note(asker(rollout.state()), rollout.state().why());
       }
-      for (Wish wish : wishes) {
+      for (PermitAction wish : wishes) {
         wished(wish);
       }
       if (wishes.isEmpty()) {
@@ -454,13 +454,13 @@
     }
   }
 
-  private void wished(Wish wish) {
-    if (wish instanceof Wish.Ask e) {
+  private void wished(PermitAction wish) {
+    if (wish instanceof PermitAction.RequestPermit e) {
       String by = asker(rollout.state());
       ask(new Ask(now, request(rollout.state(), e.step()), new Subject(kind(rollout.state()),
           e.step().door()), by,
           e.step().version(), false));
-    } else if (wish instanceof Wish.GiveBack e) {
+    } else if (wish instanceof PermitAction.ReturnPermit e) {
       Permit permit = permitOf(request(rollout.state(), e.step()));
       if (permit != null) {
         giveBack(new Return(now, permit.subject(), permit.id(), asker(rollout.state())));
@@ -478,11 +478,11 @@
   }
 
   private static Kind kind(Release release) {
-    return release.plan().of() == Plan.Of.DOORS ? Kind.DOOR : Kind.BACKEND;
+    return release.plan().of() == Plan.Kind.DOORS ? Kind.DOOR : Kind.BACKEND;
   }
 
-  private List<Seen> seenNow(Release release) {
-    if (release.plan().of() == Plan.Of.DOORS) {
+  private List<TargetStatus> seenNow(Release release) {
+    if (release.plan().of() == Plan.Kind.DOORS) {
       return seen(release);
     }
     return backends.values().stream().map(x -> seen(x, release, release.versions()
@@ -494,14 +494,14 @@
    * to restart it, and what starts then has the version that it went out for. One that is away for that is
    * not lost.
    */
-  private Seen seen(Backend backend, Release release, String before) {
+  private TargetStatus seen(Backend backend, Release release, String before) {
     Permit permit = permitOf(new Subject(Kind.BACKEND, backend.name()));
     Step step = release == null ? null : release.steps().stream().filter(x -> x.door().equals(backend.name()))
         .findFirst().orElse(null);
     boolean own = permit != null && step != null && permit.request().equals(request(release, step));
     Double startedMs = release == null ? null : release.started().get(backend.name());
     boolean anew = own && startedMs != null && backend.startedMs() > 0 && backend.startedMs() != startedMs;
-    return new Seen(backend.name(), backend.zone(), anew ? step.version() : before, backend.serving(),
+    return new TargetStatus(backend.name(), backend.zone(), anew ? step.version() : before, backend.serving(),
         own || backend.listed() ? 0 : now + backend.startedMs() + 1,
         own && permit.stage() == Stage.OUT ? step.attempt() : 0, 0, index, held(own ? permit : null),
         permit != null && !own, own && permit.stage() == Stage.WAITING
@@ -509,14 +509,14 @@
   }
 
   /** The doors as a release sees them; null for a release that is yet to begin. */
-  private List<Seen> seen(Release release) {
+  private List<TargetStatus> seen(Release release) {
     Map<String, List<Life>> doors = new LinkedHashMap<>();
     lives.values().forEach(x -> doors.computeIfAbsent(x.door(), d -> new ArrayList<>()).add(x));
     Map<String, Step> steps = new java.util.HashMap<>();
     if (release != null) {
       release.steps().forEach(x -> steps.put(x.door(), x));
     }
-    List<Seen> all = new ArrayList<>(doors.size());
+    List<TargetStatus> all = new ArrayList<>(doors.size());
     doors.forEach((door, processes) -> {
       Permit permit = permitOf(new Subject(Kind.DOOR, door));
       boolean own = permit != null && steps.containsKey(door)
@@ -541,7 +541,7 @@
       // One of another version may serve beside it, reached or not: which one the door has is not settled.
       version = processes.stream().anyMatch(x -> x.doing() == Doing.READY && !x.version().equals(has)) ? ""
           : has;
-      all.add(new Seen(door, processes.get(0).zone(), version, processes.stream().anyMatch(x ->
+      all.add(new TargetStatus(door, processes.get(0).zone(), version, processes.stream().anyMatch(x ->
           x.serves(now)),
           lost, trying, failed, knows, held(own ? permit : null), permit != null && !own,
           own && permit.stage() == Stage.WAITING && told(permit.request()) instanceof Waiting w ? w.why()
@@ -550,11 +550,11 @@
     return all;
   }
 
-  private static Held held(Permit permit) {
-    return permit == null ? Held.NONE : switch (permit.stage()) {
-      case WAITING -> Held.WAITING;
-      case GRANTED, OUT -> Held.GRANTED;
-      case RETURNING -> Held.RETURNING;
+  private static PermitState held(Permit permit) {
+    return permit == null ? PermitState.NONE : switch (permit.stage()) {
+      case WAITING -> PermitState.WAITING;
+      case GRANTED, OUT -> PermitState.GRANTED;
+      case RETURNING -> PermitState.RETURNING;
     };
   }
 
@@ -578,7 +578,7 @@
     if (backend != null && permit.subject().kind() == Kind.BACKEND && rollout != null
         && rollout.state().steps().stream().anyMatch(x -> permit.request().equals(request(rollout.state(),
             x)))) {
-      rollout.out(backend.name(), backend.startedMs());
+      rollout.backendTakenOut(backend.name(), backend.startedMs());
     }
   }
 
@@ -680,7 +680,7 @@
     Life life = lives.get(door + "/" + incarnation);
     Permit own = permitOf(new Subject(Kind.DOOR, door));
     Step due = rollout == null || own == null ? null
-        : rollout.due(door, own.stage() == Stage.OUT, now);
+        : rollout.dueStep(door, own.stage() == Stage.OUT, now);
     return new View(index, permits.values().stream().filter(x -> x.subject().kind() == Kind.BACKEND
         ? x.holds() : x.subject().name().equals(door)).toList(), life != null && !life.ended(), leaseMs,
         due == null ? 0 : due.attempt(), due == null ? "" : due.version(), life != null
--- a/policy/src/main/java/willowdoor/authz/AuthzAction.java
+++ b/policy/src/main/java/willowdoor/authz/AuthzAction.java
@@ -1,13 +1,13 @@
 package willowdoor.authz;
 
-/** What {@link Gatekeeper} has done. Each request gets one of {@link Pass}, {@link Deny}, {@link Refuse}. */
+/** What {@link AuthzEngine} has done. Each request gets one of {@link Pass}, {@link Deny}, {@link Refuse}. */
 public sealed interface AuthzAction {
 
   /** Why a request goes on. */
-  enum Why { NOT_ASKED, ALLOWED, ALLOWED_BEFORE, FAILED_OPEN }
+  enum PassReason { NOT_ASKED, ALLOWED, ALLOWED_BEFORE, FAILED_OPEN }
 
   /** Why a check has no answer. */
-  enum Unanswered {
+  enum NoDecisionCause {
     /** No authoriser could decide, and none is left that may be asked. */
     FAILED,
     /** All are ejected: none was asked. */
@@ -19,13 +19,14 @@
   }
 
   /** Ask that authoriser; the n-th Ask of a request, from 0, is its call n. */
-  record Ask(String id, int call, int authoriser, double timeoutMs, boolean probe) implements AuthzAction { }
+  record StartCall(String id, int call, int authoriser, double timeoutMs,
+      boolean probe) implements AuthzAction { }
 
   /** Give a call up; nothing that comes of it counts any more. */
-  record Cancel(String id, int call) implements AuthzAction { }
+  record CancelCall(String id, int call) implements AuthzAction { }
 
   /** The request goes on; grant is what came with its allow, or null. */
-  record Pass(String id, Why why, Object grant) implements AuthzAction { }
+  record Pass(String id, PassReason reason, Object grant) implements AuthzAction { }
 
   /** The authoriser of that call has denied it. */
   record Deny(String id, int call) implements AuthzAction { }
@@ -35,5 +36,5 @@
    *
    * @param holdOffMs when asking again may help; 0 where that can't be told
    */
-  record Refuse(String id, Unanswered cause, double holdOffMs) implements AuthzAction { }
+  record Refuse(String id, NoDecisionCause cause, double holdOffMs) implements AuthzAction { }
 }
--- a/policy/src/main/java/willowdoor/authz/AuthzEvent.java
+++ b/policy/src/main/java/willowdoor/authz/AuthzEvent.java
@@ -1,6 +1,6 @@
 package willowdoor.authz;
 
-/** What {@link Gatekeeper} is told. Times are milliseconds on a clock that only moves forward. */
+/** What {@link AuthzEngine} is told. Times are milliseconds on a clock that only moves forward. */
 public sealed interface AuthzEvent {
 
   /** How a call to an authoriser ended. */
@@ -19,7 +19,7 @@
     BAD_ANSWER;
 
     /** True when the authoriser gave its decision. */
-    boolean decides() {
+    boolean isDecision() {
       return this == ALLOWED || this == DENIED;
     }
   }
@@ -28,23 +28,24 @@
    * A request to be decided.
    *
    * @param giveUpMs when its client stops waiting
-   * @param bytes of its body
-   * @param subject what the check would say, as a digest without the request's id; null where nothing of it
+   * @param bodyBytes of its body
+   * @param checkDigest what the check would say, as a digest without the request's id; null where nothing of
+   * it
    *     may be used again
    */
-  record Arrived(String id, String className, String plan, long customer, double giveUpMs, int bytes,
-      String subject) implements AuthzEvent { }
+  record Arrived(String id, String className, String plan, long customer, double giveUpMs, int bodyBytes,
+      String checkDigest) implements AuthzEvent { }
 
   /**
    * A call's one end.
    *
    * @param call its number within the request, from 0
-   * @param allowForMs with an allow: for so long the authoriser permits to use it again; 0 is never
+   * @param reusableForMs with an allow: for so long the authoriser permits to use it again; 0 is never
    * @param grant with an allow: what it says beside yes; given back as it came
    */
-  record Answered(String id, int call, Result result, double allowForMs, Object grant)
+  record CallEnded(String id, int call, Result result, double reusableForMs, Object grant)
       implements AuthzEvent { }
 
   /** The request has ended before it was decided: its client left, its time is up, or the process ends. */
-  record Over(String id) implements AuthzEvent { }
+  record RequestEnded(String id) implements AuthzEvent { }
 }
--- a/policy/src/main/java/willowdoor/authz/Breaker.java
+++ b/policy/src/main/java/willowdoor/authz/CircuitBreaker.java
@@ -15,97 +15,98 @@
  * <p>It guards against requests that spend their time at an authoriser that won't answer. Harm: where calls
  * fail for the calls' own sake, a healthy authoriser rests for up to the longest ejection.
  */
-final class Breaker {
+final class CircuitBreaker {
 
   /** Weight of the newest call in the share of failures: about the last twenty count. */
-  private static final double NEWEST = 0.1;
+  private static final double NEWEST_WEIGHT = 0.1;
   /** Calls after which the share tells something. */
-  private static final int ENOUGH = 20;
+  private static final int MIN_CALLS = 20;
 
   private final Authoriser authoriser;
   private final Health health;
   private final SplittableRandom random;
-  private int out;
+  private int callsOut;
   private long bytesOut;
-  private int inRow;
-  private int seen;
-  private double failing;
+  private int consecutiveFailures;
+  private int callsCounted;
+  private double failureShare;
   private boolean ejected;
-  private double probeAt;
-  private double lengthMs;
-  private boolean probing;
+  private double probeAtMs;
+  private double ejectionMs;
+  private boolean probeOut;
 
-  Breaker(Authoriser authoriser, Health health, SplittableRandom random) {
+  CircuitBreaker(Authoriser authoriser, Health health, SplittableRandom random) {
     this.random = random;
     this.authoriser = authoriser;
     this.health = health;
   }
 
   /** Whether it is ejected and its time is not up, or its one probe is out. */
-  boolean closedTo(double now) {
-    return ejected && (probing || now < probeAt);
+  boolean isBlocked(double now) {
+    return ejected && (probeOut || now < probeAtMs);
   }
 
   /** Whether it has as many calls out as it may have. */
-  boolean full(int bytes) {
-    return out >= authoriser.mostCalls() || out > 0 && bytesOut + bytes > authoriser.mostBytes();
+  boolean isFull(int bytes) {
+    return callsOut >= authoriser.maxCalls() || callsOut > 0 && bytesOut + bytes > authoriser.maxBytes();
   }
 
   /** When it may be asked again; now when it may be. */
-  double opensAt(double now) {
-    return ejected ? Math.max(now, probeAt) : now;
+  double availableAt(double now) {
+    return ejected ? Math.max(now, probeAtMs) : now;
   }
 
   /** A call goes out; true when it is a probe. */
-  boolean asked(int bytes) {
-    out++;
+  boolean callStarted(int bytes) {
+    callsOut++;
     bytesOut += bytes;
-    probing = ejected;
+    probeOut = ejected;
     return ejected;
   }
 
   /** A call has ended and tells nothing of the authoriser. */
-  void forgotten(int bytes, boolean probe) {
-    out--;
+  void callDiscarded(int bytes, boolean probe) {
+    callsOut--;
     bytesOut -= bytes;
-    probing &= !probe;
+    probeOut &= !probe;
   }
 
   /** A call has ended well or badly. */
-  void ended(double now, int bytes, boolean probe, boolean well) {
-    forgotten(bytes, probe);
+  void callEnded(double now, int bytes, boolean probe, boolean succeeded) {
+    callDiscarded(bytes, probe);
     if (ejected) {
       // Calls from before the ejection tell nothing new.
-      if (probe && well) {
+      if (probe && succeeded) {
         ejected = false;
-        inRow = 0;
-        failing = 0;
-        seen = 0;
-        lengthMs = 0;
+        consecutiveFailures = 0;
+        failureShare = 0;
+        callsCounted = 0;
+        ejectionMs = 0;
       } else if (probe) {
         eject(now);
       }
       return;
     }
-    inRow = well ? 0 : inRow + 1;
-    seen++;
-    failing += NEWEST * ((well ? 0 : 1) - failing);
-    if (inRow >= health.failuresInRow() || seen >= ENOUGH && failing > health.failingShare()) {
+    consecutiveFailures = succeeded ? 0 : consecutiveFailures + 1;
+    callsCounted++;
+    failureShare += NEWEST_WEIGHT * ((succeeded ? 0 : 1) - failureShare);
+    if (consecutiveFailures >= health.consecutiveFailures() || callsCounted >= MIN_CALLS
+        && failureShare > health.failureShare()) {
       eject(now);
     }
   }
 
   private void eject(double now) {
     ejected = true;
-    lengthMs = lengthMs == 0 ? health.ejectMs() : Math.min(health.mostEjectMs(), 2 * lengthMs);
-    probeAt = now + lengthMs * (1 + health.spread() * random.nextDouble());
+    ejectionMs = ejectionMs == 0 ? health.ejectMs() : Math.min(health.maxEjectMs(), 2 * ejectionMs);
+    probeAtMs = now + ejectionMs * (1 + health.jitterShare() * random.nextDouble());
   }
 
-  int out() {
-    return out;
+  int callsOut() {
+    return callsOut;
   }
 
-  boolean ejected() {
+  boolean isEjected() {
     return ejected;
   }
 }
--- a/policy/src/main/java/willowdoor/life/InstanceLife.java
+++ b/policy/src/main/java/willowdoor/life/InstanceLifecycle.java
@@ -2,26 +2,26 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import willowdoor.life.LifeAction.Accept;
-import willowdoor.life.LifeAction.BeFound;
-import willowdoor.life.LifeAction.BeginDrain;
-import willowdoor.life.LifeAction.Close;
-import willowdoor.life.LifeAction.FailAll;
-import willowdoor.life.LifeAction.LeaveListening;
-import willowdoor.life.LifeAction.Resume;
-import willowdoor.life.LifeAction.StopAccepting;
-import willowdoor.life.LifeAction.WakeAt;
-import willowdoor.life.LifeAction.WarmUp;
-import willowdoor.life.LifeEvent.AllAnswered;
-import willowdoor.life.LifeEvent.Bound;
-import willowdoor.life.LifeEvent.Broken;
-import willowdoor.life.LifeEvent.ComeBack;
-import willowdoor.life.LifeEvent.EndSignal;
-import willowdoor.life.LifeEvent.GoOut;
-import willowdoor.life.LifeEvent.SuccessorLost;
-import willowdoor.life.LifeEvent.SuccessorReady;
-import willowdoor.life.LifeEvent.Warmed;
-import willowdoor.life.LifeEvent.Woken;
+import willowdoor.life.LifecycleAction.Accept;
+import willowdoor.life.LifecycleAction.AnnounceReady;
+import willowdoor.life.LifecycleAction.BeginDrain;
+import willowdoor.life.LifecycleAction.Close;
+import willowdoor.life.LifecycleAction.FailPendingRequests;
+import willowdoor.life.LifecycleAction.LeaveSocketToSuccessor;
+import willowdoor.life.LifecycleAction.Resume;
+import willowdoor.life.LifecycleAction.StopAccepting;
+import willowdoor.life.LifecycleAction.WakeAt;
+import willowdoor.life.LifecycleAction.WarmUp;
+import willowdoor.life.LifecycleEvent.AllAnswered;
+import willowdoor.life.LifecycleEvent.SocketBound;
+import willowdoor.life.LifecycleEvent.FatalError;
+import willowdoor.life.LifecycleEvent.BackInService;
+import willowdoor.life.LifecycleEvent.EndSignal;
+import willowdoor.life.LifecycleEvent.OutOfService;
+import willowdoor.life.LifecycleEvent.SuccessorLost;
+import willowdoor.life.LifecycleEvent.SuccessorReady;
+import willowdoor.life.LifecycleEvent.WarmUpEnded;
+import willowdoor.life.LifecycleEvent.Woken;
 
 /**
  * The life of one instance, from its start to its exit code: events and the time in, actions out. Like the
@@ -44,12 +44,12 @@
  * was replaced serves again if its successor dies within its accept window; after that it has let go of the
  * socket. A second signal moves the bound to the hurried one, counted from itself.
  */
-public final class InstanceLife {
+public final class InstanceLifecycle {
 
   /** Exit code of an end in order. */
   public static final int EXIT_ORDERLY = 0;
   /** Exit code when the instance could not start or go on. */
-  public static final int EXIT_BROKEN = 1;
+  public static final int EXIT_FAILURE = 1;
   /** Exit code of an end whose last bound passed while clients had not read their answers. */
   public static final int EXIT_UNREAD = 3;
 
@@ -64,40 +64,40 @@
    * @param hurriedMs the same, counted from a second signal
    * @param lastMs for so long after that the answers may take to be read, at least 1
    */
-  public record Bounds(double acceptMs, double answerMs, double hurriedMs, double lastMs) {
+  public record ShutdownLimits(double acceptMs, double answerMs, double hurriedMs, double lastMs) {
 
     /** Checks them. */
-    public Bounds {
+    public ShutdownLimits {
       check("acceptMs", acceptMs, 0);
       check("answerMs", answerMs, acceptMs);
       check("hurriedMs", hurriedMs, 0);
       check("lastMs", lastMs, 1);
     }
 
-    private static void check(String name, double value, double least) {
-      if (!(value >= least) || Double.isInfinite(value)) {
-        throw new IllegalArgumentException(name + ": " + value + " (expected: >= " + least + ")");
+    private static void check(String name, double value, double min) {
+      if (!(value >= min) || Double.isInfinite(value)) {
+        throw new IllegalArgumentException(name + ": " + value + " (expected: >= " + min + ")");
       }
     }
   }
 
-  private final Bounds bounds;
+  private final ShutdownLimits limits;
   private Phase phase = Phase.STARTING;
   /** An end signal came before the instance was ready; it is acted on as soon as there is a socket. */
-  private boolean endWanted;
+  private boolean endRequested;
   /** It drains for a successor and not for a signal. */
-  private boolean replaced;
+  private boolean drainingForSuccessor;
   /** A successor takes the connections. */
-  private boolean left;
-  private boolean hurried;
+  private boolean successorAccepts;
+  private boolean limitShortened;
   /** The fleet has it out. */
-  private boolean out;
+  private boolean outOfService;
   private double acceptUntil;
   private double answerUntil;
   private double lastUntil;
 
-  public InstanceLife(Bounds bounds) {
-    this.bounds = bounds;
+  public InstanceLifecycle(ShutdownLimits limits) {
+    this.limits = limits;
   }
 
   public Phase phase() {
@@ -105,109 +105,109 @@
   }
 
   /** Takes an event at its time, in milliseconds on a clock that only moves forward. */
-  public List<LifeAction> on(double nowMs, LifeEvent event) {
-    List<LifeAction> actions = new ArrayList<>(4);
+  public List<LifecycleAction> on(double nowMs, LifecycleEvent event) {
+    List<LifecycleAction> actions = new ArrayList<>(4);
     if (phase == Phase.STOPPED) {
       return actions;
     }
-    if (event instanceof Broken) {
-      stop(EXIT_BROKEN, actions);
-    } else if (event instanceof Bound) {
-      bound(nowMs, actions);
-    } else if (event instanceof Warmed) {
-      warmed(actions);
+    if (event instanceof FatalError) {
+      stop(EXIT_FAILURE, actions);
+    } else if (event instanceof SocketBound) {
+      onSocketBound(nowMs, actions);
+    } else if (event instanceof WarmUpEnded) {
+      onWarmUpEnded(actions);
     } else if (event instanceof EndSignal) {
-      endSignal(nowMs, actions);
+      onEndSignal(nowMs, actions);
     } else if (event instanceof SuccessorReady) {
-      successorReady(nowMs, actions);
+      onSuccessorReady(nowMs, actions);
     } else if (event instanceof SuccessorLost) {
-      successorLost(actions);
-    } else if (event instanceof GoOut) {
-      out = true;
-      goOut(actions);
-    } else if (event instanceof ComeBack) {
-      comeBack(actions);
+      onSuccessorLost(actions);
+    } else if (event instanceof OutOfService) {
+      outOfService = true;
+      drainIfOutOfService(actions);
+    } else if (event instanceof BackInService) {
+      onBackInService(actions);
     } else if (event instanceof AllAnswered) {
-      allAnswered(actions);
+      onAllAnswered(actions);
     } else if (event instanceof Woken) {
-      woken(nowMs, actions);
+      onWoken(nowMs, actions);
     }
     return actions;
   }
 
-  private void bound(double now, List<LifeAction> actions) {
+  private void onSocketBound(double now, List<LifecycleAction> actions) {
     if (phase != Phase.STARTING) {
       return;
     }
     phase = Phase.WARMING;
-    if (endWanted) {
-      drainUnready(now, actions);
+    if (endRequested) {
+      drainBeforeReady(now, actions);
     } else {
       actions.add(new WarmUp());
     }
   }
 
-  private void warmed(List<LifeAction> actions) {
+  private void onWarmUpEnded(List<LifecycleAction> actions) {
     if (phase == Phase.WARMING) {
       phase = Phase.READY;
       actions.add(new Accept());
-      actions.add(new BeFound());
-      goOut(actions);
+      actions.add(new AnnounceReady());
+      drainIfOutOfService(actions);
     }
   }
 
   /** Not while it starts or ends: then it is out already, and goes out, or not, when it is ready again. */
-  private void goOut(List<LifeAction> actions) {
-    if (out && phase == Phase.READY) {
+  private void drainIfOutOfService(List<LifecycleAction> actions) {
+    if (outOfService && phase == Phase.READY) {
       phase = Phase.OUT;
       actions.add(new BeginDrain());
     }
   }
 
-  private void comeBack(List<LifeAction> actions) {
-    out = false;
+  private void onBackInService(List<LifecycleAction> actions) {
+    outOfService = false;
     if (phase == Phase.OUT) {
       phase = Phase.READY;
       actions.add(new Resume());
     }
   }
 
-  private void endSignal(double now, List<LifeAction> actions) {
+  private void onEndSignal(double now, List<LifecycleAction> actions) {
     switch (phase) {
-      case STARTING -> endWanted = true;
-      case WARMING -> drainUnready(now, actions);
+      case STARTING -> endRequested = true;
+      case WARMING -> drainBeforeReady(now, actions);
       case READY, OUT -> {
-        replaced = false;
-        drain(now, now + bounds.acceptMs(), actions);
+        drainingForSuccessor = false;
+        drain(now, now + limits.acceptMs(), actions);
       }
       default -> {
-        if (replaced) {
+        if (drainingForSuccessor) {
           // The end was the successor's wish until now; a signal makes it final and changes no bound yet.
-          replaced = false;
-        } else if (!hurried) {
-          hurry(now, actions);
+          drainingForSuccessor = false;
+        } else if (!limitShortened) {
+          shortenLimit(now, actions);
         }
       }
     }
   }
 
   /** It never was ready: what waits in the accept queue is taken and refused. */
-  private void drainUnready(double now, List<LifeAction> actions) {
+  private void drainBeforeReady(double now, List<LifecycleAction> actions) {
     actions.add(new Accept());
-    drain(now, now + bounds.acceptMs(), actions);
+    drain(now, now + limits.acceptMs(), actions);
   }
 
-  private void drain(double now, double acceptEnds, List<LifeAction> actions) {
+  private void drain(double now, double acceptEnds, List<LifecycleAction> actions) {
     phase = Phase.DRAINING;
     acceptUntil = acceptEnds;
-    answerUntil = now + bounds.answerMs();
+    answerUntil = now + limits.answerMs();
     actions.add(new BeginDrain());
     actions.add(new WakeAt(acceptUntil));
   }
 
-  private void hurry(double now, List<LifeAction> actions) {
-    hurried = true;
-    answerUntil = Math.min(answerUntil, now + bounds.hurriedMs());
+  private void shortenLimit(double now, List<LifecycleAction> actions) {
+    limitShortened = true;
+    answerUntil = Math.min(answerUntil, now + limits.hurriedMs());
     if (phase == Phase.DRAINING) {
       acceptUntil = Math.min(acceptUntil, answerUntil);
       actions.add(new WakeAt(acceptUntil));
@@ -216,36 +216,36 @@
     }
   }
 
-  private void successorReady(double now, List<LifeAction> actions) {
+  private void onSuccessorReady(double now, List<LifecycleAction> actions) {
     if (phase == Phase.READY || phase == Phase.OUT) {
-      replaced = true;
-      left = true;
-      actions.add(new LeaveListening());
-      drain(now, now + bounds.acceptMs(), actions);
+      drainingForSuccessor = true;
+      successorAccepts = true;
+      actions.add(new LeaveSocketToSuccessor());
+      drain(now, now + limits.acceptMs(), actions);
     }
   }
 
-  private void successorLost(List<LifeAction> actions) {
-    if (!left || phase != Phase.DRAINING) {
+  private void onSuccessorLost(List<LifecycleAction> actions) {
+    if (!successorAccepts || phase != Phase.DRAINING) {
       return;
     }
-    left = false;
+    successorAccepts = false;
     actions.add(new Accept());
-    if (replaced) {
-      replaced = false;
+    if (drainingForSuccessor) {
+      drainingForSuccessor = false;
       phase = Phase.READY;
       actions.add(new Resume());
-      goOut(actions);
+      drainIfOutOfService(actions);
     }
   }
 
-  private void allAnswered(List<LifeAction> actions) {
+  private void onAllAnswered(List<LifecycleAction> actions) {
     if (phase == Phase.ANSWERING || phase == Phase.FAILING) {
       stop(EXIT_ORDERLY, actions);
     }
   }
 
-  private void woken(double now, List<LifeAction> actions) {
+  private void onWoken(double now, List<LifecycleAction> actions) {
     if (phase == Phase.DRAINING && now >= acceptUntil) {
       phase = Phase.ANSWERING;
       actions.add(new StopAccepting());
@@ -253,15 +253,15 @@
     }
     if (phase == Phase.ANSWERING && now >= answerUntil) {
       phase = Phase.FAILING;
-      lastUntil = now + bounds.lastMs();
-      actions.add(new FailAll());
+      lastUntil = now + limits.lastMs();
+      actions.add(new FailPendingRequests());
       actions.add(new WakeAt(lastUntil));
     } else if (phase == Phase.FAILING && now >= lastUntil) {
       stop(EXIT_UNREAD, actions);
     }
   }
 
-  private void stop(int exitCode, List<LifeAction> actions) {
+  private void stop(int exitCode, List<LifecycleAction> actions) {
     phase = Phase.STOPPED;
     actions.add(new Close(exitCode));
   }
--- a/policy/src/main/java/willowdoor/life/LifeEvent.java
+++ b/policy/src/main/java/willowdoor/life/LifecycleEvent.java
@@ -1,35 +1,35 @@
 package willowdoor.life;
 
-/** What an instance tells its {@link InstanceLife}. */
-public sealed interface LifeEvent {
+/** What an instance tells its {@link InstanceLifecycle}. */
+public sealed interface LifecycleEvent {
 
   /** The listening socket is held: bound here, or taken over from the instance that runs. */
-  record Bound() implements LifeEvent { }
+  record SocketBound() implements LifecycleEvent { }
 
   /** The warm-up has ended, whether it ran its whole length or was cut short. */
-  record Warmed() implements LifeEvent { }
+  record WarmUpEnded() implements LifecycleEvent { }
 
   /** The process was told to end (SIGTERM, SIGINT). */
-  record EndSignal() implements LifeEvent { }
+  record EndSignal() implements LifecycleEvent { }
 
   /** A successor holds the listening socket and takes connections from here on. */
-  record SuccessorReady() implements LifeEvent { }
+  record SuccessorReady() implements LifecycleEvent { }
 
   /** The successor to which the listening socket was handed is gone. */
-  record SuccessorLost() implements LifeEvent { }
+  record SuccessorLost() implements LifecycleEvent { }
 
   /** By what the fleet has agreed on this instance goes out: clients are to go elsewhere. */
-  record GoOut() implements LifeEvent { }
+  record OutOfService() implements LifecycleEvent { }
 
   /** It may take clients again. */
-  record ComeBack() implements LifeEvent { }
+  record BackInService() implements LifecycleEvent { }
 
   /** Nothing that was taken is without its answer, and no client's connection is open. */
-  record AllAnswered() implements LifeEvent { }
+  record AllAnswered() implements LifecycleEvent { }
 
-  /** The moment that a {@link LifeAction.WakeAt} named. */
-  record Woken() implements LifeEvent { }
+  /** The moment that a {@link LifecycleAction.WakeAt} named. */
+  record Woken() implements LifecycleEvent { }
 
   /** Something without which the instance can't go on: it could not bind, or its event loop ended. */
-  record Broken(String cause) implements LifeEvent { }
+  record FatalError(String cause) implements LifecycleEvent { }
 }
--- a/policy/src/main/java/willowdoor/membership/Out.java
+++ b/policy/src/main/java/willowdoor/membership/DisabledBackend.java
@@ -5,4 +5,4 @@
  *
  * @param sinceMs when; a start that is told later than that is one of its maintenance
  */
-public record Out(long id, double sinceMs) { }
+public record DisabledBackend(long id, double sinceMs) { }
--- a/policy/src/main/java/willowdoor/membership/Membership.java
+++ b/policy/src/main/java/willowdoor/membership/Membership.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import willowdoor.membership.MembershipEvent.AgreedBack;
-import willowdoor.membership.MembershipEvent.AgreedOut;
+import willowdoor.membership.MembershipEvent.FleetPutBack;
+import willowdoor.membership.MembershipEvent.FleetTakeOut;
 import willowdoor.membership.MembershipEvent.Inherited;
 import willowdoor.membership.MembershipEvent.Listed;
 import willowdoor.membership.MembershipEvent.PutBack;
@@ -28,131 +28,132 @@
 public final class Membership {
 
   /** More backends than any list may name are not remembered as out; the answer to one more is no. */
-  static final int MOST_OUT = 10_000;
+  static final int MAX_OUT = 10_000;
 
   /** As listed last, by id. */
   private final Map<Long, BackendEntry> listed = new HashMap<>();
   /** When each was taken out that is out. */
-  private final Map<Long, Double> out = new LinkedHashMap<>();
+  private final Map<Long, Double> outByOperator = new LinkedHashMap<>();
   /** The same by what the fleet has agreed on, beside what operators say here: any of both has it out. */
-  private final Map<Long, Double> agreed = new LinkedHashMap<>();
+  private final Map<Long, Double> outByFleet = new LinkedHashMap<>();
   /** Taken for the start of those put back, until the lists tell one that came after they went out. */
-  private final Map<Long, Back> back = new HashMap<>();
+  private final Map<Long, Returned> returned = new HashMap<>();
 
   /** A backend that was put back. */
-  private record Back(double outSinceMs, double atMs) { }
+  private record Returned(double outSinceMs, double atMs) { }
 
   /** Takes an event at its time, in Unix milliseconds as the lists' starts are. */
-  public Told on(double nowMs, MembershipEvent event) {
+  public RosterUpdate on(double nowMs, MembershipEvent event) {
     if (event instanceof Listed e) {
-      return listed(e);
+      return onListed(e);
     } else if (event instanceof TakeOut e) {
-      return takeOut(nowMs, e.id());
+      return onTakeOut(nowMs, e.id());
     } else if (event instanceof PutBack e) {
-      return putBack(nowMs, e.id());
-    } else if (event instanceof AgreedOut e) {
-      return agreedOut(nowMs, e.id());
-    } else if (event instanceof AgreedBack e) {
-      return backFrom(agreed, out, nowMs, e.id());
+      return onPutBack(nowMs, e.id());
+    } else if (event instanceof FleetTakeOut e) {
+      return onFleetTakeOut(nowMs, e.id());
+    } else if (event instanceof FleetPutBack e) {
+      return putBackFrom(outByFleet, outByOperator, nowMs, e.id());
     } else {
-      return inherited((Inherited) event);
+      return onInherited((Inherited) event);
     }
   }
 
   /** What is out, in the order of its going; for another process of the same front door. */
-  public List<Out> out() {
-    List<Out> all = new ArrayList<>(out.size());
-    out.forEach((id, since) -> all.add(new Out(id, since)));
+  public List<DisabledBackend> disabled() {
+    List<DisabledBackend> all = new ArrayList<>(outByOperator.size());
+    outByOperator.forEach((id, since) -> all.add(new DisabledBackend(id, since)));
     return all;
   }
 
-  private Told listed(Listed news) {
-    if (news.full()) {
+  private RosterUpdate onListed(Listed event) {
+    if (event.full()) {
       listed.clear();
     }
-    List<BackendEntry> told = new ArrayList<>(news.entries().size());
-    for (BackendEntry e : news.entries()) {
+    List<BackendEntry> merged = new ArrayList<>(event.entries().size());
+    for (BackendEntry e : event.entries()) {
       if (e.phase() == Phase.REMOVED) {
         listed.remove(e.id());
       } else {
         listed.put(e.id(), e);
       }
-      told.add(merged(e));
+      merged.add(merged(e));
     }
-    if (news.full()) {
-      back.keySet().retainAll(listed.keySet());
+    if (event.full()) {
+      returned.keySet().retainAll(listed.keySet());
     }
-    return new Told(true, news.full(), told);
+    return new RosterUpdate(true, event.full(), merged);
   }
 
-  private Told takeOut(double now, long id) {
-    if (!out.containsKey(id) && (!listed.containsKey(id) || out.size() >= MOST_OUT)) {
-      return new Told(false, false, List.of());
+  private RosterUpdate onTakeOut(double now, long id) {
+    if (!outByOperator.containsKey(id) && (!listed.containsKey(id) || outByOperator.size() >= MAX_OUT)) {
+      return new RosterUpdate(false, false, List.of());
     }
-    out.putIfAbsent(id, now);
-    back.remove(id);
-    return changed(List.of(id));
+    outByOperator.putIfAbsent(id, now);
+    returned.remove(id);
+    return updateOf(List.of(id));
   }
 
-  private Told putBack(double now, long id) {
-    return backFrom(out, agreed, now, id);
+  private RosterUpdate onPutBack(double now, long id) {
+    return putBackFrom(outByOperator, outByFleet, now, id);
   }
 
-  private Told agreedOut(double now, long id) {
-    if (agreed.size() >= MOST_OUT && !agreed.containsKey(id)) {
-      return new Told(false, false, List.of());
+  private RosterUpdate onFleetTakeOut(double now, long id) {
+    if (outByFleet.size() >= MAX_OUT && !outByFleet.containsKey(id)) {
+      return new RosterUpdate(false, false, List.of());
     }
-    agreed.putIfAbsent(id, now);
-    back.remove(id);
-    return changed(List.of(id));
+    outByFleet.putIfAbsent(id, now);
+    returned.remove(id);
+    return updateOf(List.of(id));
   }
 
-  private Told backFrom(Map<Long, Double> one, Map<Long, Double> other, double now, long id) {
-    Double since = one.remove(id);
-    if (since == null) {
-      return new Told(listed.containsKey(id), false, List.of());
+  private RosterUpdate putBackFrom(Map<Long, Double> source, Map<Long, Double> other, double now, long id) {
+    Double outSince = source.remove(id);
+    if (outSince == null) {
+      return new RosterUpdate(listed.containsKey(id), false, List.of());
     }
     if (listed.containsKey(id) && !other.containsKey(id)) {
-      back.put(id, new Back(since, now));
+      returned.put(id, new Returned(outSince, now));
     }
-    return changed(List.of(id));
+    return updateOf(List.of(id));
   }
 
-  private Told inherited(Inherited news) {
+  private RosterUpdate onInherited(Inherited event) {
     List<Long> ids = new ArrayList<>();
-    for (Out o : news.out()) {
-      if (out.size() < MOST_OUT && out.putIfAbsent(o.id(), o.sinceMs()) == null) {
+    for (DisabledBackend o : event.disabled()) {
+      if (outByOperator.size() < MAX_OUT && outByOperator.putIfAbsent(o.id(), o.sinceMs()) == null) {
         ids.add(o.id());
       }
     }
-    return changed(ids);
+    return updateOf(ids);
   }
 
-  private Told changed(List<Long> ids) {
-    return new Told(true, false, ids.stream().map(listed::get).filter(e -> e != null).map(this::merged)
+  private RosterUpdate updateOf(List<Long> ids) {
+    return new RosterUpdate(true, false,
+        ids.stream().map(listed::get).filter(e -> e != null).map(this::merged)
         .toList());
   }
 
   private BackendEntry merged(BackendEntry e) {
     if (e.phase() == Phase.REMOVED) {
-      back.remove(e.id());
+      returned.remove(e.id());
       return e;
     }
-    if (out.containsKey(e.id()) || agreed.containsKey(e.id())) {
-      return with(e, Phase.DRAINING, e.startedMs());
+    if (outByOperator.containsKey(e.id()) || outByFleet.containsKey(e.id())) {
+      return copyWith(e, Phase.DRAINING, e.startedMs());
     }
-    Back b = back.get(e.id());
+    Returned b = returned.get(e.id());
     if (b == null) {
       return e;
     }
     if (e.startedMs() > b.outSinceMs()) {
-      back.remove(e.id());
+      returned.remove(e.id());
       return e;
     }
-    return with(e, e.phase(), b.atMs());
+    return copyWith(e, e.phase(), b.atMs());
   }
 
-  private static BackendEntry with(BackendEntry e, Phase phase, double startedMs) {
+  private static BackendEntry copyWith(BackendEntry e, Phase phase, double startedMs) {
     return new BackendEntry(e.id(), e.zone(), e.cell(), phase, e.size(), startedMs);
   }
 }
--- a/policy/src/main/java/willowdoor/membership/MembershipEvent.java
+++ b/policy/src/main/java/willowdoor/membership/MembershipEvent.java
@@ -20,11 +20,11 @@
   record PutBack(long id) implements MembershipEvent { }
 
   /** By what the fleet has agreed on a backend is out, whether the lists name it or not. */
-  record AgreedOut(long id) implements MembershipEvent { }
+  record FleetTakeOut(long id) implements MembershipEvent { }
 
   /** What the fleet has agreed on no longer holds the backend out; an operator's word here may. */
-  record AgreedBack(long id) implements MembershipEvent { }
+  record FleetPutBack(long id) implements MembershipEvent { }
 
   /** What another process of the same front door knows of backends that are out. */
-  record Inherited(List<Out> out) implements MembershipEvent { }
+  record Inherited(List<DisabledBackend> disabled) implements MembershipEvent { }
 }
--- a/policy/src/main/java/willowdoor/membership/Told.java
+++ b/policy/src/main/java/willowdoor/membership/RosterUpdate.java
@@ -10,4 +10,4 @@
  * @param full whether what is not among the entries is gone
  * @param entries the roster for the decisions, or what has changed in it
  */
-public record Told(boolean known, boolean full, List<BackendEntry> entries) { }
+public record RosterUpdate(boolean known, boolean full, List<BackendEntry> entries) { }
--- a/policy/src/main/java/willowdoor/recovery/CeilingRights.java
+++ b/policy/src/main/java/willowdoor/recovery/CeilingRights.java
@@ -8,9 +8,9 @@
 import willowdoor.recovery.RightsAction.Call;
 import willowdoor.recovery.RightsAction.Share;
 import willowdoor.recovery.RightsAction.WakeAt;
-import willowdoor.recovery.RightsEvent.Answered;
-import willowdoor.recovery.RightsEvent.Asked;
-import willowdoor.recovery.RightsEvent.Begun;
+import willowdoor.recovery.RightsEvent.CallEnded;
+import willowdoor.recovery.RightsEvent.Requested;
+import willowdoor.recovery.RightsEvent.Activated;
 import willowdoor.recovery.RightsEvent.HandedOver;
 import willowdoor.recovery.RightsEvent.Woken;
 
@@ -26,20 +26,22 @@
  * more.
  *
  * <p>Rights are quanta, {@value #QUANTA} to a ceiling, of its rate and its burst alike. An era of
- * {@value #ERA_MS} ms begins with even parts. Within it doors tell how much they were asked for, all under
+ * {@value #PERIOD_MS} ms begins with even parts. Within it doors tell how much they were asked for, all under
  * one name of the firm, in a digit each. A door asked for less than its part gives the difference to those
  * asked for more than theirs, down to a floor of half its part, or of one largest request. A gift is added
  * to a name that only its receiver goes by, in a digit of the giver's; the receiver takes the largest digit
  * that it has seen, so that a counter which has forgotten, or knows another past, takes nothing away and adds
- * nothing. Gifts end with the era, for the receiver {@value #GUARD_MS} ms before: clocks of doors differ by
+ * nothing. Gifts end with the era, for the receiver {@value #CLOCK_SKEW_GUARD_MS} ms before: clocks of doors
+ * differ by
  * less than that.
  *
  * <p>A door that began within an era can't know what its life before had given away: until that era's end it
  * keeps to the floor, and gives nothing. Received gifts are not given on, for the same reason. A life that
  * hands over to another keeps nothing for what it still takes; one that takes back is as one that begins.
  *
- * <p>Bounds: sets of {@value #MOST_DOORS} doors at the most (larger ones keep even parts), {@value
- * #MOST_FIRMS} firms (further ones keep even parts), {@value #CALLS_PER_S} calls a second of a door (what is
+ * <p>Bounds: sets of {@value #MAX_DOORS} doors at the most (larger ones keep even parts), {@value
+ * #MAX_FIRMS} firms (further ones keep even parts), {@value #MAX_CALLS_PER_S} calls a second of a door (what
+ * is
  * over waits for the next turn). What a door is not part of, it sends nothing of.
  */
 public final class CeilingRights {
@@ -47,122 +49,122 @@
   /** Parts of a ceiling. */
   static final int QUANTA = 64;
   /** How long gifts last; counts of the counter live three times as long. */
-  static final double ERA_MS = 20_000;
+  static final double PERIOD_MS = 20_000;
   /** A receiver lets go of gifts so long before the era's end. */
-  static final double GUARD_MS = 1_000;
+  static final double CLOCK_SKEW_GUARD_MS = 1_000;
   /** Four digits of this base make a total of less than 10^7, of which the counter keeps each digit. */
-  static final int BASE = 50;
-  static final int MOST_DOORS = 4;
-  static final int MOST_FIRMS = 4_096;
-  static final int CALLS_PER_S = 100;
+  static final int DIGIT_BASE = 50;
+  static final int MAX_DOORS = 4;
+  static final int MAX_FIRMS = 4_096;
+  static final int MAX_CALLS_PER_S = 100;
   /** Spacing of a firm's calls while a door of its set is asked for more than its part, and otherwise. */
-  static final double PRESSED_MS = 500;
-  static final double EASY_MS = 1_000;
-  private static final double WAKE_MS = 250;
+  static final double OVERLOADED_CALL_INTERVAL_MS = 500;
+  static final double CALL_INTERVAL_MS = 1_000;
+  private static final double WAKE_INTERVAL_MS = 250;
   /** After a call that failed none is made for so long. */
-  private static final double QUIET_MS = 1_000;
-  private static final double NAME_LIFE_MS = 60_000;
+  private static final double FAILURE_BACKOFF_MS = 1_000;
+  private static final double NAME_TTL_MS = 60_000;
   /** Demand is told in steps of what the ceiling gives in this time. */
-  private static final double STEP_S = 0.5;
+  private static final double DEMAND_STEP_S = 0.5;
   /** Weight of the era before, or of even parts, beside what this era has shown; in steps. */
-  private static final double PRIOR = 2;
+  private static final double PRIOR_WEIGHT_STEPS = 2;
   /** A door asked for this much of its part's rate is pressed: bursts of its own lie ahead. */
-  private static final double PRESSED = 0.4;
+  private static final double OVERLOAD_RATE_SHARE = 0.4;
   /** An era's demand is judged from here on. */
-  private static final double JUDGED_AFTER_MS = 1_000;
+  private static final double MIN_OBSERVATION_MS = 1_000;
 
   /** One firm as this door sees it. */
-  private static final class Firm {
-    private final int doors;
-    private final int place;
-    private final double step;
-    private final int floor;
-    private long era = Long.MIN_VALUE;
-    private double[] prior;
+  private static final class FirmState {
+    private final int doorCount;
+    private final int doorIndex;
+    private final double unitsPerStep;
+    private final int floorQuanta;
+    private long period = Long.MIN_VALUE;
+    private double[] priorShares;
     /** Steps asked for at each door in this era, as told; here: told, and not told yet. */
-    private final int[] demand;
-    private int told;
-    private double untold;
-    private final int[] given;
-    private final int[] got;
-    private double askedAt;
-    private double callAt;
-    private boolean pressed;
+    private final int[] reportedDemand;
+    private int reportedSteps;
+    private double unreportedSteps;
+    private final int[] transferredTo;
+    private final int[] receivedFrom;
+    private double lastRequestAt;
+    private double nextCallAt;
+    private boolean overloaded;
 
-    Firm(Asked e) {
-      doors = e.doors();
-      place = e.place();
-      step = e.rate() * STEP_S;
-      int even = QUANTA / doors;
-      int largest = (int) Math.ceil(QUANTA * e.mostUnits() / e.burst());
-      floor = Math.min(even, Math.max(even / 2, largest));
-      demand = new int[doors];
-      given = new int[doors];
-      got = new int[doors];
-      prior = even();
+    FirmState(Requested e) {
+      doorCount = e.doorCount();
+      doorIndex = e.doorIndex();
+      unitsPerStep = e.rate() * DEMAND_STEP_S;
+      int evenQuanta = QUANTA / doorCount;
+      int largestRequestQuanta = (int) Math.ceil(QUANTA * e.maxUnits() / e.burst());
+      floorQuanta = Math.min(evenQuanta, Math.max(evenQuanta / 2, largestRequestQuanta));
+      reportedDemand = new int[doorCount];
+      transferredTo = new int[doorCount];
+      receivedFrom = new int[doorCount];
+      priorShares = evenShares();
     }
 
-    int base() {
-      return QUANTA / doors;
+    int evenQuanta() {
+      return QUANTA / doorCount;
     }
 
-    double[] even() {
-      double[] parts = new double[doors];
-      Arrays.fill(parts, 1.0 / doors);
+    double[] evenShares() {
+      double[] parts = new double[doorCount];
+      Arrays.fill(parts, 1.0 / doorCount);
       return parts;
     }
 
-    int givenAway() {
-      return Arrays.stream(given).sum();
+    int transferredTotal() {
+      return Arrays.stream(transferredTo).sum();
     }
 
-    int received() {
-      return Arrays.stream(got).sum();
+    int receivedTotal() {
+      return Arrays.stream(receivedFrom).sum();
     }
 
-    double asked(int door) {
-      return door == place ? told + untold : demand[door];
+    double demandOf(int door) {
+      return door == doorIndex ? reportedSteps + unreportedSteps : reportedDemand[door];
     }
 
-    double[] shares() {
-      double[] shares = new double[doors];
-      double all = PRIOR;
-      for (int i = 0; i < doors; i++) {
-        all += asked(i);
+    double[] demandShares() {
+      double[] shares = new double[doorCount];
+      double total = PRIOR_WEIGHT_STEPS;
+      for (int i = 0; i < doorCount; i++) {
+        total += demandOf(i);
       }
-      for (int i = 0; i < doors; i++) {
-        shares[i] = (asked(i) + PRIOR * prior[i]) / all;
+      for (int i = 0; i < doorCount; i++) {
+        shares[i] = (demandOf(i) + PRIOR_WEIGHT_STEPS * priorShares[i]) / total;
       }
       return shares;
     }
 
     /** Quanta that each door would have if all went by what was asked for, none below the floor. */
-    double[] targets() {
-      double[] targets = shares();
-      for (int i = 0; i < doors; i++) {
-        targets[i] = floor + doors * (base() - floor) * targets[i];
+    double[] targetQuanta() {
+      double[] targets = demandShares();
+      for (int i = 0; i < doorCount; i++) {
+        targets[i] = floorQuanta + doorCount * (evenQuanta() - floorQuanta) * targets[i];
       }
       return targets;
     }
   }
 
-  private double bornAt;
+  private double startedAt;
   private boolean handedOver;
-  private final LinkedHashMap<Long, Firm> firms = new LinkedHashMap<>(16, 0.75f, true);
+  private final LinkedHashMap<Long, FirmState> firms = new LinkedHashMap<>(16, 0.75f, true);
   private List<RightsAction> actions = new ArrayList<>();
   private double now;
-  private double quietUntil = Double.NEGATIVE_INFINITY;
-  private double calls = CALLS_PER_S;
-  private double callsAt;
+  private double backoffUntil = Double.NEGATIVE_INFINITY;
+  private double callTokens = MAX_CALLS_PER_S;
+  private double callTokensAt;
 
   /** For a door that begins to live now. */
   public CeilingRights(double nowMs) {
-    bornAt = nowMs;
-    callsAt = nowMs;
+    startedAt = nowMs;
+    callTokensAt = nowMs;
   }
 
   /** Whether a name at the counter is one of these, and its answers are to be told here. */
-  public static boolean owns(String name) {
+  public static boolean ownsName(String name) {
     return name.indexOf('^') > 0;
   }
 
@@ -170,205 +172,207 @@
   public List<RightsAction> on(double nowMs, RightsEvent event) {
     now = nowMs;
     actions = new ArrayList<>(2);
-    if (event instanceof Asked e) {
-      onAsked(e);
-    } else if (event instanceof Answered e) {
-      onAnswered(e);
-    } else if (event instanceof Begun) {
-      bornAt = now;
+    if (event instanceof Requested e) {
+      onRequested(e);
+    } else if (event instanceof CallEnded e) {
+      onCallEnded(e);
+    } else if (event instanceof Activated) {
+      startedAt = now;
       handedOver = false;
     } else if (event instanceof HandedOver) {
       handedOver = true;
     } else if (event instanceof Woken) {
-      firms.forEach((customer, f) -> turn(customer, f));
-      actions.add(new WakeAt(now + WAKE_MS));
+      firms.forEach((customer, f) -> reportDemandIfDue(customer, f));
+      actions.add(new WakeAt(now + WAKE_INTERVAL_MS));
     }
     return actions;
   }
 
-  private void onAsked(Asked e) {
-    if (handedOver || e.place() < 0 || e.place() >= e.doors()) {
+  private void onRequested(Requested e) {
+    if (handedOver || e.doorIndex() < 0 || e.doorIndex() >= e.doorCount()) {
       actions.add(new Share(0, Double.POSITIVE_INFINITY, 0));
-    } else if (e.doors() == 1 || e.doors() > MOST_DOORS) {
-      actions.add(new Share(1.0 / e.doors(), Double.POSITIVE_INFINITY, 1.0 / e.doors()));
+    } else if (e.doorCount() == 1 || e.doorCount() > MAX_DOORS) {
+      actions.add(new Share(1.0 / e.doorCount(), Double.POSITIVE_INFINITY, 1.0 / e.doorCount()));
     } else {
-      Firm f = firm(e);
-      roll(e.customer(), f);
-      f.untold += f.step > 0 ? e.units() / f.step : 0;
-      f.askedAt = now;
-      actions.add(share(e.customer(), f));
-      turn(e.customer(), f);
+      FirmState f = firmState(e);
+      rollPeriod(e.customer(), f);
+      f.unreportedSteps += f.unitsPerStep > 0 ? e.units() / f.unitsPerStep : 0;
+      f.lastRequestAt = now;
+      actions.add(currentShare(e.customer(), f));
+      reportDemandIfDue(e.customer(), f);
     }
   }
 
   /** The firm, kept while there is room for it: one that is not kept has given nothing in any era. */
-  private Firm firm(Asked e) {
-    Firm f = firms.get(e.customer());
-    if (f != null && f.doors == e.doors() && f.place == e.place()) {
+  private FirmState firmState(Requested e) {
+    FirmState f = firms.get(e.customer());
+    if (f != null && f.doorCount == e.doorCount() && f.doorIndex == e.doorIndex()) {
       return f;
     }
-    Firm made = new Firm(e);
+    FirmState created = new FirmState(e);
     if (f != null) {
       // Its set has changed: what was given of the old parts may be in use until the era's end.
-      made.given[made.place] = made.base() - made.floor;
-      made.era = era(e.customer());
+      created.transferredTo[created.doorIndex] = created.evenQuanta() - created.floorQuanta;
+      created.period = periodOf(e.customer());
     }
-    if (f == null && firms.size() >= MOST_FIRMS) {
-      Map.Entry<Long, Firm> eldest = firms.entrySet().iterator().next();
-      if (now - eldest.getValue().askedAt <= ERA_MS) {
-        return made;
+    if (f == null && firms.size() >= MAX_FIRMS) {
+      Map.Entry<Long, FirmState> eldest = firms.entrySet().iterator().next();
+      if (now - eldest.getValue().lastRequestAt <= PERIOD_MS) {
+        return created;
       }
       firms.remove(eldest.getKey());
     }
-    firms.put(e.customer(), made);
-    return made;
+    firms.put(e.customer(), created);
+    return created;
   }
 
-  private static double phase(long customer) {
-    return Math.floorMod(customer * 0x9E3779B97F4A7C15L, (long) ERA_MS);
+  private static double periodOffset(long customer) {
+    return Math.floorMod(customer * 0x9E3779B97F4A7C15L, (long) PERIOD_MS);
   }
 
-  private long era(long customer) {
-    return (long) Math.floor((now + phase(customer)) / ERA_MS);
+  private long periodOf(long customer) {
+    return (long) Math.floor((now + periodOffset(customer)) / PERIOD_MS);
   }
 
-  private double eraStart(long customer, long era) {
-    return era * ERA_MS - phase(customer);
+  private double periodStart(long customer, long period) {
+    return period * PERIOD_MS - periodOffset(customer);
   }
 
-  private void roll(long customer, Firm f) {
-    long era = era(customer);
-    if (era != f.era) {
-      f.prior = era == f.era + 1 ? f.shares() : f.even();
-      f.era = era;
-      f.told = 0;
-      f.untold = 0;
-      f.pressed = false;
-      Arrays.fill(f.demand, 0);
-      Arrays.fill(f.given, 0);
-      Arrays.fill(f.got, 0);
+  private void rollPeriod(long customer, FirmState f) {
+    long period = periodOf(customer);
+    if (period != f.period) {
+      f.priorShares = period == f.period + 1 ? f.demandShares() : f.evenShares();
+      f.period = period;
+      f.reportedSteps = 0;
+      f.unreportedSteps = 0;
+      f.overloaded = false;
+      Arrays.fill(f.reportedDemand, 0);
+      Arrays.fill(f.transferredTo, 0);
+      Arrays.fill(f.receivedFrom, 0);
     }
   }
 
-  private boolean bornInEra(long customer, Firm f) {
-    return bornAt > eraStart(customer, f.era) - GUARD_MS;
+  private boolean startedInPeriod(long customer, FirmState f) {
+    return startedAt > periodStart(customer, f.period) - CLOCK_SKEW_GUARD_MS;
   }
 
-  private Share share(long customer, Firm f) {
-    int own = bornInEra(customer, f) ? f.floor : f.base() - f.givenAway();
-    double end = eraStart(customer, f.era + 1) - GUARD_MS;
-    int received = now < end ? f.received() : 0;
-    return new Share((own + received) / (double) QUANTA, received > 0 ? end : Double.POSITIVE_INFINITY,
-        own / (double) QUANTA);
+  private Share currentShare(long customer, FirmState f) {
+    int ownQuanta = startedInPeriod(customer, f) ? f.floorQuanta : f.evenQuanta() - f.transferredTotal();
+    double transfersEnd = periodStart(customer, f.period + 1) - CLOCK_SKEW_GUARD_MS;
+    int receivedQuanta = now < transfersEnd ? f.receivedTotal() : 0;
+    return new Share((ownQuanta + receivedQuanta) / (double) QUANTA,
+        receivedQuanta > 0 ? transfersEnd : Double.POSITIVE_INFINITY,
+        ownQuanta / (double) QUANTA);
   }
 
   /** Tells what was asked for here since the last time, and hears of the others, when it is time to. */
-  private void turn(long customer, Firm f) {
-    roll(customer, f);
-    if (handedOver || now < f.callAt || now < quietUntil || now - f.askedAt > ERA_MS) {
+  private void reportDemandIfDue(long customer, FirmState f) {
+    rollPeriod(customer, f);
+    if (handedOver || now < f.nextCallAt || now < backoffUntil || now - f.lastRequestAt > PERIOD_MS) {
       return;
     }
-    int steps = (int) Math.min(f.untold, BASE - 1 - f.told);
+    int steps = (int) Math.min(f.unreportedSteps, DIGIT_BASE - 1 - f.reportedSteps);
     // A life before may have told its part: nothing is added that could run over into another digit.
-    steps = bornInEra(customer, f) ? 0 : steps;
-    if (call(name(customer, "d", f), steps, f.place)) {
-      f.told += steps;
-      f.untold -= steps;
-      f.callAt = now + (f.pressed ? PRESSED_MS : EASY_MS);
+    steps = startedInPeriod(customer, f) ? 0 : steps;
+    if (callCounter(counterName(customer, "d", f), steps, f.doorIndex)) {
+      f.reportedSteps += steps;
+      f.unreportedSteps -= steps;
+      f.nextCallAt = now + (f.overloaded ? OVERLOADED_CALL_INTERVAL_MS : CALL_INTERVAL_MS);
     }
   }
 
-  private static String name(long customer, String of, Firm f) {
-    return Long.toString(customer, 36) + '^' + of + ':' + f.era;
+  private static String counterName(long customer, String purpose, FirmState f) {
+    return Long.toString(customer, 36) + '^' + purpose + ':' + f.period;
   }
 
-  private boolean call(String name, int count, int digit) {
-    calls = Math.min(CALLS_PER_S, calls + CALLS_PER_S * (now - callsAt) / 1000);
-    callsAt = now;
-    if (calls < 1) {
+  private boolean callCounter(String name, int count, int digit) {
+    callTokens = Math.min(MAX_CALLS_PER_S, callTokens + MAX_CALLS_PER_S * (now - callTokensAt) / 1000);
+    callTokensAt = now;
+    if (callTokens < 1) {
       return false;
     }
-    calls -= 1;
-    actions.add(new Call(name, count * Math.pow(BASE, digit), NAME_LIFE_MS));
+    callTokens -= 1;
+    actions.add(new Call(name, count * Math.pow(DIGIT_BASE, digit), NAME_TTL_MS));
     return true;
   }
 
-  private void onAnswered(Answered e) {
+  private void onCallEnded(CallEnded e) {
     if (Double.isNaN(e.total())) {
-      quietUntil = now + QUIET_MS;
+      backoffUntil = now + FAILURE_BACKOFF_MS;
       return;
     }
-    int mark = e.name().indexOf('^');
+    int separator = e.name().indexOf('^');
     int colon = e.name().indexOf(':');
-    long customer = Long.parseLong(e.name().substring(0, mark), 36);
-    Firm f = firms.get(customer);
-    if (f == null || handedOver || Long.parseLong(e.name().substring(colon + 1)) != f.era
-        || f.era != era(customer)) {
+    long customer = Long.parseLong(e.name().substring(0, separator), 36);
+    FirmState f = firms.get(customer);
+    if (f == null || handedOver || Long.parseLong(e.name().substring(colon + 1)) != f.period
+        || f.period != periodOf(customer)) {
       return;
     }
-    String of = e.name().substring(mark + 1, colon);
-    int[] digits = digits(e.total(), f.doors);
+    String purpose = e.name().substring(separator + 1, colon);
+    int[] digits = digits(e.total(), f.doorCount);
     if (digits == null) {
       return;
     }
-    if (of.equals("d")) {
-      for (int i = 0; i < f.doors; i++) {
-        f.demand[i] = Math.max(f.demand[i], digits[i]);
+    if (purpose.equals("d")) {
+      for (int i = 0; i < f.doorCount; i++) {
+        f.reportedDemand[i] = Math.max(f.reportedDemand[i], digits[i]);
       }
-      judge(customer, f);
-    } else if (of.equals(Integer.toString(f.place))) {
-      for (int i = 0; i < f.doors; i++) {
+      transferSpareRights(customer, f);
+    } else if (purpose.equals(Integer.toString(f.doorIndex))) {
+      for (int i = 0; i < f.doorCount; i++) {
         // More than a door can give is no gift of these doors.
-        boolean gift = i != f.place && digits[i] <= f.base() - f.floor;
-        f.got[i] = gift ? Math.max(f.got[i], digits[i]) : f.got[i];
+        boolean plausible = i != f.doorIndex && digits[i] <= f.evenQuanta() - f.floorQuanta;
+        f.receivedFrom[i] = plausible ? Math.max(f.receivedFrom[i], digits[i]) : f.receivedFrom[i];
       }
     }
   }
 
   /** The digits of a total, or null when it is none of this kind. */
   private static int[] digits(double total, int doors) {
-    if (!(total >= 0) || total != Math.rint(total) || total >= Math.pow(BASE, doors)) {
+    if (!(total >= 0) || total != Math.rint(total) || total >= Math.pow(DIGIT_BASE, doors)) {
       return null;
     }
     int[] digits = new int[doors];
-    long rest = (long) total;
+    long remaining = (long) total;
     for (int i = 0; i < doors; i++) {
-      digits[i] = (int) (rest % BASE);
-      rest /= BASE;
+      digits[i] = (int) (remaining % DIGIT_BASE);
+      remaining /= DIGIT_BASE;
     }
     return digits;
   }
 
-  private void judge(long customer, Firm f) {
-    double began = eraStart(customer, f.era);
-    if (now - began < JUDGED_AFTER_MS) {
+  private void transferSpareRights(long customer, FirmState f) {
+    double periodStart = periodStart(customer, f.period);
+    if (now - periodStart < MIN_OBSERVATION_MS) {
       return;
     }
-    double steps = (now - began) / 1000 / STEP_S;
-    double[] targets = f.targets();
-    double missing = 0;
-    for (int i = 0; i < f.doors; i++) {
-      boolean short_ = f.asked(i) > PRESSED * steps * f.base() / QUANTA && targets[i] > f.base();
-      targets[i] = short_ ? targets[i] - f.base() : i == f.place ? targets[i] : 0;
-      missing += short_ ? targets[i] : 0;
-      f.pressed |= short_;
-      if (short_ && i == f.place) {
-        call(name(customer, Integer.toString(f.place), f), 0, 0);
+    double steps = (now - periodStart) / 1000 / DEMAND_STEP_S;
+    double[] targets = f.targetQuanta();
+    double totalShortfall = 0;
+    for (int i = 0; i < f.doorCount; i++) {
+      boolean overloaded = f.demandOf(i) > OVERLOAD_RATE_SHARE * steps * f.evenQuanta() / QUANTA
+          && targets[i] > f.evenQuanta();
+      targets[i] = overloaded ? targets[i] - f.evenQuanta() : i == f.doorIndex ? targets[i] : 0;
+      totalShortfall += overloaded ? targets[i] : 0;
+      f.overloaded |= overloaded;
+      if (overloaded && i == f.doorIndex) {
+        callCounter(counterName(customer, Integer.toString(f.doorIndex), f), 0, 0);
         return;
       }
     }
-    if (missing <= 0 || bornInEra(customer, f)) {
+    if (totalShortfall <= 0 || startedInPeriod(customer, f)) {
       return;
     }
-    int spare = Math.min(f.base() - f.floor, (int) (f.base() - targets[f.place]));
-    for (int i = 0; i < f.doors; i++) {
-      int more = i == f.place ? 0 : (int) (spare * targets[i] / missing) - f.given[i];
-      more = Math.min(more, spare - f.givenAway());
-      if (more > 0) {
+    int spare = Math.min(f.evenQuanta() - f.floorQuanta, (int) (f.evenQuanta() - targets[f.doorIndex]));
+    for (int i = 0; i < f.doorCount; i++) {
+      int quanta = i == f.doorIndex ? 0 : (int) (spare * targets[i] / totalShortfall) - f.transferredTo[i];
+      quanta = Math.min(quanta, spare - f.transferredTotal());
+      if (quanta > 0) {
         // Lowered before it is told: a call that is lost costs this door's part, and nobody's ceiling.
-        f.given[i] += more;
-        if (!call(name(customer, Integer.toString(i), f), more, f.place)) {
-          f.given[i] -= more;
+        f.transferredTo[i] += quanta;
+        if (!callCounter(counterName(customer, Integer.toString(i), f), quanta, f.doorIndex)) {
+          f.transferredTo[i] -= quanta;
         }
       }
     }
--- a/policy/src/main/java/willowdoor/recovery/CounterWatch.java
+++ b/policy/src/main/java/willowdoor/recovery/CounterWatch.java
@@ -8,7 +8,7 @@
 import willowdoor.recovery.WatchAction.Origin;
 import willowdoor.recovery.WatchAction.Replaced;
 import willowdoor.recovery.WatchAction.WakeAt;
-import willowdoor.recovery.WatchEvent.Answered;
+import willowdoor.recovery.WatchEvent.CheckEnded;
 import willowdoor.recovery.WatchEvent.Connected;
 import willowdoor.recovery.WatchEvent.Woken;
 
@@ -22,19 +22,21 @@
  * add. This holds however answers are lost, late or out of order, as only a lower bound is used; adds whose
  * answers were lost can raise a total, and then hide a replacement from that call, but never make one up.
  *
- * <p>So that they can't hide an empty counter either, a name begins with an add of {@value #BASE}: without
+ * <p>So that they can't hide an empty counter either, a name begins with an add of {@value #FIRST_AMOUNT}:
+ * without
  * it, what a door adds in any count of calls stays below. One such add is out at a time, and its name is
  * given up with a lost answer: with several, those that come after the counter was emptied would raise its
  * total to what was confirmed, and hide it for good. What a copy has of a name tells how old it is: each
  * check adds one, and the times of the checks are kept. A copy from before the name was begun looks empty by
  * it, so the name used before is asked for then, and only its answer tells an empty counter from a copy.
  *
- * <p>Names live for {@value #NAME_LIFE_MS} ms at the most, as the protocol has it. Well before, a new name is
+ * <p>Names live for {@value #NAME_TTL_MS} ms at the most, as the protocol has it. Well before, a new name is
  * begun, and the old one is checked on until an answer to a check that was sent after the new one's first
  * answer: if the old one still holds then, the new one was begun at the same counter. A door that could ask
  * nobody for so long that no name is left to go by takes the counter for another one.
  *
- * <p>A check goes out first on each new connection, and in any case every {@value #CHECK_MS} ms, for counters
+ * <p>A check goes out first on each new connection, and in any case every {@value #CHECK_INTERVAL_MS} ms, for
+ * counters
  * that change behind a connection that stays. What it can't tell: a copy that lacks no check of this door, so
  * one younger than the last check; and that two counters serve different doors (a split), as each door sees
  * one.
@@ -42,59 +44,63 @@
 public final class CounterWatch {
 
   /** How often at least the counter is asked who it is. */
-  static final double CHECK_MS = 250;
+  static final double CHECK_INTERVAL_MS = 250;
   /** For so long the protocol keeps a name at the most. */
-  static final double NAME_LIFE_MS = 60_000;
+  static final double NAME_TTL_MS = 60_000;
   /** A name is used for so long; the rest is for calls that come late. */
-  static final double NAME_USE_MS = 25_000;
+  static final double NAME_ROTATION_MS = 25_000;
   /** A name older than this is not asked: its life could end before the answer is made. */
-  static final double NAME_TRUST_MS = 42_000;
+  static final double MAX_NAME_AGE_MS = 42_000;
   /** The name before is asked for what a copy has until then: well before it is forgotten. */
-  static final double RETIRED_TRUST_MS = 55_000;
+  static final double MAX_RETIRED_NAME_AGE_MS = 55_000;
   /** The first add to a name. */
-  static final double BASE = 1e6;
+  static final double FIRST_AMOUNT = 1e6;
   /** Checks out at the most; beyond it none is begun, as the counter answers none. */
-  static final int MOST_OUT = 64;
+  static final int MAX_PENDING_CHECKS = 64;
 
   /** One sentinel name, and the largest total that was confirmed; 0 before the first answer. */
-  private static final class Name {
+  private static final class SentinelName {
     private final String text;
-    private final double begunAt;
-    private double confirmed;
-    /** When each check of it was sent: the n-th made its total {@link #BASE} and n - 1, if none was lost. */
+    private final double startedAt;
+    private double confirmedTotal;
+    /**
+     * When each check of it was sent: the n-th made its total {@link #FIRST_AMOUNT} and n - 1, if none was
+     * lost.
+     */
     private final List<Double> sentAt = new ArrayList<>();
 
-    Name(String text, double begunAt) {
+    SentinelName(String text, double startedAt) {
       this.text = text;
-      this.begunAt = begunAt;
+      this.startedAt = startedAt;
     }
   }
 
   /**
    * A check that is out.
    *
-   * @param least the least total that the counter which confirmed the name can answer
-   * @param vouches it was sent after the first answer for the current name, so that its own answer tells that
+   * @param minTotal the least total that the counter which confirmed the name can answer
+   * @param confirmsSameCounter it was sent after the first answer for the current name, so that its own
+   * answer tells that
    *     both names are at one counter
    */
-  private record Out(Name name, double least, boolean vouches) { }
+  private record PendingCheck(SentinelName name, double minTotal, boolean confirmsSameCounter) { }
 
   private final String door;
-  private final Map<Long, Out> out = new LinkedHashMap<>();
+  private final Map<Long, PendingCheck> pending = new LinkedHashMap<>();
   private List<WatchAction> actions = new ArrayList<>();
   private double now;
-  private long numbers;
-  private int names;
+  private long nextNumber;
+  private int nextNameIndex;
   private int incarnation = 1;
-  private Name current;
+  private SentinelName current;
   /** The name before, until it has vouched for the current one. */
-  private Name before;
+  private SentinelName previous;
   /** The name used before the current one, kept longer: whether a counter that lacks the current one has
       it. */
-  private Name retired;
+  private SentinelName retired;
   /** The check that asks for the retired name, or -1; until it ends nothing else is taken. */
-  private long asksRetired = -1;
-  private double checkedAt = Double.NEGATIVE_INFINITY;
+  private long retiredCheckNumber = -1;
+  private double lastCheckAt = Double.NEGATIVE_INFINITY;
 
   /**
    * A watch for one door.
@@ -116,8 +122,8 @@
   }
 
   /** Whether a counter has confirmed any total, so that a replacement would be noticed. */
-  public boolean vouched() {
-    return current != null && current.confirmed > 0 || before != null && before.confirmed > 0;
+  public boolean hasConfirmedTotal() {
+    return current != null && current.confirmedTotal > 0 || previous != null && previous.confirmedTotal > 0;
   }
 
   /** Takes one event and gives what to do, in order. */
@@ -126,98 +132,99 @@
     actions = new ArrayList<>(2);
     if (event instanceof Connected e) {
       check(e.link());
-    } else if (event instanceof Answered e) {
-      onAnswered(e);
+    } else if (event instanceof CheckEnded e) {
+      onCheckEnded(e);
     } else if (event instanceof Woken) {
-      if (now - checkedAt >= CHECK_MS) {
+      if (now - lastCheckAt >= CHECK_INTERVAL_MS) {
         check(-1);
       }
-      actions.add(new WakeAt(Math.max(now, checkedAt) + CHECK_MS));
+      actions.add(new WakeAt(Math.max(now, lastCheckAt) + CHECK_INTERVAL_MS));
     }
     return actions;
   }
 
   private void check(int link) {
-    checkedAt = now;
-    if (asksRetired >= 0) {
+    lastCheckAt = now;
+    if (retiredCheckNumber >= 0) {
       return;
     }
-    boolean hadVouched = vouched();
-    if (current == null || now - current.begunAt > NAME_USE_MS) {
-      before = current != null && current.confirmed > 0 ? current : before;
-      retired = current != null && current.confirmed > 0 ? current : retired;
-      current = new Name("~" + door + ":" + names++, now);
+    boolean hadConfirmedTotal = hasConfirmedTotal();
+    if (current == null || now - current.startedAt > NAME_ROTATION_MS) {
+      previous = current != null && current.confirmedTotal > 0 ? current : previous;
+      retired = current != null && current.confirmedTotal > 0 ? current : retired;
+      current = new SentinelName("~" + door + ":" + nextNameIndex++, now);
     }
-    if (before != null && now - before.begunAt > NAME_TRUST_MS) {
+    if (previous != null && now - previous.startedAt > MAX_NAME_AGE_MS) {
       // It may be forgotten before an answer comes: it can vouch for nothing any more.
-      before = null;
+      previous = null;
     }
-    if (hadVouched && !vouched()) {
+    if (hadConfirmedTotal && !hasConfirmedTotal()) {
       incarnation++;
       retired = null;
-      out.clear();
+      pending.clear();
       actions.add(new Replaced(incarnation, Origin.UNTOLD, Double.NEGATIVE_INFINITY));
     }
-    if (before != null) {
-      send(link, before);
+    if (previous != null) {
+      send(link, previous);
     }
-    if (current.confirmed > 0 || !isOut(current)) {
+    if (current.confirmedTotal > 0 || !hasPendingCheck(current)) {
       send(link, current);
     }
   }
 
-  private boolean isOut(Name name) {
-    return out.values().stream().anyMatch(o -> o.name == name);
+  private boolean hasPendingCheck(SentinelName name) {
+    return pending.values().stream().anyMatch(o -> o.name == name);
   }
 
-  private void send(int link, Name name) {
-    if (out.size() >= MOST_OUT) {
+  private void send(int link, SentinelName name) {
+    if (pending.size() >= MAX_PENDING_CHECKS) {
       return;
     }
-    double amount = name.confirmed >= BASE ? 1 : BASE;
+    double amount = name.confirmedTotal >= FIRST_AMOUNT ? 1 : FIRST_AMOUNT;
     name.sentAt.add(now);
-    long number = numbers++;
-    boolean vouches = name == before && current != null && current.confirmed > 0;
-    out.put(number, new Out(name, name.confirmed + amount, vouches));
-    actions.add(new Check(number, link, name.text, amount, NAME_LIFE_MS));
+    long number = nextNumber++;
+    boolean confirmsSameCounter = name == previous && current != null && current.confirmedTotal > 0;
+    pending.put(number, new PendingCheck(name, name.confirmedTotal + amount, confirmsSameCounter));
+    actions.add(new Check(number, link, name.text, amount, NAME_TTL_MS));
   }
 
-  private void onAnswered(Answered e) {
-    Out check = out.remove(e.number());
-    if (asksRetired >= 0) {
-      if (e.number() == asksRetired) {
-        asksRetired = -1;
-        replaced(retired, Double.isNaN(e.total()) ? 0 : e.total());
+  private void onCheckEnded(CheckEnded e) {
+    PendingCheck check = pending.remove(e.number());
+    if (retiredCheckNumber >= 0) {
+      if (e.number() == retiredCheckNumber) {
+        retiredCheckNumber = -1;
+        reportReplaced(retired, Double.isNaN(e.total()) ? 0 : e.total());
       }
       return;
     }
-    if (check != null && check.name == current && current.confirmed == 0 && Double.isNaN(e.total())) {
+    if (check != null && check.name == current && current.confirmedTotal == 0 && Double.isNaN(e.total())) {
       // Its first add may come late, and look like one that another counter has: a new name has none.
       current = null;
       return;
     }
-    if (check == null || Double.isNaN(e.total()) || check.name != current && check.name != before) {
+    if (check == null || Double.isNaN(e.total()) || check.name != current && check.name != previous) {
       return;
     }
-    Name name = check.name;
-    if (name.confirmed > 0 && e.total() < check.least) {
-      another(name, e.total());
+    SentinelName name = check.name;
+    if (name.confirmedTotal > 0 && e.total() < check.minTotal) {
+      onLowerTotal(name, e.total());
       return;
     }
-    name.confirmed = Math.max(name.confirmed, e.total());
-    if (check.vouches) {
-      before = null;
+    name.confirmedTotal = Math.max(name.confirmedTotal, e.total());
+    if (check.confirmsSameCounter) {
+      previous = null;
     }
   }
 
   /** One that lacks the name may have a copy from before the name was begun: an older name tells. */
-  private void another(Name name, double total) {
-    if (total > BASE || retired == null || retired == name || now - retired.begunAt > RETIRED_TRUST_MS) {
-      replaced(name, total);
+  private void onLowerTotal(SentinelName name, double total) {
+    if (total > FIRST_AMOUNT || retired == null || retired == name || now
+        - retired.startedAt > MAX_RETIRED_NAME_AGE_MS) {
+      reportReplaced(name, total);
       return;
     }
-    out.clear();
-    asksRetired = numbers;
+    pending.clear();
+    retiredCheckNumber = nextNumber;
     send(-1, retired);
   }
 
@@ -226,16 +233,16 @@
    *
    * @param total of that name at the new counter, with the amount that asked for it; 0 when that is not known
    */
-  private void replaced(Name name, double total) {
-    boolean copy = total > BASE;
-    int inCopy = (int) Math.min(name.sentAt.size(), Math.max(1, total - BASE));
-    double lostSince = copy ? name.sentAt.get(inCopy - 1) : Double.NEGATIVE_INFINITY;
+  private void reportReplaced(SentinelName name, double total) {
+    boolean isCopy = total > FIRST_AMOUNT;
+    int checksInCopy = (int) Math.min(name.sentAt.size(), Math.max(1, total - FIRST_AMOUNT));
+    double lostSince = isCopy ? name.sentAt.get(checksInCopy - 1) : Double.NEGATIVE_INFINITY;
     incarnation++;
-    before = null;
+    previous = null;
     current = null;
     retired = null;
-    out.clear();
-    actions.add(new Replaced(incarnation, copy ? Origin.OLD_COPY : Origin.EMPTY, lostSince));
+    pending.clear();
+    actions.add(new Replaced(incarnation, isCopy ? Origin.OLD_COPY : Origin.EMPTY, lostSince));
     check(-1);
   }
 }
--- a/policy/src/main/java/willowdoor/recovery/RightsAction.java
+++ b/policy/src/main/java/willowdoor/recovery/RightsAction.java
@@ -4,16 +4,17 @@
 public sealed interface RightsAction {
 
   /**
-   * The answer to {@link RightsEvent.Asked}, and its first action: the share of the firm's ceiling that this
+   * The answer to {@link RightsEvent.Requested}, and its first action: the share of the firm's ceiling that
+   * this
    * door may use by itself.
    *
    * @param share from 0 to 1, until a moment
    * @param untilMs the moment; what it granted after it is the share named last
-   * @param then the share from that moment on, unless another is told
+   * @param shareAfter the share from that moment on, unless another is told
    */
-  record Share(double share, double untilMs, double then) implements RightsAction { }
+  record Share(double share, double untilMs, double shareAfter) implements RightsAction { }
 
-  /** Add to a name at the counter; its end is told as {@link RightsEvent.Answered}. */
+  /** Add to a name at the counter; its end is told as {@link RightsEvent.CallEnded}. */
   record Call(String name, double amount, double ttlMs) implements RightsAction { }
 
   /** Be woken then. */
--- a/policy/src/main/java/willowdoor/recovery/RightsEvent.java
+++ b/policy/src/main/java/willowdoor/recovery/RightsEvent.java
@@ -6,18 +6,18 @@
   /**
    * A request of a firm under a ceiling has come to this door.
    *
-   * @param doors how many doors its firm's requests may come through
-   * @param place this door's place among them, from 0, or -1 when it is none of them
+   * @param doorCount how many doors its firm's requests may come through
+   * @param doorIndex this door's place among them, from 0, or -1 when it is none of them
    * @param rate units a second by which the ceiling fills
    * @param burst units that it holds at the most
-   * @param mostUnits units that one request may name at the most
+   * @param maxUnits units that one request may name at the most
    * @param units that this request names
    */
-  record Asked(long customer, int doors, int place, double rate, double burst, double mostUnits,
+  record Requested(long customer, int doorCount, int doorIndex, double rate, double burst, double maxUnits,
       double units) implements RightsEvent { }
 
   /** The end of a call; the total is NaN when no readable answer came. */
-  record Answered(String name, double total) implements RightsEvent { }
+  record CallEnded(String name, double total) implements RightsEvent { }
 
   /** The moment that a {@link RightsAction.WakeAt} named, or a later one. */
   record Woken() implements RightsEvent { }
@@ -26,7 +26,7 @@
    * This life of the door takes requests from here on: for the first time, or again after {@link HandedOver}.
    * What another life of the same door has given away or spent until now is not known to it.
    */
-  record Begun() implements RightsEvent { }
+  record Activated() implements RightsEvent { }
 
   /** Another life of the same door uses its parts from here on, and this one none of them. */
   record HandedOver() implements RightsEvent { }
--- a/policy/src/main/java/willowdoor/recovery/WatchAction.java
+++ b/policy/src/main/java/willowdoor/recovery/WatchAction.java
@@ -15,7 +15,7 @@
 
   /**
    * Add to a name before anything else is sent on the link; the answer is told as
-   * {@link WatchEvent.Answered}.
+   * {@link WatchEvent.CheckEnded}.
    *
    * @param link the connection, or -1 for any
    */
--- a/policy/src/main/java/willowdoor/recovery/WatchEvent.java
+++ b/policy/src/main/java/willowdoor/recovery/WatchEvent.java
@@ -12,7 +12,7 @@
    * @param number the check's, as {@link WatchAction.Check} gave it
    * @param total after the add; NaN when no readable answer came, whether it was added or not
    */
-  record Answered(long number, double total) implements WatchEvent { }
+  record CheckEnded(long number, double total) implements WatchEvent { }
 
   /** The moment that a {@link WatchAction.WakeAt} named, or a later one. */
   record Woken() implements WatchEvent { }
--- a/policy/src/main/java/willowdoor/rollout/Comparison.java
+++ b/policy/src/main/java/willowdoor/rollout/Comparison.java
@@ -12,7 +12,7 @@
 public record Comparison(double tolerated, double suspected, double falseAlarm, double clump) {
 
   /** What a plan has that says nothing else. */
-  public static final Comparison USUAL = new Comparison(1.25, 2.5, 0.01, 2);
+  public static final Comparison DEFAULT = new Comparison(1.25, 2.5, 0.01, 2);
 
   /** Refuses what compares nothing. */
   public Comparison {
--- a/policy/src/main/java/willowdoor/rollout/Evidence.java
+++ b/policy/src/main/java/willowdoor/rollout/Evidence.java
@@ -40,52 +40,52 @@
   }
 
   /** None yet, from that time on. */
-  public static Evidence none(double nowMs) {
+  public static Evidence empty(double nowMs) {
     return new Evidence(nowMs, Tally.NONE, Tally.NONE, Tally.NONE, Tally.NONE, List.of(0.0, 0.0, 0.0));
   }
 
   /** With what a door said. */
-  public Evidence with(boolean isReleased, Tally more) {
-    return new Evidence(since, isReleased ? released.plus(more) : released,
-        isReleased ? others : others.plus(more), allReleased, allOthers, logs);
+  public Evidence with(boolean isReleased, Tally tally) {
+    return new Evidence(since, isReleased ? released.plus(tally) : released,
+        isReleased ? others : others.plus(tally), allReleased, allOthers, logs);
   }
 
   /** With the round closed, where it is over. */
-  public Evidence closed(double nowMs, Comparison by) {
+  public Evidence withRoundClosed(double nowMs, Comparison comparison) {
     if (nowMs - since < ROUND_MS) {
       return this;
     }
     List<Double> next = new ArrayList<>();
     for (int kind = 0; kind < KINDS.size(); kind++) {
-      next.add(logs.get(kind) + weight(kind, by));
+      next.add(logs.get(kind) + logLikelihoodRatio(kind, comparison));
     }
     return new Evidence(nowMs, Tally.NONE, Tally.NONE, allReleased.plus(released), allOthers.plus(others),
         next);
   }
 
-  private double weight(int kind, Comparison by) {
+  private double logLikelihoodRatio(int kind, Comparison comparison) {
     double n1 = released.asked();
     double n2 = others.asked();
     if (n1 <= 0 || n2 <= 0) {
       return 0;
     }
-    double p0 = by.tolerated() * n1 / (by.tolerated() * n1 + n2);
-    double p1 = by.suspected() * n1 / (by.suspected() * n1 + n2);
-    return (bad(released, kind) * StrictMath.log(p1 / p0)
-        + bad(others, kind) * StrictMath.log((1 - p1) / (1 - p0))) / by.clump();
+    double p0 = comparison.tolerated() * n1 / (comparison.tolerated() * n1 + n2);
+    double p1 = comparison.suspected() * n1 / (comparison.suspected() * n1 + n2);
+    return (badCount(released, kind) * StrictMath.log(p1 / p0)
+        + badCount(others, kind) * StrictMath.log((1 - p1) / (1 - p0))) / comparison.clump();
   }
 
-  private static long bad(Tally tally, int kind) {
+  private static long badCount(Tally tally, int kind) {
     return kind == 0 ? tally.refused() : kind == 1 ? tally.failed() : tally.late();
   }
 
   /** What released doors do worse, in words; null where that isn't shown. */
-  public String worse(Comparison by) {
-    double enough = StrictMath.log(KINDS.size() / by.falseAlarm());
+  public String describeRegression(Comparison comparison) {
+    double threshold = StrictMath.log(KINDS.size() / comparison.falseAlarm());
     for (int kind = 0; kind < KINDS.size(); kind++) {
-      if (logs.get(kind) >= enough) {
+      if (logs.get(kind) >= threshold) {
         return String.format(Locale.ROOT, "released doors do worse: %s %d of %d, the others %d of %d",
-            KINDS.get(kind), bad(allReleased, kind), allReleased.asked(), bad(allOthers, kind),
+            KINDS.get(kind), badCount(allReleased, kind), allReleased.asked(), badCount(allOthers, kind),
             allOthers.asked());
       }
     }
--- a/policy/src/main/java/willowdoor/rollout/Wish.java
+++ b/policy/src/main/java/willowdoor/rollout/PermitAction.java
@@ -1,11 +1,11 @@
 package willowdoor.rollout;
 
 /** What a release has the record do. */
-public sealed interface Wish {
+public sealed interface PermitAction {
 
   /** Ask for a permit for this step. */
-  record Ask(Step step) implements Wish { }
+  record RequestPermit(Step step) implements PermitAction { }
 
   /** Give the step's permit back, or no longer wait for it. */
-  record GiveBack(Step step) implements Wish { }
+  record ReturnPermit(Step step) implements PermitAction { }
 }
--- a/policy/src/main/java/willowdoor/rollout/Plan.java
+++ b/policy/src/main/java/willowdoor/rollout/Plan.java
@@ -16,21 +16,21 @@
  * @param stepMs a door that isn't back after this, or a permit that isn't had, halts the release
  * @param settleMs a door's figures count so long after it is ready, as a new process is slow at first
  */
-public record Plan(Of of, String from, String to, List<Double> waves, double bakeMs, double drainMs,
+public record Plan(Kind of, String from, String to, List<Double> waves, double bakeMs, double drainMs,
     double stepMs,
     double settleMs, Comparison comparison) {
 
   /** What is released. */
-  public enum Of {
+  public enum Kind {
     /** Doors, each of which starts another version in its place. */
     DOORS,
     /** Backends, each of which somebody restarts once nothing is sent to it; discovery tells that it was. */
     BACKENDS
   }
 
-  private static final int MOST_WAVES = 100;
-  private static final int LONGEST_NAME = 64;
-  private static final double MOST_MS = 7 * 24 * 3_600_000.0;
+  private static final int MAX_WAVES = 100;
+  private static final int MAX_VERSION_LENGTH = 64;
+  private static final double MAX_DURATION_MS = 7 * 24 * 3_600_000.0;
 
   /** Keeps a copy, and refuses what is no plan, in words. */
   public Plan {
@@ -40,38 +40,39 @@
     if (from.equals(to)) {
       throw new IllegalArgumentException("from and to are both " + from + " (expected: two versions)");
     }
-    if (waves.isEmpty() || waves.size() > MOST_WAVES || waves.get(waves.size() - 1) != 1) {
+    if (waves.isEmpty() || waves.size() > MAX_WAVES || waves.get(waves.size() - 1) != 1) {
       throw new IllegalArgumentException("waves " + waves + " (expected: growing parts of all doors, "
-          + MOST_WAVES
+          + MAX_WAVES
           + " at most, the last of them 1)");
     }
-    double before = 0;
+    double previous = 0;
     for (double wave : waves) {
-      if (!(wave > before && wave <= 1)) {
+      if (!(wave > previous && wave <= 1)) {
         throw new IllegalArgumentException("waves " + waves
             + " (expected: each greater than the one before)");
       }
-      before = wave;
+      previous = wave;
     }
-    check("bake_ms", bakeMs, 0);
-    check("drain_ms", drainMs, 0);
-    check("step_ms", stepMs, 1);
-    check("settle_ms", settleMs, 0);
+    checkRange("bake_ms", bakeMs, 0);
+    checkRange("drain_ms", drainMs, 0);
+    checkRange("step_ms", stepMs, 1);
+    checkRange("settle_ms", settleMs, 0);
   }
 
-  private static void check(String name, double value, double least) {
-    if (!(value >= least && value <= MOST_MS)) {
-      throw new IllegalArgumentException(name + " " + value + " (expected: from " + least + " to " + MOST_MS
+  private static void checkRange(String name, double value, double min) {
+    if (!(value >= min && value <= MAX_DURATION_MS)) {
+      throw new IllegalArgumentException(name + " " + value + " (expected: from " + min + " to "
+          + MAX_DURATION_MS
           + ")");
     }
   }
 
   /** A version's name goes into a command, so it can be no path and no option. */
   public static void checkVersion(String name) {
-    boolean good = !name.isEmpty() && name.length() <= LONGEST_NAME && alphanumeric(name.charAt(0))
+    boolean good = !name.isEmpty() && name.length() <= MAX_VERSION_LENGTH && alphanumeric(name.charAt(0))
         && name.chars().allMatch(c -> alphanumeric((char) c) || "._+-".indexOf(c) >= 0);
     if (!good) {
-      throw new IllegalArgumentException("version \"" + name + "\" (expected: 1 to " + LONGEST_NAME
+      throw new IllegalArgumentException("version \"" + name + "\" (expected: 1 to " + MAX_VERSION_LENGTH
           + " letters, digits, '.', '_', '+' and '-', the first a letter or digit)");
     }
   }
--- a/policy/src/main/java/willowdoor/rollout/Release.java
+++ b/policy/src/main/java/willowdoor/rollout/Release.java
@@ -49,17 +49,17 @@
   }
 
   /** The version that doors are to have now. */
-  public String target() {
+  public String targetVersion() {
     return course == Course.FORWARD ? plan.to() : plan.from();
   }
 
   /** Whether nothing of it is under way any more. */
-  public boolean still() {
+  public boolean hasStopped() {
     return steps.isEmpty() && mode != Mode.GOING;
   }
 
   /** How many doors have a version. */
-  public long having(String version) {
+  public long countWithVersion(String version) {
     return versions.values().stream().filter(version::equals).count();
   }
 }
--- a/policy/src/main/java/willowdoor/rollout/Rollout.java
+++ b/policy/src/main/java/willowdoor/rollout/Rollout.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import willowdoor.rollout.Release.Course;
 import willowdoor.rollout.Release.Mode;
-import willowdoor.rollout.Seen.Held;
+import willowdoor.rollout.TargetStatus.PermitState;
 import willowdoor.rollout.Step.State;
 
 /**
@@ -33,59 +33,60 @@
 public final class Rollout {
 
   /** A released door counts as lost after this, so that doors that are lost together are seen together. */
-  private static final double LOST_MS = 1_500;
+  private static final double LOST_AFTER_MS = 1_500;
   /** Released doors are lost so many times as often as the others before that speaks against the version. */
   private static final double LOST_RATIO = 3;
 
 
   private Release release;
-  private final Map<String, Seen> doors = new LinkedHashMap<>();
+  private final Map<String, TargetStatus> statuses = new LinkedHashMap<>();
   private final Map<String, Step> steps = new LinkedHashMap<>();
-  private final Map<String, Double> started = new HashMap<>();
-  private final List<Wish> wishes = new ArrayList<>();
+  private final Map<String, Double> startedBefore = new HashMap<>();
+  private final List<PermitAction> actions = new ArrayList<>();
 
   /** Goes on from there. */
   public Rollout(Release release) {
     this.release = release;
     release.steps().forEach(x -> steps.put(x.door(), x));
-    started.putAll(release.started());
+    startedBefore.putAll(release.started());
   }
 
   /**
    * A new one.
    *
-   * @param seen the doors, in an order that is the same wherever the record is
+   * @param statuses the doors, in an order that is the same wherever the record is
    * @param attempts how many steps releases before it began: a door tells attempts apart by their numbers
    * @throws IllegalArgumentException in words, where the doors have other versions than the plan's
    */
-  public static Rollout begin(long id, String request, String by, Plan plan, double nowMs, List<Seen> seen,
+  public static Rollout begin(long id, String request, String by, Plan plan, double nowMs,
+      List<TargetStatus> statuses,
       long attempts) {
-    if (seen.isEmpty()) {
+    if (statuses.isEmpty()) {
       throw new IllegalArgumentException("no door is known");
     }
-    for (Seen x : seen) {
+    for (TargetStatus x : statuses) {
       if (!x.version().isEmpty() && !x.version().equals(plan.from()) && !x.version().equals(plan.to())) {
         throw new IllegalArgumentException("door " + x.door() + " has version " + x.version() + " (expected: "
             + plan.from() + " or " + plan.to() + ", as never more than two serve)");
       }
     }
     return new Rollout(new Release(id, request, by, plan, Course.FORWARD, Mode.GOING, "begun by " + by, 0,
-        -1, attempts, inTurns(seen), Map.of(), List.of(), Map.of(), Evidence.none(nowMs)));
+        -1, attempts, interleaveZones(statuses), Map.of(), List.of(), Map.of(), Evidence.empty(nowMs)));
   }
 
   /** Zones by turns, so that the first waves have doors of all of them. */
-  private static List<String> inTurns(List<Seen> seen) {
+  private static List<String> interleaveZones(List<TargetStatus> statuses) {
     Map<String, List<String>> zones = new LinkedHashMap<>();
-    seen.forEach(x -> zones.computeIfAbsent(x.zone(), z -> new ArrayList<>()).add(x.door()));
-    List<String> all = new ArrayList<>();
-    for (int i = 0; all.size() < seen.size(); i++) {
+    statuses.forEach(x -> zones.computeIfAbsent(x.zone(), z -> new ArrayList<>()).add(x.door()));
+    List<String> order = new ArrayList<>();
+    for (int i = 0; order.size() < statuses.size(); i++) {
       for (List<String> zone : zones.values()) {
         if (i < zone.size()) {
-          all.add(zone.get(i));
+          order.add(zone.get(i));
         }
       }
     }
-    return all;
+    return order;
   }
 
   /** How it stands. */
@@ -96,37 +97,37 @@
   /** No further step begins until it is resumed. */
   public void pause(String by) {
     if (release.mode() == Mode.GOING) {
-      mode(Mode.PAUSED, "paused by " + by);
+      setMode(Mode.PAUSED, "paused by " + by);
     }
   }
 
   /** No further step begins, and what hasn't begun at its door is taken back. */
   public void halt(String why) {
     if (release.mode() != Mode.ENDED) {
-      mode(Mode.HALTED, why);
+      setMode(Mode.HALTED, why);
     }
   }
 
   /** It goes on in its course; what was held against it so far is forgotten. */
   public void resume(String by, double nowMs) {
     if (release.mode() != Mode.ENDED) {
-      mode(Mode.GOING, "resumed by " + by);
-      anew(nowMs);
+      setMode(Mode.GOING, "resumed by " + by);
+      restartTimers(nowMs);
     }
   }
 
   /** Every door gets back the version that it had. */
-  public void back(String by, double nowMs) {
+  public void rollBack(String by, double nowMs) {
     if (release.mode() != Mode.ENDED) {
       Release r = release;
       release = new Release(r.id(), r.request(), r.by(), r.plan(), Course.BACK, Mode.GOING, "taken back by "
           + by, 0, -1,
           r.attempts(), r.order(), r.versions(), r.steps(), r.started(), r.evidence());
-      anew(nowMs);
+      restartTimers(nowMs);
     }
   }
 
-  private void mode(Mode mode, String why) {
+  private void setMode(Mode mode, String why) {
     Release r = release;
     release = new Release(r.id(), r.request(), r.by(), r.plan(), r.course(), mode, why, r.wave(),
         r.bakesSince(),
@@ -134,38 +135,40 @@
   }
 
   /** Waits and evidence count from here. */
-  private void anew(double nowMs) {
+  private void restartTimers(double nowMs) {
     steps.replaceAll((door, x) -> x.state() == State.WAITING || x.state() == State.GOING
-        ? x.at(x.state(), nowMs, x.since()) : x);
-    progress(release.wave(), -1, Evidence.none(nowMs));
+        ? x.withState(x.state(), nowMs, x.since()) : x);
+    updateProgress(release.wave(), -1, Evidence.empty(nowMs));
   }
 
-  private void progress(int wave, double bakesSince, Evidence evidence) {
-    started.keySet().retainAll(steps.keySet());
+  private void updateProgress(int wave, double bakesSince, Evidence evidence) {
+    startedBefore.keySet().retainAll(steps.keySet());
     Release r = release;
     release = new Release(r.id(), r.request(), r.by(), r.plan(), r.course(), r.mode(), r.why(), wave,
-        bakesSince, r.attempts(), r.order(), r.versions(), List.copyOf(steps.values()), started, evidence);
+        bakesSince, r.attempts(), r.order(), r.versions(), List.copyOf(steps.values()), startedBefore,
+        evidence);
   }
 
   /** A door that is ready said what it came to since it last did. */
-  public void said(String door, String version, Tally more, double nowMs) {
+  public void addTally(String door, String version, Tally tally, double nowMs) {
     if (release.mode() == Mode.GOING && release.course() == Course.FORWARD && !steps.containsKey(door)
-        && release.plan().of() == Plan.Of.DOORS) {
-      progress(release.wave(), release.bakesSince(), release.evidence().closed(nowMs, release.plan()
-          .comparison()).with(version.equals(release.plan().to()), more));
+        && release.plan().of() == Plan.Kind.DOORS) {
+      updateProgress(release.wave(), release.bakesSince(),
+          release.evidence().withRoundClosed(nowMs, release.plan()
+          .comparison()).with(version.equals(release.plan().to()), tally));
     }
   }
 
   /** Nothing is sent to a backend any more: what starts after this has its step's version. */
-  public void out(String backend, double startedMs) {
-    started.put(backend, startedMs);
-    progress(release.wave(), release.bakesSince(), release.evidence());
+  public void backendTakenOut(String backend, double startedMs) {
+    startedBefore.put(backend, startedMs);
+    updateProgress(release.wave(), release.bakesSince(), release.evidence());
   }
 
   /** What a door is to do for its step now; null for nothing. */
-  public Step due(String door, boolean empty, double nowMs) {
+  public Step dueStep(String door, boolean empty, double nowMs) {
     Step step = steps.get(door);
-    return step != null && step.state() == State.GOING && release.plan().of() == Plan.Of.DOORS
+    return step != null && step.state() == State.GOING && release.plan().of() == Plan.Kind.DOORS
         && (empty || nowMs - step.sinceMs() >= release.plan().drainMs()) ? step : null;
   }
 
@@ -174,115 +177,116 @@
    *
    * @param index the command that was taken last
    */
-  public List<Wish> settle(double nowMs, long index, List<Seen> seen) {
-    wishes.clear();
+  public List<PermitAction> advance(double nowMs, long index, List<TargetStatus> current) {
+    actions.clear();
     if (release.mode() == Mode.ENDED) {
       return List.of();
     }
-    doors.clear();
-    seen.forEach(x -> doors.put(x.door(), x));
-    look();
-    List.copyOf(steps.values()).forEach(x -> step(x, doors.get(x.door()), nowMs, index));
+    statuses.clear();
+    current.forEach(x -> statuses.put(x.door(), x));
+    updateVersions();
+    List.copyOf(steps.values()).forEach(x -> advanceStep(x, statuses.get(x.door()), nowMs, index));
     if (release.mode() == Mode.GOING) {
-      watch(nowMs);
+      haltOnRegression(nowMs);
     }
     if (release.mode() == Mode.GOING) {
-      goOn(nowMs, index);
+      advanceWave(nowMs, index);
     }
-    progress(release.wave(), release.bakesSince(), release.evidence());
-    return List.copyOf(wishes);
+    updateProgress(release.wave(), release.bakesSince(), release.evidence());
+    return List.copyOf(actions);
   }
 
   /** Who there is; a door that joins later comes last, one that was forgotten is no more. */
-  private void look() {
+  private void updateVersions() {
     Map<String, String> versions = new HashMap<>(release.versions());
     List<String> order = new ArrayList<>(release.order());
     Set<String> known = new HashSet<>(order);
-    List<String> fallen = new ArrayList<>();
-    doors.values().forEach(x -> {
+    List<String> reverted = new ArrayList<>();
+    statuses.values().forEach(x -> {
       if (known.add(x.door())) {
         order.add(x.door());
       }
       if (!x.version().isEmpty()) {
         String before = versions.put(x.door(), x.version());
-        if (release.target().equals(before) && !before.equals(x.version())) {
-          fallen.add(x.door());
+        if (release.targetVersion().equals(before) && !before.equals(x.version())) {
+          reverted.add(x.door());
         }
       }
     });
-    order.removeIf(x -> !doors.containsKey(x));
-    versions.keySet().retainAll(doors.keySet());
+    order.removeIf(x -> !statuses.containsKey(x));
+    versions.keySet().retainAll(statuses.keySet());
     Release r = release;
     release = new Release(r.id(), r.request(), r.by(), r.plan(), r.course(), r.mode(), r.why(), r.wave(),
         r.bakesSince(), r.attempts(), order, versions, r.steps(), r.started(), r.evidence());
-    if (!fallen.isEmpty() && r.mode() == Mode.GOING && r.course() == Course.FORWARD) {
-      halt("back on an older version by themselves: " + String.join(", ", fallen));
+    if (!reverted.isEmpty() && r.mode() == Mode.GOING && r.course() == Course.FORWARD) {
+      halt("back on an older version by themselves: " + String.join(", ", reverted));
     }
   }
 
-  private void step(Step step, Seen seen, double nowMs, long index) {
-    if (seen == null || seen.held() == Held.NONE && step.state() != State.WAITING) {
+  private void advanceStep(Step step, TargetStatus status, double nowMs, long index) {
+    if (status == null || status.permit() == PermitState.NONE && step.state() != State.WAITING) {
       // Forgotten, or an operator gave its permit back; a permit that is returned ends so too.
       steps.remove(step.door());
       if (step.state() == State.WAITING) {
-        wishes.add(new Wish.GiveBack(step));
+        actions.add(new PermitAction.ReturnPermit(step));
       }
       return;
     }
-    boolean wanted = release.mode() == Mode.GOING && step.version().equals(release.target());
+    boolean wanted = release.mode() == Mode.GOING && step.version().equals(release.targetVersion());
     switch (step.state()) {
       case WAITING -> {
-        if (seen.held() == Held.GRANTED && wanted) {
-          steps.put(step.door(), step.at(State.GOING, nowMs, index));
-        } else if (!wanted || seen.held() == Held.NONE) {
-          wishes.add(new Wish.GiveBack(step));
+        if (status.permit() == PermitState.GRANTED && wanted) {
+          steps.put(step.door(), step.withState(State.GOING, nowMs, index));
+        } else if (!wanted || status.permit() == PermitState.NONE) {
+          actions.add(new PermitAction.ReturnPermit(step));
           steps.remove(step.door());
         } else if (nowMs - step.sinceMs() >= release.plan().stepMs()) {
           halt("no permit for " + step.door() + " within " + Math.round(release.plan().stepMs()) + " ms: "
-              + seen.waitsFor());
+              + status.waitReason());
         }
       }
       case GOING -> {
-        if (resolved(step, seen)) {
-          end(step, seen, nowMs, index);
+        if (isResolved(step, status)) {
+          endStep(step, status, nowMs, index);
         } else if (!wanted && release.mode() != Mode.PAUSED) {
-          steps.put(step.door(), step.at(State.WITHDRAWN, nowMs, index));
+          steps.put(step.door(), step.withState(State.WITHDRAWN, nowMs, index));
         } else if (release.mode() == Mode.GOING && nowMs - step.sinceMs() >= release.plan().stepMs()) {
           halt(step.door() + " is not back with " + step.version() + " after "
               + Math.round(release.plan().stepMs()) + " ms");
         }
       }
       case WITHDRAWN -> {
-        boolean begun = seen.trying() == step.attempt();
-        if (resolved(step, seen) || !begun && seen.reached() && seen.knows() >= step.since()) {
-          end(step, seen, nowMs, index);
+        boolean started = status.startedAttempt() == step.attempt();
+        if (isResolved(step, status) || !started && status.isReachable()
+            && status.knownIndex() >= step.since()) {
+          endStep(step, status, nowMs, index);
         }
       }
       case RETURNING -> { }
     }
   }
 
-  private static boolean resolved(Step step, Seen seen) {
-    return seen.version().equals(step.version()) || seen.failed() == step.attempt();
+  private static boolean isResolved(Step step, TargetStatus status) {
+    return status.version().equals(step.version()) || status.failedAttempt() == step.attempt();
   }
 
-  private void end(Step step, Seen seen, double nowMs, long index) {
-    steps.put(step.door(), step.at(State.RETURNING, nowMs, index));
-    wishes.add(new Wish.GiveBack(step));
-    if (seen.failed() == step.attempt() && !seen.version().equals(step.version())) {
+  private void endStep(Step step, TargetStatus status, double nowMs, long index) {
+    steps.put(step.door(), step.withState(State.RETURNING, nowMs, index));
+    actions.add(new PermitAction.ReturnPermit(step));
+    if (status.failedAttempt() == step.attempt() && !status.version().equals(step.version())) {
       halt(step.door() + " could not be replaced by " + step.version() + ", and serves on with "
-          + seen.version());
+          + status.version());
     }
   }
 
-  private void watch(double nowMs) {
+  private void haltOnRegression(double nowMs) {
     if (release.course() == Course.BACK) {
       return;
     }
-    Evidence closed = release.evidence().closed(nowMs, release.plan().comparison());
-    progress(release.wave(), release.bakesSince(), closed);
-    String worse = closed.worse(release.plan().comparison());
-    String lost = lost();
+    Evidence closed = release.evidence().withRoundClosed(nowMs, release.plan().comparison());
+    updateProgress(release.wave(), release.bakesSince(), closed);
+    String worse = closed.describeRegression(release.plan().comparison());
+    String lost = describeLostDoors();
     if (worse != null) {
       halt(worse);
     } else if (lost != null) {
@@ -290,80 +294,85 @@
     }
   }
 
-  private String lost() {
-    List<String> released = new ArrayList<>();
+  private String describeLostDoors() {
+    List<String> releasedDoors = new ArrayList<>();
     List<String> others = new ArrayList<>();
-    List<String> gone = new ArrayList<>();
-    int othersGone = 0;
-    for (Seen x : doors.values()) {
-      boolean has = release.plan().to().equals(release.versions().get(x.door()));
-      (has ? released : others).add(x.door());
-      if (has && x.lostMs() >= LOST_MS && !steps.containsKey(x.door())) {
-        gone.add(x.door());
-      } else if (!has && !x.reached()) {
-        othersGone++;
+    List<String> lostReleased = new ArrayList<>();
+    int othersUnreachable = 0;
+    for (TargetStatus x : statuses.values()) {
+      boolean released = release.plan().to().equals(release.versions().get(x.door()));
+      (released ? releasedDoors : others).add(x.door());
+      if (released && x.unreachableMs() >= LOST_AFTER_MS && !steps.containsKey(x.door())) {
+        lostReleased.add(x.door());
+      } else if (!released && !x.isReachable()) {
+        othersUnreachable++;
       }
     }
-    boolean more = gone.size() * Math.max(1.0, others.size()) > LOST_RATIO * othersGone * released.size();
-    return gone.isEmpty() || !more ? null : "released doors are lost: " + String.join(", ", gone)
+    boolean disproportionate = lostReleased.size() * Math.max(1.0, others.size()) > LOST_RATIO
+        * othersUnreachable * releasedDoors.size();
+    return lostReleased.isEmpty() || !disproportionate ? null
+        : "released doors are lost: " + String.join(", ", lostReleased)
         + "; of the "
-        + others.size() + " others " + othersGone;
+        + others.size() + " others " + othersUnreachable;
   }
 
-  private void goOn(double nowMs, long index) {
-    List<String> there = release.order().stream().filter(x -> has(x) || doors.get(x).reached()).toList();
+  private void advanceWave(double nowMs, long index) {
+    List<String> countedDoors = release.order().stream()
+        .filter(x -> hasTargetVersion(x) || statuses.get(x).isReachable()).toList();
     boolean last = release.course() == Course.BACK || release.wave() >= release.plan().waves().size() - 1;
-    List<String> wave = last ? release.order() : there.subList(0, Math.min(size(there.size()), there.size()));
-    if (!wave.isEmpty() && wave.stream().allMatch(this::has) && steps.isEmpty()) {
-      bake(nowMs, last);
+    List<String> wave = last ? release.order()
+        : countedDoors.subList(0, Math.min(waveSize(countedDoors.size()), countedDoors.size()));
+    if (!wave.isEmpty() && wave.stream().allMatch(this::hasTargetVersion) && steps.isEmpty()) {
+      advanceBake(nowMs, last);
       return;
     }
     if (steps.values().stream().noneMatch(x -> x.state() == State.WAITING)) {
-      wave.stream().filter(x -> !has(x) && !steps.containsKey(x) && doors.get(x).serves()
-          && !doors.get(x).taken()).findFirst().ifPresent(x -> begin(x, nowMs, index));
+      wave.stream().filter(x -> !hasTargetVersion(x) && !steps.containsKey(x) && statuses.get(x).serving()
+          && !statuses.get(x).heldByOthers()).findFirst().ifPresent(x -> begin(x, nowMs, index));
     }
   }
 
-  private boolean has(String door) {
-    return release.target().equals(release.versions().get(door));
+  private boolean hasTargetVersion(String door) {
+    return release.targetVersion().equals(release.versions().get(door));
   }
 
   /** At least one door more in each wave. */
-  private int size(int all) {
+  private int waveSize(int doorCount) {
     int size = 0;
     for (int i = 0; i <= release.wave(); i++) {
-      size = Math.max(size + 1, (int) StrictMath.ceil(release.plan().waves().get(i) * all - 1e-9));
+      size = Math.max(size + 1, (int) StrictMath.ceil(release.plan().waves().get(i) * doorCount - 1e-9));
     }
     return size;
   }
 
-  private void bake(double nowMs, boolean last) {
+  private void advanceBake(double nowMs, boolean last) {
     if (release.course() == Course.BACK) {
-      mode(Mode.ENDED, "every door has " + release.target() + " again");
+      setMode(Mode.ENDED, "every door has " + release.targetVersion() + " again");
     } else if (release.bakesSince() < 0) {
-      progress(release.wave(), nowMs, release.evidence());
+      updateProgress(release.wave(), nowMs, release.evidence());
     } else if (nowMs - release.bakesSince() >= release.plan().settleMs() + release.plan().bakeMs()) {
       if (last) {
-        mode(Mode.ENDED, "every door has " + release.target());
+        setMode(Mode.ENDED, "every door has " + release.targetVersion());
       } else {
-        progress(release.wave() + 1, -1, Evidence.none(nowMs));
+        updateProgress(release.wave() + 1, -1, Evidence.empty(nowMs));
       }
     }
   }
 
   private void begin(String door, double nowMs, long index) {
     Release r = release;
-    Step step = new Step(door, r.attempts() + 1, r.target(), State.WAITING, nowMs, index);
+    Step step = new Step(door, r.attempts() + 1, r.targetVersion(), State.WAITING, nowMs, index);
     steps.put(door, step);
-    started.remove(door);
+    startedBefore.remove(door);
     release = new Release(r.id(), r.request(), r.by(), r.plan(), r.course(), r.mode(), r.why(), r.wave(), -1,
         r.attempts() + 1, r.order(), r.versions(), r.steps(), r.started(), r.evidence());
-    wishes.add(new Wish.Ask(step));
+    actions.add(new PermitAction.RequestPermit(step));
   }
 
   /** Which doors it waits for that are not reached. */
-  public List<String> away() {
-    return release.order().stream().filter(x -> !has(x) && doors.containsKey(x) && !doors.get(x).reached())
+  public List<String> unreachableDoors() {
+    return release.order().stream()
+        .filter(x -> !hasTargetVersion(x) && statuses.containsKey(x) && !statuses.get(x).isReachable())
         .collect(Collectors.toList());
   }
 }
--- a/policy/src/main/java/willowdoor/rollout/Step.java
+++ b/policy/src/main/java/willowdoor/rollout/Step.java
@@ -22,7 +22,7 @@
     RETURNING
   }
 
-  Step at(State other, double nowMs, long index) {
-    return new Step(door, attempt, version, other, nowMs, index);
+  Step withState(State newState, double nowMs, long index) {
+    return new Step(door, attempt, version, newState, nowMs, index);
   }
 }
--- a/policy/src/main/java/willowdoor/rollout/Tally.java
+++ b/policy/src/main/java/willowdoor/rollout/Tally.java
@@ -14,10 +14,11 @@
   public static final Tally NONE = new Tally(0, 0, 0, 0);
 
   /** What came since; all none where the other is not an earlier state of the same. */
-  public Tally since(Tally before) {
-    Tally more = new Tally(asked - before.asked, refused - before.refused, failed - before.failed,
-        late - before.late);
-    return more.asked < 0 || more.refused < 0 || more.failed < 0 || more.late < 0 ? NONE : more;
+  public Tally since(Tally earlier) {
+    Tally difference = new Tally(asked - earlier.asked, refused - earlier.refused, failed - earlier.failed,
+        late - earlier.late);
+    return difference.asked < 0 || difference.refused < 0 || difference.failed < 0 || difference.late < 0
+        ? NONE : difference;
   }
 
   Tally plus(Tally other) {
--- a/policy/src/test/java/willowdoor/agreement/ReleaseRecordTest.java
+++ b/policy/src/test/java/willowdoor/agreement/ReleaseRecordTest.java
@@ -40,9 +40,10 @@
 /** A release in the record: by permits, budgets and what doors say. */
 class ReleaseRecordTest {
 
-  private static final Plan PLAN = new Plan(Plan.Of.DOORS, "1", "2", List.of(0.5, 1.0), 1_000, 2_000, 20_000,
+  private static final Plan PLAN =
+      new Plan(Plan.Kind.DOORS, "1", "2", List.of(0.5, 1.0), 1_000, 2_000, 20_000,
       1_000,
-      Comparison.USUAL);
+      Comparison.DEFAULT);
 
   private FleetRecord record;
   private double at = 1_000;
@@ -154,7 +155,7 @@
     says("d1", "x", Doing.EMPTY, Report.NONE);
     assertEquals(Stage.RETURNING, permit("d1").stage());
     says("d1", "x", Doing.READY, Report.NONE);
-    assertTrue(release().still(), release()::toString);
+    assertTrue(release().hasStopped(), release()::toString);
   }
 
   /** Nothing is let go where a failure has the budget, and the release says why it halted. */
@@ -193,8 +194,8 @@
   @Test
   void figuresAfterASilenceCountForNothing() {
     // Long enough that what is compared isn't begun anew meanwhile.
-    record.on(new StartRelease(at, "r1", new Plan(Plan.Of.DOORS, "1", "2", List.of(0.5, 1.0), 60_000, 2_000,
-        20_000, 1_000, Comparison.USUAL), "ana"));
+    record.on(new StartRelease(at, "r1", new Plan(Plan.Kind.DOORS, "1", "2", List.of(0.5, 1.0), 60_000, 2_000,
+        20_000, 1_000, Comparison.DEFAULT), "ana"));
     replaced("d1");
     at += 1_200;
     says("d1", "y", Doing.READY, new Report(0, 0, new Tally(10, 0, 0, 0)));
@@ -250,8 +251,9 @@
   @Test
   void backendsGoOutOneAfterTheOtherAndWaitForTheirRestart() {
     listed(5, true, 0);
-    record.on(new StartRelease(at, "r1", new Plan(Plan.Of.BACKENDS, "before", "restarted", List.of(1.0), 0, 0,
-        20_000, 0, Comparison.USUAL), "ana"));
+    record.on(
+        new StartRelease(at, "r1", new Plan(Plan.Kind.BACKENDS, "before", "restarted", List.of(1.0), 0, 0,
+        20_000, 0, Comparison.DEFAULT), "ana"));
     Permit b1 = permit("b1");
     assertEquals(Stage.GRANTED, b1.stage());
     letGo(b1.id());
@@ -307,8 +309,8 @@
   }
 
   private void releaseBackends(double... waves) {
-    assertInstanceOf(Begun.class, record.on(new StartRelease(at, "r1", new Plan(Plan.Of.BACKENDS, "before",
-        "after", java.util.Arrays.stream(waves).boxed().toList(), 1_000, 0, 20_000, 0, Comparison.USUAL),
+    assertInstanceOf(Begun.class, record.on(new StartRelease(at, "r1", new Plan(Plan.Kind.BACKENDS, "before",
+        "after", java.util.Arrays.stream(waves).boxed().toList(), 1_000, 0, 20_000, 0, Comparison.DEFAULT),
         "ana")));
   }
 
@@ -349,7 +351,7 @@
     assertEquals("after", release().versions().get("b1"));
     restarted("b1", 990, backend("b2", 0));
     assertEquals(Mode.ENDED, release().mode(), release()::toString);
-    assertEquals(2, release().having("before"));
+    assertEquals(2, release().countWithVersion("before"));
   }
 
   /** Taken back while one is away: it comes with the version that it went for, and goes once more. */
@@ -411,7 +413,7 @@
     restarted("b2", 990, backend("b1", 980));
     restarted("b1", 995, backend("b2", 990));
     assertEquals(Mode.ENDED, release().mode(), release()::toString);
-    assertEquals(2, release().having("before"));
+    assertEquals(2, release().countWithVersion("before"));
   }
 
   @Test
@@ -425,9 +427,9 @@
     at += 21_000;
     says("d1", "x", Doing.READY, Report.NONE);
     assertEquals(Mode.HALTED, release().mode());
-    assertTrue(!release().still());
+    assertTrue(!release().hasStopped());
     assertInstanceOf(Done.class, record.on(new Forget(at, "f3", "backend/b1", "rui")));
-    assertTrue(release().still());
+    assertTrue(release().hasStopped());
     assertEquals(null, permit("b1"));
     assertEquals(0, record.out(Kind.BACKEND));
   }
--- a/policy/src/test/java/willowdoor/authz/GatekeeperTest.java
+++ b/policy/src/test/java/willowdoor/authz/GatekeeperTest.java
@@ -16,21 +16,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import willowdoor.authz.AuthzAction.Ask;
-import willowdoor.authz.AuthzAction.Cancel;
+import willowdoor.authz.AuthzAction.StartCall;
+import willowdoor.authz.AuthzAction.CancelCall;
 import willowdoor.authz.AuthzAction.Deny;
 import willowdoor.authz.AuthzAction.Pass;
 import willowdoor.authz.AuthzAction.Refuse;
-import willowdoor.authz.AuthzAction.Unanswered;
-import willowdoor.authz.AuthzAction.Why;
-import willowdoor.authz.AuthzEvent.Answered;
+import willowdoor.authz.AuthzAction.NoDecisionCause;
+import willowdoor.authz.AuthzAction.PassReason;
+import willowdoor.authz.AuthzEvent.CallEnded;
 import willowdoor.authz.AuthzEvent.Arrived;
-import willowdoor.authz.AuthzEvent.Over;
+import willowdoor.authz.AuthzEvent.RequestEnded;
 import willowdoor.authz.AuthzEvent.Result;
 import willowdoor.authz.AuthzSettings.Authoriser;
 import willowdoor.authz.AuthzSettings.Choice;
-import willowdoor.authz.AuthzSettings.Choosable;
-import willowdoor.authz.AuthzSettings.Firms;
+import willowdoor.authz.AuthzSettings.WeightedAuthoriser;
+import willowdoor.authz.AuthzSettings.FirmRange;
 import willowdoor.authz.AuthzSettings.Health;
 import willowdoor.authz.AuthzSettings.Member;
 
@@ -40,19 +40,20 @@
   private static final Health HEALTH = new Health(3, 0.5, 1_000, 4_000, 0);
   private static final String BUY = "register-buy";
 
-  private Gatekeeper keeper;
+  private AuthzEngine keeper;
 
-  private static Member member(boolean repeatable, Set<String> open, double cacheMs, Choosable... asked) {
-    return new Member("acme", List.of(new Firms(10, 19)), Set.of(), Set.of(BUY), List.of(asked),
+  private static Member member(boolean repeatable, Set<String> open, double cacheMs,
+      WeightedAuthoriser... asked) {
+    return new Member("acme", List.of(new FirmRange(10, 19)), Set.of(), Set.of(BUY), List.of(asked),
         Choice.ORDER, 300, 0.5, repeatable, open, cacheMs, 2);
   }
 
-  private static Choosable at(int authoriser) {
-    return new Choosable(authoriser, 1);
+  private static WeightedAuthoriser at(int authoriser) {
+    return new WeightedAuthoriser(authoriser, 1);
   }
 
   private void given(Member... members) {
-    keeper = new Gatekeeper(new AuthzSettings(List.of(new Authoriser("one", 2, 1_000),
+    keeper = new AuthzEngine(new AuthzSettings(List.of(new Authoriser("one", 2, 1_000),
         new Authoriser("two", 2, 1_000)), List.of(members), HEALTH), 1);
   }
 
@@ -68,118 +69,120 @@
     return new Arrived(id, BUY, "full", customer, giveUpMs, 10, "what");
   }
 
-  private static Answered answer(String id, int call, Result result) {
-    return new Answered(id, call, result, 0, null);
+  private static CallEnded answer(String id, int call, Result result) {
+    return new CallEnded(id, call, result, 0, null);
   }
 
   @Test
   void onlyTheMembersClassesPlansAndFirmsAreAskedAbout() {
-    given(new Member("acme", List.of(new Firms(10, 19)), Set.of("full"), Set.of(BUY), List.of(at(0)),
+    given(new Member("acme", List.of(new FirmRange(10, 19)), Set.of("full"), Set.of(BUY), List.of(at(0)),
         Choice.ORDER, 300, 0.5, false, Set.of(), 0, 1));
-    then(0, new Arrived("a", "check-quote", "full", 11, 2_000, 0, null), new Pass("a", Why.NOT_ASKED, null));
-    then(0, new Arrived("b", BUY, "basic", 11, 2_000, 0, null), new Pass("b", Why.NOT_ASKED, null));
-    then(0, new Arrived("c", BUY, "full", 20, 2_000, 0, null), new Pass("c", Why.NOT_ASKED, null));
-    then(0, new Arrived("d", BUY, "full", 19, 2_000, 0, null), new Ask("d", 0, 0, 300, false));
+    then(0, new Arrived("a", "check-quote", "full", 11, 2_000, 0, null),
+        new Pass("a", PassReason.NOT_ASKED, null));
+    then(0, new Arrived("b", BUY, "basic", 11, 2_000, 0, null), new Pass("b", PassReason.NOT_ASKED, null));
+    then(0, new Arrived("c", BUY, "full", 20, 2_000, 0, null), new Pass("c", PassReason.NOT_ASKED, null));
+    then(0, new Arrived("d", BUY, "full", 19, 2_000, 0, null), new StartCall("d", 0, 0, 300, false));
   }
 
   @Test
   void anAllowPassesWithWhatCameWithItAndADenialDenies() {
     given(member(false, Set.of(), 0, at(0)));
-    then(0, request("a"), new Ask("a", 0, 0, 300, false));
-    then(9, new Answered("a", 0, Result.ALLOWED, 500, "grant"), new Pass("a", Why.ALLOWED, "grant"));
-    then(10, request("b"), new Ask("b", 0, 0, 300, false));
+    then(0, request("a"), new StartCall("a", 0, 0, 300, false));
+    then(9, new CallEnded("a", 0, Result.ALLOWED, 500, "grant"), new Pass("a", PassReason.ALLOWED, "grant"));
+    then(10, request("b"), new StartCall("b", 0, 0, 300, false));
     then(19, answer("b", 0, Result.DENIED), new Deny("b", 0));
-    assertEquals(0, keeper.undecided());
+    assertEquals(0, keeper.undecidedCount());
   }
 
   @Test
   void aSecondAnswerAndOneAfterTheEndCountForNothing() {
     given(member(false, Set.of(), 0, at(0)));
-    then(0, request("a"), new Ask("a", 0, 0, 300, false));
+    then(0, request("a"), new StartCall("a", 0, 0, 300, false));
     then(9, answer("a", 0, Result.DENIED), new Deny("a", 0));
     then(10, answer("a", 0, Result.ALLOWED));
-    then(20, request("b"), new Ask("b", 0, 0, 300, false));
-    then(25, new Over("b"), new Cancel("b", 0));
+    then(20, request("b"), new StartCall("b", 0, 0, 300, false));
+    then(25, new RequestEnded("b"), new CancelCall("b", 0));
     then(26, answer("b", 0, Result.ALLOWED));
-    then(27, new Over("b"));
-    assertEquals(0, keeper.out(0));
+    then(27, new RequestEnded("b"));
+    assertEquals(0, keeper.callsOut(0));
   }
 
   @ParameterizedTest
   @EnumSource(names = {"FAILED", "TIMED_OUT", "BAD_ANSWER"})
   void aCallThatMayHaveReachedItsAuthoriserIsNotRepeated(Result result) {
     given(member(false, Set.of(), 0, at(0), at(1)));
-    then(0, request("a"), new Ask("a", 0, 0, 300, false));
-    then(9, answer("a", 0, result), new Refuse("a", Unanswered.FAILED, 100));
+    then(0, request("a"), new StartCall("a", 0, 0, 300, false));
+    then(9, answer("a", 0, result), new Refuse("a", NoDecisionCause.FAILED, 100));
   }
 
   @ParameterizedTest
   @EnumSource(names = {"FAILED", "TIMED_OUT", "BAD_ANSWER"})
   void unlessItsChecksAreIdempotent(Result result) {
     given(member(true, Set.of(), 0, at(0), at(1)));
-    then(0, request("a"), new Ask("a", 0, 0, 300, false));
-    then(9, answer("a", 0, result), new Ask("a", 1, 1, 300, false));
+    then(0, request("a"), new StartCall("a", 0, 0, 300, false));
+    then(9, answer("a", 0, result), new StartCall("a", 1, 1, 300, false));
     then(10, answer("a", 0, Result.ALLOWED));
-    then(20, answer("a", 1, result), new Refuse("a", Unanswered.FAILED, 100));
+    then(20, answer("a", 1, result), new Refuse("a", NoDecisionCause.FAILED, 100));
   }
 
   @Test
   void oneThatProvablyNeverReachedItIsAskedElsewhereInAnyCase() {
     given(member(false, Set.of(), 0, at(0), at(1)));
-    then(0, request("a"), new Ask("a", 0, 0, 300, false));
-    then(9, answer("a", 0, Result.NOT_REACHED), new Ask("a", 1, 1, 300, false));
-    then(12, answer("a", 1, Result.ALLOWED), new Pass("a", Why.ALLOWED, null));
+    then(0, request("a"), new StartCall("a", 0, 0, 300, false));
+    then(9, answer("a", 0, Result.NOT_REACHED), new StartCall("a", 1, 1, 300, false));
+    then(12, answer("a", 1, Result.ALLOWED), new Pass("a", PassReason.ALLOWED, null));
   }
 
   @Test
   void callsLeaveTheBackendsTheirShareOfTheTime() {
     given(member(true, Set.of(), 0, at(0), at(1)));
-    then(0, request("a", 11, 400), new Ask("a", 0, 0, 200, false));
-    then(150, answer("a", 0, Result.FAILED), new Ask("a", 1, 1, 50, false));
-    then(196, answer("a", 1, Result.NOT_REACHED), new Refuse("a", Unanswered.LATE, 100));
-    then(200, request("b", 11, 208), new Refuse("b", Unanswered.LATE, 100));
+    then(0, request("a", 11, 400), new StartCall("a", 0, 0, 200, false));
+    then(150, answer("a", 0, Result.FAILED), new StartCall("a", 1, 1, 50, false));
+    then(196, answer("a", 1, Result.NOT_REACHED), new Refuse("a", NoDecisionCause.LATE, 100));
+    then(200, request("b", 11, 208), new Refuse("b", NoDecisionCause.LATE, 100));
   }
 
   @Test
   void withoutAnAnswerAClassThatFailsOpenGoesOn() {
     given(member(false, Set.of(BUY), 0, at(0)));
-    then(0, request("a"), new Ask("a", 0, 0, 300, false));
-    then(300, answer("a", 0, Result.TIMED_OUT), new Pass("a", Why.FAILED_OPEN, null));
-    then(301, request("b"), new Ask("b", 0, 0, 300, false));
+    then(0, request("a"), new StartCall("a", 0, 0, 300, false));
+    then(300, answer("a", 0, Result.TIMED_OUT), new Pass("a", PassReason.FAILED_OPEN, null));
+    then(301, request("b"), new StartCall("b", 0, 0, 300, false));
     then(302, answer("b", 0, Result.DENIED), new Deny("b", 0));
   }
 
   @Test
   void noMoreCallsAreOutThanTheBoundAndNoMoreBytesButForOneCall() {
     given(member(false, Set.of(), 0, at(0)));
-    then(0, new Arrived("a", BUY, "full", 11, 2_000, 5_000, null), new Ask("a", 0, 0, 300, false));
-    then(0, request("b"), new Refuse("b", Unanswered.BUSY, 100));
-    then(1, answer("a", 0, Result.ALLOWED), new Pass("a", Why.ALLOWED, null));
-    then(2, request("c"), new Ask("c", 0, 0, 300, false));
-    then(2, request("d"), new Ask("d", 0, 0, 300, false));
-    then(2, request("e"), new Refuse("e", Unanswered.BUSY, 100));
-    assertEquals(2, keeper.out(0));
+    then(0, new Arrived("a", BUY, "full", 11, 2_000, 5_000, null), new StartCall("a", 0, 0, 300, false));
+    then(0, request("b"), new Refuse("b", NoDecisionCause.BUSY, 100));
+    then(1, answer("a", 0, Result.ALLOWED), new Pass("a", PassReason.ALLOWED, null));
+    then(2, request("c"), new StartCall("c", 0, 0, 300, false));
+    then(2, request("d"), new StartCall("d", 0, 0, 300, false));
+    then(2, request("e"), new Refuse("e", NoDecisionCause.BUSY, 100));
+    assertEquals(2, keeper.callsOut(0));
   }
 
   @Test
   void failuresInARowEjectAndSingleProbesBringBack() {
     given(member(false, Set.of(), 0, at(0)));
     for (int i = 0; i < 3; i++) {
-      then(i, request("a" + i), new Ask("a" + i, 0, 0, 300, false));
-      then(i, answer("a" + i, 0, Result.FAILED), new Refuse("a" + i, Unanswered.FAILED, i < 2 ? 100 : 1_000));
+      then(i, request("a" + i), new StartCall("a" + i, 0, 0, 300, false));
+      then(i, answer("a" + i, 0, Result.FAILED),
+          new Refuse("a" + i, NoDecisionCause.FAILED, i < 2 ? 100 : 1_000));
     }
-    assertTrue(keeper.ejected(0));
-    then(502, request("b"), new Refuse("b", Unanswered.EJECTED, 500));
-    then(1_002, request("c", 11, 9_000), new Ask("c", 0, 0, 300, true));
-    then(1_003, request("d", 11, 9_000), new Refuse("d", Unanswered.EJECTED, 100));
-    then(1_100, answer("c", 0, Result.TIMED_OUT), new Refuse("c", Unanswered.FAILED, 2_000));
-    then(3_099, request("e", 11, 9_000), new Refuse("e", Unanswered.EJECTED, 100));
-    then(3_100, request("f", 11, 9_000), new Ask("f", 0, 0, 300, true));
-    then(3_101, new Over("f"), new Cancel("f", 0));
-    then(3_102, request("g", 11, 9_000), new Ask("g", 0, 0, 300, true));
+    assertTrue(keeper.isEjected(0));
+    then(502, request("b"), new Refuse("b", NoDecisionCause.EJECTED, 500));
+    then(1_002, request("c", 11, 9_000), new StartCall("c", 0, 0, 300, true));
+    then(1_003, request("d", 11, 9_000), new Refuse("d", NoDecisionCause.EJECTED, 100));
+    then(1_100, answer("c", 0, Result.TIMED_OUT), new Refuse("c", NoDecisionCause.FAILED, 2_000));
+    then(3_099, request("e", 11, 9_000), new Refuse("e", NoDecisionCause.EJECTED, 100));
+    then(3_100, request("f", 11, 9_000), new StartCall("f", 0, 0, 300, true));
+    then(3_101, new RequestEnded("f"), new CancelCall("f", 0));
+    then(3_102, request("g", 11, 9_000), new StartCall("g", 0, 0, 300, true));
     then(3_110, answer("g", 0, Result.DENIED), new Deny("g", 0));
-    assertFalse(keeper.ejected(0));
-    then(3_111, request("h", 11, 9_000), new Ask("h", 0, 0, 300, false));
+    assertFalse(keeper.isEjected(0));
+    then(3_111, request("h", 11, 9_000), new StartCall("h", 0, 0, 300, false));
   }
 
   @Test
@@ -187,11 +190,11 @@
     given(member(false, Set.of(), 0, at(0)));
     double at = 0;
     for (double length : new double[] {1_000, 2_000, 4_000, 4_000}) {
-      for (int i = 0; !keeper.ejected(0) || i == 0; i++) {
+      for (int i = 0; !keeper.isEjected(0) || i == 0; i++) {
         keeper.on(at, request("a" + at + i, 11, at + 2_000));
         keeper.on(at, answer("a" + at + i, 0, Result.FAILED));
       }
-      then(at, request("b", 11, at + 2_000), new Refuse("b", Unanswered.EJECTED, length));
+      then(at, request("b", 11, at + 2_000), new Refuse("b", NoDecisionCause.EJECTED, length));
       at += length;
     }
   }
@@ -199,14 +202,14 @@
   @Test
   void ejectionsAreSpreadByChanceAndToldTruly() {
     for (long seed = 1; seed <= 20; seed++) {
-      keeper = new Gatekeeper(new AuthzSettings(List.of(new Authoriser("one", 2, 1_000)),
+      keeper = new AuthzEngine(new AuthzSettings(List.of(new Authoriser("one", 2, 1_000)),
           List.of(member(false, Set.of(), 0, at(0))), new Health(1, 0.5, 1_000, 4_000, 0.2)), seed);
       keeper.on(0, request("a"));
       Refuse refused = (Refuse) keeper.on(0, answer("a", 0, Result.FAILED)).get(0);
       assertTrue(refused.holdOffMs() >= 1_000 && refused.holdOffMs() < 1_200, "seed " + seed);
       double opens = refused.holdOffMs();
       assertTrue(keeper.on(opens - 1, request("b", 11, 9_000)).get(0) instanceof Refuse, "seed " + seed);
-      assertTrue(keeper.on(opens, request("c", 11, 9_000)).get(0) instanceof Ask, "seed " + seed);
+      assertTrue(keeper.on(opens, request("c", 11, 9_000)).get(0) instanceof StartCall, "seed " + seed);
     }
   }
 
@@ -214,7 +217,7 @@
   void anAuthoriserThatFailsMostOfItsCallsIsEjectedThoughNeverInARow() {
     given(member(false, Set.of(), 0, at(0)));
     int calls = 0;
-    while (!keeper.ejected(0) && calls < 200) {
+    while (!keeper.isEjected(0) && calls < 200) {
       keeper.on(calls, request("a" + calls, 11, calls + 2_000));
       keeper.on(calls, answer("a" + calls, 0, calls % 3 == 0 ? Result.ALLOWED : Result.FAILED));
       calls++;
@@ -226,44 +229,44 @@
   void whatWasGivenLittleTimeTellsNothingByTimingOut() {
     given(member(false, Set.of(), 0, at(0)));
     for (int i = 0; i < 50; i++) {
-      then(0, request("a", 11, 200), new Ask("a", 0, 0, 100, false));
-      then(0, answer("a", 0, Result.TIMED_OUT), new Refuse("a", Unanswered.FAILED, 100));
+      then(0, request("a", 11, 200), new StartCall("a", 0, 0, 100, false));
+      then(0, answer("a", 0, Result.TIMED_OUT), new Refuse("a", NoDecisionCause.FAILED, 100));
     }
-    assertFalse(keeper.ejected(0));
+    assertFalse(keeper.isEjected(0));
   }
 
   @Test
   void theOtherAuthoriserIsAskedWhileTheFirstIsEjected() {
     given(member(false, Set.of(), 0, at(0), at(1)));
     for (int i = 0; i < 3; i++) {
-      then(i, request("a" + i), new Ask("a" + i, 0, 0, 300, false));
+      then(i, request("a" + i), new StartCall("a" + i, 0, 0, 300, false));
       keeper.on(i, answer("a" + i, 0, Result.FAILED));
     }
-    then(10, request("b"), new Ask("b", 0, 1, 300, false));
+    then(10, request("b"), new StartCall("b", 0, 1, 300, false));
   }
 
   @Test
   void allowsAreUsedAgainOnlyForTheSameFirmAndCheckAndTime() {
     given(member(false, Set.of(), 1_000, at(0)));
-    then(0, request("a"), new Ask("a", 0, 0, 300, false));
-    then(0, new Answered("a", 0, Result.ALLOWED, 5_000, "g"), new Pass("a", Why.ALLOWED, "g"));
-    then(999, request("b"), new Pass("b", Why.ALLOWED_BEFORE, "g"));
-    then(999, request("c", 12, 2_000), new Ask("c", 0, 0, 300, false));
-    then(999, new Arrived("d", BUY, "full", 11, 2_000, 10, "other"), new Ask("d", 0, 0, 300, false));
+    then(0, request("a"), new StartCall("a", 0, 0, 300, false));
+    then(0, new CallEnded("a", 0, Result.ALLOWED, 5_000, "g"), new Pass("a", PassReason.ALLOWED, "g"));
+    then(999, request("b"), new Pass("b", PassReason.ALLOWED_BEFORE, "g"));
+    then(999, request("c", 12, 2_000), new StartCall("c", 0, 0, 300, false));
+    then(999, new Arrived("d", BUY, "full", 11, 2_000, 10, "other"), new StartCall("d", 0, 0, 300, false));
     then(1_000, answer("d", 0, Result.DENIED), new Deny("d", 0));
-    then(1_000, request("e"), new Ask("e", 0, 0, 300, false));
+    then(1_000, request("e"), new StartCall("e", 0, 0, 300, false));
   }
 
   @Test
   void withoutItsPermissionOrAMembersWishNoAllowIsUsedAgain() {
     given(member(false, Set.of(), 1_000, at(0)));
-    then(0, request("a"), new Ask("a", 0, 0, 300, false));
-    then(0, answer("a", 0, Result.ALLOWED), new Pass("a", Why.ALLOWED, null));
-    then(1, request("b"), new Ask("b", 0, 0, 300, false));
+    then(0, request("a"), new StartCall("a", 0, 0, 300, false));
+    then(0, answer("a", 0, Result.ALLOWED), new Pass("a", PassReason.ALLOWED, null));
+    then(1, request("b"), new StartCall("b", 0, 0, 300, false));
     given(member(false, Set.of(), 0, at(0)));
-    then(0, request("a"), new Ask("a", 0, 0, 300, false));
-    then(0, new Answered("a", 0, Result.ALLOWED, 900, null), new Pass("a", Why.ALLOWED, null));
-    then(1, request("b"), new Ask("b", 0, 0, 300, false));
+    then(0, request("a"), new StartCall("a", 0, 0, 300, false));
+    then(0, new CallEnded("a", 0, Result.ALLOWED, 900, null), new Pass("a", PassReason.ALLOWED, null));
+    then(1, request("b"), new StartCall("b", 0, 0, 300, false));
   }
 
   @Test
@@ -271,20 +274,20 @@
     given(member(false, Set.of(), 1_000, at(0)));
     for (String what : List.of("x", "y", "z")) {
       keeper.on(0, new Arrived(what, BUY, "full", 11, 2_000, 0, what));
-      keeper.on(0, new Answered(what, 0, Result.ALLOWED, 900, null));
+      keeper.on(0, new CallEnded(what, 0, Result.ALLOWED, 900, null));
     }
-    then(1, new Arrived("a", BUY, "full", 11, 2_000, 0, "z"), new Pass("a", Why.ALLOWED_BEFORE, null));
-    then(1, new Arrived("b", BUY, "full", 11, 2_000, 0, "y"), new Pass("b", Why.ALLOWED_BEFORE, null));
-    then(1, new Arrived("c", BUY, "full", 11, 2_000, 0, "x"), new Ask("c", 0, 0, 300, false));
+    then(1, new Arrived("a", BUY, "full", 11, 2_000, 0, "z"), new Pass("a", PassReason.ALLOWED_BEFORE, null));
+    then(1, new Arrived("b", BUY, "full", 11, 2_000, 0, "y"), new Pass("b", PassReason.ALLOWED_BEFORE, null));
+    then(1, new Arrived("c", BUY, "full", 11, 2_000, 0, "x"), new StartCall("c", 0, 0, 300, false));
   }
 
   @Test
   void weightsShareTheCallsOut() {
-    given(new Member("acme", List.of(), Set.of(), Set.of(BUY), List.of(new Choosable(0, 3),
-        new Choosable(1, 1)), Choice.WEIGHT, 300, 0.5, false, Set.of(), 0, 1));
+    given(new Member("acme", List.of(), Set.of(), Set.of(BUY), List.of(new WeightedAuthoriser(0, 3),
+        new WeightedAuthoriser(1, 1)), Choice.WEIGHT, 300, 0.5, false, Set.of(), 0, 1));
     int first = 0;
     for (int i = 0; i < 4_000; i++) {
-      Ask ask = (Ask) keeper.on(i, request("a", 11, i + 2_000)).get(0);
+      StartCall ask = (StartCall) keeper.on(i, request("a", 11, i + 2_000)).get(0);
       first += ask.authoriser() == 0 ? 1 : 0;
       keeper.on(i, answer("a", 0, Result.ALLOWED));
     }
@@ -295,7 +298,7 @@
   void badSettingsAreNamed() {
     assertEquals("mostCalls: 0.0 (expected: > 0)", assertThrows(IllegalArgumentException.class,
         () -> new Authoriser("a", 0, 1)).getMessage());
-    assertThrows(IllegalArgumentException.class, () -> new Firms(2, 1));
+    assertThrows(IllegalArgumentException.class, () -> new FirmRange(2, 1));
     assertThrows(IllegalArgumentException.class, () -> new Health(1, 0.5, 10, 9, 0));
     assertThrows(IllegalArgumentException.class, () -> member(false, Set.of(), 0));
     assertThrows(IllegalArgumentException.class, () -> new Member("m", List.of(), Set.of(), Set.of(),
@@ -334,29 +337,29 @@
         if (calls.getOrDefault(id, -1) == call && !decisions.containsKey(id) && !over.contains(id)) {
           mayHaveReached.merge(id, result != Result.NOT_REACHED, Boolean::logicalOr);
         }
-        actions = keeper.on(at, new Answered(id, call, result, random.nextInt(900), null));
+        actions = keeper.on(at, new CallEnded(id, call, result, random.nextInt(900), null));
       } else {
         over.add(id);
-        actions = keeper.on(at, new Over(id));
+        actions = keeper.on(at, new RequestEnded(id));
       }
       for (AuthzAction a : actions) {
-        if (a instanceof Ask ask) {
+        if (a instanceof StartCall ask) {
           assertFalse(decisions.containsKey(ask.id()) || over.contains(ask.id()), () -> "seed " + seed);
           assertTrue(repeatable || !mayHaveReached.getOrDefault(ask.id(), false), () -> "seed " + seed);
           assertEquals(calls.getOrDefault(ask.id(), -1) + 1, ask.call(), () -> "seed " + seed);
           calls.put(ask.id(), ask.call());
-        } else if (!(a instanceof Cancel)) {
+        } else if (!(a instanceof CancelCall)) {
           String decided = a instanceof Pass p ? p.id() : a instanceof Deny d ? d.id() : ((Refuse) a).id();
           assertFalse(over.contains(decided), () -> "seed " + seed);
           assertEquals(1, decisions.merge(decided, 1, Integer::sum), () -> "seed " + seed + " " + decided);
         }
       }
-      assertTrue(keeper.out(0) <= 2 && keeper.out(1) <= 2, () -> "seed " + seed);
-      assertEquals(keeper.undecided(), keeper.out(0) + keeper.out(1), () -> "seed " + seed);
+      assertTrue(keeper.callsOut(0) <= 2 && keeper.callsOut(1) <= 2, () -> "seed " + seed);
+      assertEquals(keeper.undecidedCount(), keeper.callsOut(0) + keeper.callsOut(1), () -> "seed " + seed);
     }
     for (String id : ids) {
-      keeper.on(at, new Over(id));
+      keeper.on(at, new RequestEnded(id));
     }
-    assertEquals(0, keeper.undecided() + keeper.out(0) + keeper.out(1));
+    assertEquals(0, keeper.undecidedCount() + keeper.callsOut(0) + keeper.callsOut(1));
   }
 }
