--- a/policy/src/test/java/willowdoor/membership/MembershipTest.java
+++ b/policy/src/test/java/willowdoor/membership/MembershipTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import willowdoor.membership.MembershipEvent.AgreedBack;
-import willowdoor.membership.MembershipEvent.AgreedOut;
+import willowdoor.membership.MembershipEvent.FleetPutBack;
+import willowdoor.membership.MembershipEvent.FleetTakeOut;
 import willowdoor.membership.MembershipEvent.Inherited;
 import willowdoor.membership.MembershipEvent.Listed;
 import willowdoor.membership.MembershipEvent.PutBack;
@@ -39,7 +39,7 @@
   @Test
   void oneThatIsOutDrainsWhateverTheListsSay() {
     membership.on(1, full(entry(1, Phase.SERVING, 0), entry(2, Phase.SERVING, 0)));
-    Told out = membership.on(2, new TakeOut(1));
+    RosterUpdate out = membership.on(2, new TakeOut(1));
     assertEquals(List.of(entry(1, Phase.DRAINING, 0)), out.entries());
     assertFalse(out.full());
     assertEquals(Phase.DRAINING, membership.on(3, full(entry(1, Phase.SERVING, 9))).entries().get(0).phase());
@@ -88,11 +88,12 @@
     membership.on(2, new TakeOut(2));
     Membership successor = new Membership();
     successor.on(3, full(entry(1, Phase.SERVING, 0), entry(2, Phase.SERVING, 0)));
-    assertEquals(List.of(entry(2, Phase.DRAINING, 0)), successor.on(4, new Inherited(membership.out()))
+    assertEquals(List.of(entry(2, Phase.DRAINING, 0)), successor.on(4, new Inherited(membership.disabled()))
         .entries());
-    assertEquals(List.of(), successor.on(5, new Inherited(membership.out())).entries(), "no news");
-    assertEquals(membership.out(), successor.out());
-    assertTrue(successor.on(6, new Inherited(List.of(new Out(9, 1)))).entries().isEmpty(), "not listed");
+    assertEquals(List.of(), successor.on(5, new Inherited(membership.disabled())).entries(), "no news");
+    assertEquals(membership.disabled(), successor.disabled());
+    assertTrue(successor.on(6, new Inherited(List.of(new DisabledBackend(9, 1)))).entries().isEmpty(),
+        "not listed");
     assertEquals(Phase.DRAINING, successor.on(7, changes(entry(9, Phase.SERVING, 0))).entries().get(0)
         .phase());
   }
@@ -100,15 +101,15 @@
   @Test
   void theOutAreBounded() {
     List<BackendEntry> many = new ArrayList<>();
-    List<Out> out = new ArrayList<>();
-    for (long id = 0; id <= Membership.MOST_OUT; id++) {
+    List<DisabledBackend> out = new ArrayList<>();
+    for (long id = 0; id <= Membership.MAX_OUT; id++) {
       many.add(entry(id, Phase.SERVING, 0));
-      out.add(new Out(id, 1));
+      out.add(new DisabledBackend(id, 1));
     }
     membership.on(1, new Listed(true, many));
     membership.on(2, new Inherited(out));
-    assertEquals(Membership.MOST_OUT, membership.out().size());
-    assertFalse(membership.on(3, new TakeOut(Membership.MOST_OUT)).known());
+    assertEquals(Membership.MAX_OUT, membership.disabled().size());
+    assertFalse(membership.on(3, new TakeOut(Membership.MAX_OUT)).known());
     assertTrue(membership.on(4, new TakeOut(0)).known());
   }
 
@@ -117,23 +118,24 @@
   void outByTwoWordsItIsBackWithTheSecond() {
     membership.on(1, full(entry(1, Phase.SERVING, 0)));
     membership.on(2_000, new TakeOut(1));
-    assertEquals(Phase.DRAINING, membership.on(2_100, new AgreedOut(1)).entries().get(0).phase());
+    assertEquals(Phase.DRAINING, membership.on(2_100, new FleetTakeOut(1)).entries().get(0).phase());
     assertEquals(Phase.DRAINING, membership.on(3_000, new PutBack(1)).entries().get(0).phase());
-    assertEquals(List.of(), membership.out(), "the other process hears of the fleet's word itself");
-    assertEquals(List.of(entry(1, Phase.SERVING, 4_000)), membership.on(4_000, new AgreedBack(1)).entries());
-    assertEquals(List.of(), membership.on(5_000, new AgreedBack(1)).entries());
+    assertEquals(List.of(), membership.disabled(), "the other process hears of the fleet's word itself");
+    assertEquals(List.of(entry(1, Phase.SERVING, 4_000)),
+        membership.on(4_000, new FleetPutBack(1)).entries());
+    assertEquals(List.of(), membership.on(5_000, new FleetPutBack(1)).entries());
   }
 
   /** The fleet knows it from another door's list. */
   @Test
   void whatTheFleetHasOutIsOutOnceItIsListed() {
-    membership.on(1, new AgreedOut(7));
+    membership.on(1, new FleetTakeOut(7));
     assertEquals(Phase.DRAINING, membership.on(2, full(entry(7, Phase.SERVING, 0))).entries().get(0).phase());
-    for (int i = 0; i < Membership.MOST_OUT; i++) {
-      membership.on(3, new AgreedOut(i));
+    for (int i = 0; i < Membership.MAX_OUT; i++) {
+      membership.on(3, new FleetTakeOut(i));
     }
-    assertFalse(membership.on(4, new AgreedOut(Membership.MOST_OUT)).known());
-    assertTrue(membership.on(4, new AgreedOut(7)).known());
+    assertFalse(membership.on(4, new FleetTakeOut(Membership.MAX_OUT)).known());
+    assertTrue(membership.on(4, new FleetTakeOut(7)).known());
   }
 
   /** Every order, with repeats, of six events that concern one backend, against what each rule says of it. */
@@ -163,7 +165,7 @@
     for (int i = 0; i < length; i++, rest /= events.size()) {
       MembershipEvent event = events.get(rest % events.size());
       history += event + "; ";
-      Told told = m.on(1000 + i, event);
+      RosterUpdate told = m.on(1000 + i, event);
       boolean known = true;
       if (event instanceof TakeOut) {
         known = out || listed;
@@ -187,7 +189,7 @@
         assertEquals(out ? Phase.DRAINING : Phase.SERVING, heard.phase(), history);
         assertTrue(heard.startedMs() >= start, history);
       }
-      assertEquals(out ? 1 : 0, m.out().size(), history);
+      assertEquals(out ? 1 : 0, m.disabled().size(), history);
     }
   }
 }
--- a/policy/src/test/java/willowdoor/policy/CounterWorld.java
+++ b/policy/src/test/java/willowdoor/policy/CounterWorld.java
@@ -246,7 +246,7 @@
       }
       for (WatchAction a : watch.on(now, e)) {
         if (a instanceof WatchAction.Check c) {
-          call(c.name(), c.amount(), c.ttlMs(), total -> watch(new WatchEvent.Answered(c.number(),
+          call(c.name(), c.amount(), c.ttlMs(), total -> watch(new WatchEvent.CheckEnded(c.number(),
               total == Double.NEGATIVE_INFINITY ? Double.NaN : total)));
         } else if (a instanceof WatchAction.Replaced r) {
           tell(new CounterReplaced(r.lostSinceMs()));
@@ -260,9 +260,9 @@
       CeilingShare share = null;
       for (RightsAction a : rights.on(now, e)) {
         if (a instanceof RightsAction.Share s) {
-          share = new CeilingShare(s.share(), s.untilMs(), s.then());
+          share = new CeilingShare(s.share(), s.untilMs(), s.shareAfter());
         } else if (a instanceof RightsAction.Call c) {
-          call(c.name(), c.amount(), c.ttlMs(), total -> rights(new RightsEvent.Answered(c.name(),
+          call(c.name(), c.amount(), c.ttlMs(), total -> rights(new RightsEvent.CallEnded(c.name(),
               total == Double.NEGATIVE_INFINITY ? Double.NaN : total)));
         } else if (a instanceof RightsAction.WakeAt w) {
           later(w.atMs(), () -> rights(new RightsEvent.Woken()));
@@ -415,7 +415,7 @@
     Request r = new Request(id, "safe", t.plan().name(), f.number, t.spread(), units, now + 4000, place,
         null);
     if (divided && t.plan().ceilingRate() > 0) {
-      r = r.with(d.rights(new RightsEvent.Asked(f.number, t.spread(), place, t.plan().ceilingRate(),
+      r = r.with(d.rights(new RightsEvent.Requested(f.number, t.spread(), place, t.plan().ceilingRate(),
           t.plan().ceilingBurst(), MOST_UNITS, units)));
     }
     d.tell(r);
--- a/policy/src/test/java/willowdoor/recovery/CeilingRightsTest.java
+++ b/policy/src/test/java/willowdoor/recovery/CeilingRightsTest.java
@@ -15,9 +15,9 @@
 import willowdoor.recovery.RightsAction.Call;
 import willowdoor.recovery.RightsAction.Share;
 import willowdoor.recovery.RightsAction.WakeAt;
-import willowdoor.recovery.RightsEvent.Answered;
-import willowdoor.recovery.RightsEvent.Asked;
-import willowdoor.recovery.RightsEvent.Begun;
+import willowdoor.recovery.RightsEvent.CallEnded;
+import willowdoor.recovery.RightsEvent.Requested;
+import willowdoor.recovery.RightsEvent.Activated;
 import willowdoor.recovery.RightsEvent.HandedOver;
 import willowdoor.recovery.RightsEvent.Woken;
 
@@ -29,15 +29,15 @@
   private static final double MOST = 8;
   private static final long FIRM = 42;
   /** Some era of the firm, well after the doors' births. */
-  private static final double ERA = CeilingRights.ERA_MS * 50
-      - Math.floorMod(FIRM * 0x9E3779B97F4A7C15L, (long) CeilingRights.ERA_MS);
+  private static final double ERA = CeilingRights.PERIOD_MS * 50
+      - Math.floorMod(FIRM * 0x9E3779B97F4A7C15L, (long) CeilingRights.PERIOD_MS);
 
   private final Map<String, Double> counter = new HashMap<>();
   private boolean answering = true;
   private int calls;
 
-  private static Asked asked(int doors, int place, double units) {
-    return new Asked(FIRM, doors, place, RATE, BURST, MOST, units);
+  private static Requested asked(int doors, int place, double units) {
+    return new Requested(FIRM, doors, place, RATE, BURST, MOST, units);
   }
 
   /** Tells one door of an event and answers its calls; gives its share, if one was told. */
@@ -49,10 +49,10 @@
         share = s;
       } else if (actions.get(i) instanceof Call c) {
         calls++;
-        assertTrue(CeilingRights.owns(c.name()) && c.name().length() <= 64, c.name());
+        assertTrue(CeilingRights.ownsName(c.name()) && c.name().length() <= 64, c.name());
         double total = answering ? counter.merge(c.name(), c.amount(), Double::sum) : Double.NaN;
         assertTrue(!(total >= 1e7), "the counter keeps seven digits: " + total);
-        actions.addAll(door.on(now, new Answered(c.name(), total)));
+        actions.addAll(door.on(now, new CallEnded(c.name(), total)));
       }
     }
     return share;
@@ -106,11 +106,11 @@
   @Test
   void giftsEndBeforeTheEraDoesAndTheGiverHasThemBackAfterIt() {
     List<CeilingRights> doors = doors(4);
-    double end = ERA + CeilingRights.ERA_MS;
+    double end = ERA + CeilingRights.PERIOD_MS;
     skewed(doors, ERA, 12_000);
     Share had = tell(doors.get(0), ERA + 12_000, asked(4, 0, 1));
-    assertTrue(had.share() > 0.25 && had.then() == 0.25, had::toString);
-    assertEquals(end - CeilingRights.GUARD_MS, had.untilMs());
+    assertTrue(had.share() > 0.25 && had.shareAfter() == 0.25, had::toString);
+    assertEquals(end - CeilingRights.CLOCK_SKEW_GUARD_MS, had.untilMs());
     assertEquals(0.25, tell(doors.get(0), had.untilMs(), asked(4, 0, 1)).share());
     Share gave = tell(doors.get(1), end - 1, asked(4, 1, 1));
     assertTrue(gave.share() < 0.25 && gave.untilMs() == Double.POSITIVE_INFINITY, gave::toString);
@@ -127,7 +127,7 @@
     double given = tell(doors.get(1), now, asked(2, 1, 1)).share();
     assertTrue(given < 0.5, "gave nothing: " + given);
     tell(doors.get(1), now, new HandedOver());
-    tell(next, now, new Begun());
+    tell(next, now, new Activated());
     int before = calls;
     assertEquals(0, tell(doors.get(1), now + 10, asked(2, 1, 8)).share());
     tell(doors.get(1), now + 1_500, new Woken());
@@ -136,9 +136,9 @@
     assertTrue(floor > 0 && floor <= given, floor + " after " + given);
     assertTrue(floor + tell(doors.get(0), now + 10, asked(2, 0, 1)).share() <= 1);
     // The successor died: the old life can't know what that one has spent.
-    tell(doors.get(1), now + 2_000, new Begun());
+    tell(doors.get(1), now + 2_000, new Activated());
     assertEquals(floor, tell(doors.get(1), now + 2_000, asked(2, 1, 1)).share());
-    assertEquals(0.5, tell(doors.get(1), ERA + 2 * CeilingRights.ERA_MS, asked(2, 1, 1)).share());
+    assertEquals(0.5, tell(doors.get(1), ERA + 2 * CeilingRights.PERIOD_MS, asked(2, 1, 1)).share());
   }
 
   @Test
@@ -148,13 +148,13 @@
     double[] shares = skewed(doors, ERA + 5_000, 10_000);
     assertEquals(0.25, shares[1], "the life before may have given the rest away");
     assertEquals(0.5, shares[0], "nothing is given by one that can't know what is left");
-    assertEquals(0.5, tell(born, ERA + CeilingRights.ERA_MS + 1, asked(2, 1, 1)).share());
+    assertEquals(0.5, tell(born, ERA + CeilingRights.PERIOD_MS + 1, asked(2, 1, 1)).share());
   }
 
   /** Its clock may have been set anew with it. */
   @Test
   void soDoesOneThatWasBornRightBeforeTheEra() {
-    CeilingRights born = new CeilingRights(ERA - CeilingRights.GUARD_MS / 2);
+    CeilingRights born = new CeilingRights(ERA - CeilingRights.CLOCK_SKEW_GUARD_MS / 2);
     assertEquals(0.25, tell(born, ERA + 10, asked(2, 1, 1)).share());
   }
 
@@ -198,16 +198,16 @@
     long era = 50;
     String gifts = Long.toString(FIRM, 36) + "^0:" + era;
     for (double total : new double[] {-1, 0.5, 2_500, 1e9, Double.POSITIVE_INFINITY, 17 * 50, 7}) {
-      tell(door, ERA + 2, new Answered(gifts, total));
+      tell(door, ERA + 2, new CallEnded(gifts, total));
       assertEquals(0.5, tell(door, ERA + 3, asked(2, 0, 1)).share(), "after a total of " + total);
     }
-    tell(door, ERA + 2, new Answered(gifts, 16 * 50));
+    tell(door, ERA + 2, new CallEnded(gifts, 16 * 50));
     assertEquals(0.75, tell(door, ERA + 3, asked(2, 0, 1)).share());
-    tell(door, ERA + 2, new Answered(gifts, 3 * 50));
+    tell(door, ERA + 2, new CallEnded(gifts, 3 * 50));
     assertEquals(0.75, tell(door, ERA + 3, asked(2, 0, 1)).share(), "what was given stays given");
-    tell(door, ERA + 2, new Answered(Long.toString(FIRM, 36) + "^0:49", 5 * 50));
-    tell(door, ERA + 2, new Answered(Long.toString(99, 36) + "^0:50", 5 * 50));
-    tell(door, ERA + 2, new Answered(Long.toString(FIRM, 36) + "^1:50", 5 * 50));
+    tell(door, ERA + 2, new CallEnded(Long.toString(FIRM, 36) + "^0:49", 5 * 50));
+    tell(door, ERA + 2, new CallEnded(Long.toString(99, 36) + "^0:50", 5 * 50));
+    tell(door, ERA + 2, new CallEnded(Long.toString(FIRM, 36) + "^1:50", 5 * 50));
     assertEquals(0.75, tell(door, ERA + 3, asked(2, 0, 1)).share(), "others' names say nothing");
   }
 
@@ -234,19 +234,20 @@
   @Test
   void callsAndFirmsAreBounded() {
     CeilingRights door = new CeilingRights(0);
-    int most = CeilingRights.MOST_FIRMS + 1_000;
+    int most = CeilingRights.MAX_FIRMS + 1_000;
     for (int i = 0; i < most; i++) {
-      Share s = tell(door, ERA, new Asked(i, 2, 0, RATE, BURST, MOST, 1));
+      Share s = tell(door, ERA, new Requested(i, 2, 0, RATE, BURST, MOST, 1));
       assertEquals(0.5, s.share());
     }
-    assertEquals(CeilingRights.CALLS_PER_S, calls, "at one moment");
+    assertEquals(CeilingRights.MAX_CALLS_PER_S, calls, "at one moment");
     calls = 0;
     for (double t = ERA; t <= ERA + 1_000; t += 250) {
       tell(door, t, new Woken());
     }
-    assertTrue(calls <= CeilingRights.CALLS_PER_S + 1, calls + " in a second");
+    assertTrue(calls <= CeilingRights.MAX_CALLS_PER_S + 1, calls + " in a second");
     // After an era without a word the eldest makes room.
-    assertEquals(0.5, tell(door, ERA + 2 * CeilingRights.ERA_MS, new Asked(most, 2, 0, RATE, BURST, MOST, 1))
+    assertEquals(0.5,
+        tell(door, ERA + 2 * CeilingRights.PERIOD_MS, new Requested(most, 2, 0, RATE, BURST, MOST, 1))
         .share());
   }
 
@@ -256,14 +257,14 @@
     CeilingRights door = new CeilingRights(0);
     assertEquals(0.25, tell(door, ERA, asked(4, 0, 1)).share());
     assertEquals(0.25, tell(door, ERA + 1, asked(2, 0, 1)).share());
-    assertEquals(0.5, tell(door, ERA + CeilingRights.ERA_MS, asked(2, 0, 1)).share());
+    assertEquals(0.5, tell(door, ERA + CeilingRights.PERIOD_MS, asked(2, 0, 1)).share());
   }
 
   @Test
   void itAsksToBeWoken() {
     assertTrue(new CeilingRights(0).on(100, new Woken()).contains(new WakeAt(350)));
-    assertFalse(CeilingRights.owns("16:4"));
-    assertFalse(CeilingRights.owns("~d1:4"));
+    assertFalse(CeilingRights.ownsName("16:4"));
+    assertFalse(CeilingRights.ownsName("~d1:4"));
   }
 
   /**
@@ -280,7 +281,7 @@
     double[] skew = new double[n];
     for (int i = 0; i < n; i++) {
       doors[i] = new CeilingRights(0);
-      skew[i] = random.nextDouble() * (CeilingRights.GUARD_MS - 1) / 2;
+      skew[i] = random.nextDouble() * (CeilingRights.CLOCK_SKEW_GUARD_MS - 1) / 2;
     }
     List<Map<String, Double>> counters = new ArrayList<>(List.of(new HashMap<>(), new HashMap<>()));
     boolean split = false;
@@ -305,7 +306,7 @@
       Map<String, Double> at = counters.get(split ? i % 2 : 0);
       double mine = now + skew[i];
       RightsEvent event = random.nextInt(10) == 0 ? new Woken()
-          : new Asked(FIRM, n, i, RATE, BURST, MOST, 1 + random.nextInt(8));
+          : new Requested(FIRM, n, i, RATE, BURST, MOST, 1 + random.nextInt(8));
       List<RightsAction> actions = new ArrayList<>(doors[i].on(mine, event));
       for (int k = 0; k < actions.size(); k++) {
         if (actions.get(k) instanceof Share s) {
@@ -313,7 +314,7 @@
         } else if (actions.get(k) instanceof Call c) {
           int fate = random.nextInt(20);
           double total = fate == 0 ? Double.NaN : at.merge(c.name(), c.amount(), Double::sum);
-          actions.addAll(doors[i].on(mine, new Answered(c.name(), fate == 1 ? Double.NaN : total)));
+          actions.addAll(doors[i].on(mine, new CallEnded(c.name(), fate == 1 ? Double.NaN : total)));
         }
       }
       // What a door would be told now, had it just been asked: without a request it uses nothing.
@@ -330,7 +331,7 @@
   }
 
   private static Share share(CeilingRights door, double now, int n, int place) {
-    return door.on(now, new Asked(FIRM, n, place, RATE, BURST, MOST, 0)).stream()
+    return door.on(now, new Requested(FIRM, n, place, RATE, BURST, MOST, 0)).stream()
         .filter(Share.class::isInstance).map(Share.class::cast).findFirst().orElseThrow();
   }
 }
--- a/policy/src/test/java/willowdoor/recovery/CounterWatchTest.java
+++ b/policy/src/test/java/willowdoor/recovery/CounterWatchTest.java
@@ -17,7 +17,7 @@
 import willowdoor.recovery.WatchAction.Origin;
 import willowdoor.recovery.WatchAction.Replaced;
 import willowdoor.recovery.WatchAction.WakeAt;
-import willowdoor.recovery.WatchEvent.Answered;
+import willowdoor.recovery.WatchEvent.CheckEnded;
 import willowdoor.recovery.WatchEvent.Connected;
 import willowdoor.recovery.WatchEvent.Woken;
 
@@ -55,7 +55,7 @@
       if (a instanceof Replaced r) {
         told = r;
       } else if (a instanceof Check c) {
-        Replaced further = answerAll(now, watch.on(now, new Answered(c.number(), counter.add(now, c))));
+        Replaced further = answerAll(now, watch.on(now, new CheckEnded(c.number(), counter.add(now, c))));
         told = further == null ? told : further;
       }
     }
@@ -73,7 +73,7 @@
   @Test
   void theSameCounterIsNeverTakenForAnotherForMinutes() {
     assertEquals(null, connect(0));
-    assertTrue(watch.vouched());
+    assertTrue(watch.hasConfirmedTotal());
     for (double t = 0; t < 600_000; t += 250) {
       assertEquals(null, wake(t), "at " + t);
     }
@@ -130,10 +130,10 @@
     }
     counter = new Model();
     Check first = (Check) watch.on(28_100, new Connected(0)).get(0);
-    List<WatchAction> asks = watch.on(28_101, new Answered(first.number(), counter.add(28_101, first)));
+    List<WatchAction> asks = watch.on(28_101, new CheckEnded(first.number(), counter.add(28_101, first)));
     assertEquals(1, asks.size());
     assertEquals(List.of(), watch.on(28_102, new Connected(1)), "nothing else meanwhile");
-    List<WatchAction> told = watch.on(28_200, new Answered(((Check) asks.get(0)).number(), Double.NaN));
+    List<WatchAction> told = watch.on(28_200, new CheckEnded(((Check) asks.get(0)).number(), Double.NaN));
     assertEquals(new Replaced(2, Origin.EMPTY, Double.NEGATIVE_INFINITY), told.get(0));
     assertEquals(null, answerAll(28_200, told.subList(1, told.size())));
   }
@@ -146,9 +146,9 @@
     Check old = (Check) actions.get(0);
     Check fresh = (Check) actions.get(1);
     assertFalse(old.name().equals(fresh.name()));
-    watch.on(25_301, new Answered(old.number(), counter.add(25_301, old)));
+    watch.on(25_301, new CheckEnded(old.number(), counter.add(25_301, old)));
     counter = new Model();
-    watch.on(25_302, new Answered(fresh.number(), counter.add(25_302, fresh)));
+    watch.on(25_302, new CheckEnded(fresh.number(), counter.add(25_302, fresh)));
     assertEquals(Origin.EMPTY, wake(25_600).origin());
   }
 
@@ -166,7 +166,7 @@
       for (WatchAction a : watch.on(i * 300, new Woken())) {
         if (a instanceof Check c) {
           counter.add(i * 300, c);
-          watch.on(i * 300, new Answered(c.number(), Double.NaN));
+          watch.on(i * 300, new CheckEnded(c.number(), Double.NaN));
         }
       }
     }
@@ -175,7 +175,7 @@
     double total = counter.add(13_300, late);
     counter = new Model();
     assertEquals(Origin.EMPTY, connect(13_400).origin());
-    assertEquals(List.of(), watch.on(13_500, new Answered(late.number(), total)));
+    assertEquals(List.of(), watch.on(13_500, new CheckEnded(late.number(), total)));
     assertEquals(2, watch.incarnation());
   }
 
@@ -186,12 +186,12 @@
     for (int i = 0; i < 200; i++) {
       sent += (int) watch.on(i, new Connected(i)).stream().filter(Check.class::isInstance).count();
     }
-    assertEquals(CounterWatch.MOST_OUT, sent);
+    assertEquals(CounterWatch.MAX_PENDING_CHECKS, sent);
   }
 
   @Test
   void itAsksToBeWokenAndChecksNoMoreOftenThanItSays() {
-    assertTrue(watch.on(0, new Woken()).contains(new WakeAt(CounterWatch.CHECK_MS)));
+    assertTrue(watch.on(0, new Woken()).contains(new WakeAt(CounterWatch.CHECK_INTERVAL_MS)));
     assertTrue(watch.on(100, new Woken()).stream().noneMatch(Check.class::isInstance));
   }
 
@@ -238,22 +238,22 @@
         List<Check> lost = new ArrayList<>(wire);
         wire.clear();
         for (Check c : lost) {
-          for (WatchAction a : watch.on(now, new Answered(c.number(), Double.NaN))) {
+          for (WatchAction a : watch.on(now, new CheckEnded(c.number(), Double.NaN))) {
             // It was asking for an older name at the counter before.
             assertTrue(replaced || !(a instanceof Replaced), "false alarm, seed " + seed + " step " + step);
             replaced &= !(a instanceof Replaced);
             told += a instanceof Replaced ? 1 : 0;
           }
         }
-        boolean noticeable = watch.vouched() && lacks;
+        boolean noticeable = watch.hasConfirmedTotal() && lacks;
         replaced |= lacks;
         List<WatchAction> first = watch.on(now, new Connected(1));
         boolean seen = first.stream().anyMatch(Replaced.class::isInstance);
         for (WatchAction a : first) {
           if (a instanceof Check c) {
-            List<WatchAction> then = watch.on(now, new Answered(c.number(), counter.add(now, c)));
+            List<WatchAction> then = watch.on(now, new CheckEnded(c.number(), counter.add(now, c)));
             if (!seen && then.size() == 1 && then.get(0) instanceof Check older) {
-              then = watch.on(now, new Answered(older.number(), counter.add(now, older)));
+              then = watch.on(now, new CheckEnded(older.number(), counter.add(now, older)));
             }
             seen |= then.stream().anyMatch(Replaced.class::isInstance);
             then.stream().filter(Check.class::isInstance).forEach(x -> wire.add((Check) x));
@@ -276,7 +276,7 @@
         // Only what the door has been told counts as confirmed: a copy may lack the rest unnoticed.
         boolean heard = random.nextInt(10) > 0;
         lacks |= heard;
-        actions = watch.on(now, new Answered(c.number(), heard ? total : Double.NaN));
+        actions = watch.on(now, new CheckEnded(c.number(), heard ? total : Double.NaN));
       } else {
         actions = watch.on(now, new Woken());
       }
@@ -300,7 +300,7 @@
           at = i == emptiedAfter ? new Model() : at;
           double total = at.add(2, asked.get(i));
           confirmed |= !lost && i < emptiedAfter;
-          door.on(2, new Answered(asked.get(i).number(), lost ? Double.NaN : total));
+          door.on(2, new CheckEnded(asked.get(i).number(), lost ? Double.NaN : total));
         }
         at = asked.size() <= emptiedAfter ? new Model() : at;
         boolean told = false;
@@ -308,7 +308,7 @@
           for (WatchAction a : door.on(now, new Woken())) {
             told |= a instanceof Replaced;
             if (a instanceof Check c) {
-              told |= door.on(now, new Answered(c.number(), at.add(now, c))).stream()
+              told |= door.on(now, new CheckEnded(c.number(), at.add(now, c))).stream()
                   .anyMatch(x -> x instanceof Replaced);
             }
           }
--- a/policy/src/test/java/willowdoor/rollout/EvidenceTest.java
+++ b/policy/src/test/java/willowdoor/rollout/EvidenceTest.java
@@ -16,12 +16,12 @@
    */
   private static int roundsUntilAlarm(long seed, double released, double others, Comparison by) {
     Random random = new Random(seed);
-    Evidence evidence = Evidence.none(0);
+    Evidence evidence = Evidence.empty(0);
     for (int round = 1; round <= ROUNDS; round++) {
       double surge = 1 + Math.sin(round / 7.0);
       evidence = evidence.with(true, tally(random, 20, released * surge))
-          .with(false, tally(random, 180, others * surge)).closed(round * 1_000.0, by);
-      if (evidence.worse(by) != null) {
+          .with(false, tally(random, 180, others * surge)).withRoundClosed(round * 1_000.0, by);
+      if (evidence.describeRegression(by) != null) {
         return round;
       }
     }
@@ -52,21 +52,21 @@
   void oneThatRefusesATenthMoreIsFoundWithinAMinute() {
     int found = 0;
     for (int seed = 1; seed <= 200; seed++) {
-      found += roundsUntilAlarm(seed, 0.14, 0.04, Comparison.USUAL) <= 60 ? 1 : 0;
+      found += roundsUntilAlarm(seed, 0.14, 0.04, Comparison.DEFAULT) <= 60 ? 1 : 0;
     }
     assertTrue(found >= 198, found + " of 200");
   }
 
   @Test
   void saysWhatIsWorse() {
-    Evidence evidence = Evidence.none(0);
-    assertNull(evidence.worse(Comparison.USUAL));
+    Evidence evidence = Evidence.empty(0);
+    assertNull(evidence.describeRegression(Comparison.DEFAULT));
     for (int round = 1; round <= 20; round++) {
       evidence = evidence.with(true, new Tally(10, 0, 4, 0)).with(false, new Tally(90, 1, 0, 2))
-          .closed(round * 1_000.0, Comparison.USUAL);
+          .withRoundClosed(round * 1_000.0, Comparison.DEFAULT);
     }
     assertEquals("released doors do worse: failed 80 of 200, the others 0 of 1800",
-        evidence.worse(Comparison.USUAL));
+        evidence.describeRegression(Comparison.DEFAULT));
   }
 
   /**
@@ -74,9 +74,9 @@
    */
   @Test
   void roundsThatCompareNothingTellNothing() {
-    Evidence evidence = Evidence.none(0).with(true, new Tally(100, 100, 0, 0));
-    assertEquals(evidence, evidence.closed(999, Comparison.USUAL));
-    assertNull(evidence.closed(1_000, Comparison.USUAL).worse(Comparison.USUAL));
+    Evidence evidence = Evidence.empty(0).with(true, new Tally(100, 100, 0, 0));
+    assertEquals(evidence, evidence.withRoundClosed(999, Comparison.DEFAULT));
+    assertNull(evidence.withRoundClosed(1_000, Comparison.DEFAULT).describeRegression(Comparison.DEFAULT));
   }
 
   /** A process that begins anew counts from nought again. */
--- a/policy/src/test/java/willowdoor/rollout/RolloutTest.java
+++ b/policy/src/test/java/willowdoor/rollout/RolloutTest.java
@@ -13,38 +13,40 @@
 import org.junit.jupiter.api.Test;
 import willowdoor.rollout.Release.Course;
 import willowdoor.rollout.Release.Mode;
-import willowdoor.rollout.Seen.Held;
+import willowdoor.rollout.TargetStatus.PermitState;
 import willowdoor.rollout.Step.State;
 
 class RolloutTest {
 
-  private static final Plan PLAN = new Plan(Plan.Of.DOORS, "1", "2", List.of(0.01, 0.5, 1.0), 1_000, 500,
+  private static final Plan PLAN = new Plan(Plan.Kind.DOORS, "1", "2", List.of(0.01, 0.5, 1.0), 1_000, 500,
       10_000, 0,
-      Comparison.USUAL);
+      Comparison.DEFAULT);
 
-  private final Map<String, Seen> doors = new LinkedHashMap<>();
-  private final List<Wish> wishes = new ArrayList<>();
+  private final Map<String, TargetStatus> doors = new LinkedHashMap<>();
+  private final List<PermitAction> wishes = new ArrayList<>();
   private Rollout rollout;
   private double now = 1_000;
   private long index;
 
-  private static Seen seen(String door, String version) {
-    return new Seen(door, "a", version, true, 0, 0, 0, 0, Held.NONE, false, "");
+  private static TargetStatus seen(String door, String version) {
+    return new TargetStatus(door, "a", version, true, 0, 0, 0, 0, PermitState.NONE, false, "");
   }
 
-  private void put(Seen x) {
+  private void put(TargetStatus x) {
     doors.put(x.door(), x);
   }
 
-  private Seen with(Seen x, Held held) {
-    return new Seen(x.door(), x.zone(), x.version(), held == Held.NONE, x.lostMs(), x.trying(), x.failed(),
-        x.knows(),
-        held, x.taken(), held == Held.WAITING ? "others are out" : "");
+  private TargetStatus with(TargetStatus x, PermitState held) {
+    return new TargetStatus(x.door(), x.zone(), x.version(), held == PermitState.NONE, x.unreachableMs(),
+        x.startedAttempt(), x.failedAttempt(),
+        x.knownIndex(),
+        held, x.heldByOthers(), held == PermitState.WAITING ? "others are out" : "");
   }
 
   private void begin(int n) {
     for (int i = 1; i <= n; i++) {
-      put(new Seen("d" + i, i % 2 == 1 ? "a" : "b", "1", true, 0, 0, 0, 0, Held.NONE, false, ""));
+      put(new TargetStatus("d" + i, i % 2 == 1 ? "a" : "b", "1", true, 0, 0, 0, 0, PermitState.NONE, false,
+          ""));
     }
     rollout = Rollout.begin(1, "r", "ana", PLAN, now, List.copyOf(doors.values()), 0);
     settle(0);
@@ -53,17 +55,18 @@
   private void settle(double later) {
     now += later;
     wishes.clear();
-    wishes.addAll(rollout.settle(now, ++index, List.copyOf(doors.values())));
+    wishes.addAll(rollout.advance(now, ++index, List.copyOf(doors.values())));
   }
 
   private String asked() {
-    return wishes.stream().filter(Wish.Ask.class::isInstance).map(x ->
-        ((Wish.Ask) x).step().door()).findFirst()
+    return wishes.stream().filter(PermitAction.RequestPermit.class::isInstance).map(x ->
+        ((PermitAction.RequestPermit) x).step().door()).findFirst()
         .orElse(null);
   }
 
   private boolean givenBack(String door) {
-    return wishes.stream().anyMatch(x -> x instanceof Wish.GiveBack e && e.step().door().equals(door));
+    return wishes.stream()
+        .anyMatch(x -> x instanceof PermitAction.ReturnPermit e && e.step().door().equals(door));
   }
 
   private Release state() {
@@ -77,20 +80,20 @@
 
   /** The permit is had, the door goes. */
   private void granted(String door) {
-    put(with(doors.get(door), Held.GRANTED));
+    put(with(doors.get(door), PermitState.GRANTED));
     settle(10);
     assertEquals(State.GOING, step(door));
   }
 
   /** Its new process is there, and the permit comes back. */
   private void replaced(String door) {
-    put(with(seen(door, rollout.due(door, true, now).version()), Held.GRANTED));
+    put(with(seen(door, rollout.dueStep(door, true, now).version()), PermitState.GRANTED));
     settle(10);
     assertTrue(givenBack(door));
-    put(with(doors.get(door), Held.RETURNING));
+    put(with(doors.get(door), PermitState.RETURNING));
     settle(10);
     assertEquals(State.RETURNING, step(door));
-    put(with(doors.get(door), Held.NONE));
+    put(with(doors.get(door), PermitState.NONE));
     settle(10);
     assertNull(step(door));
   }
@@ -120,9 +123,9 @@
     assertEquals(Mode.GOING, state().mode());
     settle(1_000);
     assertEquals(Mode.ENDED, state().mode());
-    assertEquals(4, state().having("2"));
+    assertEquals(4, state().countWithVersion("2"));
     rollout.halt("late");
-    rollout.back("late", now);
+    rollout.rollBack("late", now);
     assertEquals(Mode.ENDED, state().mode());
   }
 
@@ -134,10 +137,10 @@
     settle(1_000);
     settle(0);
     assertEquals("d2", asked());
-    put(with(doors.get("d2"), Held.WAITING));
+    put(with(doors.get("d2"), PermitState.WAITING));
     settle(10);
     assertNull(asked());
-    put(with(doors.get("d2"), Held.GRANTED));
+    put(with(doors.get("d2"), PermitState.GRANTED));
     settle(10);
     assertEquals("d3", asked());
   }
@@ -145,12 +148,12 @@
   @Test
   void aDoorIsToldOnlyOnceItIsEmptyOrHasHadItsTime() {
     begin(2);
-    assertNull(rollout.due("d1", true, now));
+    assertNull(rollout.dueStep("d1", true, now));
     granted("d1");
-    assertNull(rollout.due("d1", false, now));
-    assertEquals("2", rollout.due("d1", true, now).version());
-    assertEquals(1, rollout.due("d1", false, now + 500).attempt());
-    assertNull(rollout.due("d2", true, now + 500));
+    assertNull(rollout.dueStep("d1", false, now));
+    assertEquals("2", rollout.dueStep("d1", true, now).version());
+    assertEquals(1, rollout.dueStep("d1", false, now + 500).attempt());
+    assertNull(rollout.dueStep("d2", true, now + 500));
   }
 
   @Test
@@ -163,31 +166,31 @@
     assertEquals("d3", asked());
     granted("d3");
     assertEquals("d4", asked());
-    put(with(doors.get("d4"), Held.WAITING));
-    Seen d2 = doors.get("d2");
-    put(new Seen("d2", "a", "1", false, 0, 2, 0, index, Held.GRANTED, false, ""));
+    put(with(doors.get("d4"), PermitState.WAITING));
+    TargetStatus d2 = doors.get("d2");
+    put(new TargetStatus("d2", "a", "1", false, 0, 2, 0, index, PermitState.GRANTED, false, ""));
     rollout.halt("halted by rui");
     settle(10);
     assertTrue(givenBack("d4"));
     assertNull(step("d4"));
     assertEquals(State.WITHDRAWN, step("d2"));
-    assertNull(rollout.due("d2", true, now));
+    assertNull(rollout.dueStep("d2", true, now));
     // Neither has said yet that it knows.
     settle(10);
     assertEquals(State.WITHDRAWN, step("d3"));
-    put(new Seen("d3", "a", "1", false, 0, 0, 0, index, Held.GRANTED, false, ""));
-    put(new Seen("d2", "a", "1", false, 0, 2, 0, index, Held.GRANTED, false, ""));
+    put(new TargetStatus("d3", "a", "1", false, 0, 0, 0, index, PermitState.GRANTED, false, ""));
+    put(new TargetStatus("d2", "a", "1", false, 0, 2, 0, index, PermitState.GRANTED, false, ""));
     settle(10);
     assertTrue(givenBack("d3"));
     assertFalse(givenBack("d2"));
-    put(with(d2, Held.GRANTED));
-    put(new Seen("d2", "a", "2", false, 0, 0, 0, index, Held.GRANTED, false, ""));
+    put(with(d2, PermitState.GRANTED));
+    put(new TargetStatus("d2", "a", "2", false, 0, 0, 0, index, PermitState.GRANTED, false, ""));
     settle(10);
     assertTrue(givenBack("d2"));
-    put(with(seen("d2", "2"), Held.NONE));
-    put(with(seen("d3", "1"), Held.NONE));
+    put(with(seen("d2", "2"), PermitState.NONE));
+    put(with(seen("d3", "1"), PermitState.NONE));
     settle(10);
-    assertTrue(state().still());
+    assertTrue(state().hasStopped());
     assertEquals("halted by rui", state().why());
   }
 
@@ -196,12 +199,12 @@
   void aDoorThatIsNotReachedIsUnderWayUntilItIs() {
     begin(4);
     granted("d1");
-    put(new Seen("d1", "a", "", false, 4_000, 0, 0, Long.MAX_VALUE, Held.GRANTED, false, ""));
+    put(new TargetStatus("d1", "a", "", false, 4_000, 0, 0, Long.MAX_VALUE, PermitState.GRANTED, false, ""));
     rollout.halt("x");
     settle(10);
     settle(100_000);
-    assertFalse(state().still());
-    put(new Seen("d1", "a", "1", false, 0, 0, 0, index, Held.GRANTED, false, ""));
+    assertFalse(state().hasStopped());
+    put(new TargetStatus("d1", "a", "1", false, 0, 0, 0, index, PermitState.GRANTED, false, ""));
     settle(10);
     assertTrue(givenBack("d1"));
   }
@@ -210,7 +213,7 @@
   void anAttemptThatCameToNothingHalts() {
     begin(4);
     granted("d1");
-    put(new Seen("d1", "a", "1", false, 0, 1, 1, index, Held.GRANTED, false, ""));
+    put(new TargetStatus("d1", "a", "1", false, 0, 1, 1, index, PermitState.GRANTED, false, ""));
     settle(10);
     assertTrue(givenBack("d1"));
     assertEquals(Mode.HALTED, state().mode());
@@ -220,7 +223,7 @@
   @Test
   void aStepAndAWaitThatTakeTooLongHalt() {
     begin(4);
-    put(with(doors.get("d1"), Held.WAITING));
+    put(with(doors.get("d1"), PermitState.WAITING));
     settle(9_990);
     assertEquals(Mode.GOING, state().mode());
     settle(10);
@@ -228,7 +231,7 @@
     rollout.resume("ana", now);
     settle(10);
     assertNull(asked());
-    put(with(doors.get("d1"), Held.NONE));
+    put(with(doors.get("d1"), PermitState.NONE));
     settle(10);
     settle(10);
     assertEquals("d1", asked());
@@ -246,28 +249,28 @@
     settle(0);
     granted("d2");
     // It has begun, and ends as the new one.
-    put(new Seen("d2", "b", "1", false, 0, 2, 0, 0, Held.GRANTED, false, ""));
-    rollout.back("ana", now);
+    put(new TargetStatus("d2", "b", "1", false, 0, 2, 0, 0, PermitState.GRANTED, false, ""));
+    rollout.rollBack("ana", now);
     settle(10);
     assertEquals(Course.BACK, state().course());
     assertEquals(State.WITHDRAWN, step("d2"));
     assertEquals("d1", asked());
-    put(with(doors.get("d1"), Held.WAITING));
+    put(with(doors.get("d1"), PermitState.WAITING));
     rollout.halt("halted by rui");
     settle(10);
-    put(with(doors.get("d1"), Held.NONE));
-    put(new Seen("d2", "b", "2", false, 0, 0, 0, 0, Held.GRANTED, false, ""));
+    put(with(doors.get("d1"), PermitState.NONE));
+    put(new TargetStatus("d2", "b", "2", false, 0, 0, 0, 0, PermitState.GRANTED, false, ""));
     settle(10);
-    put(with(seen("d2", "2"), Held.NONE));
+    put(with(seen("d2", "2"), PermitState.NONE));
     settle(10);
-    assertTrue(state().still());
-    rollout.back("ana", now);
+    assertTrue(state().hasStopped());
+    rollout.rollBack("ana", now);
     settle(10);
     through("d1");
     through("d2");
     settle(0);
     assertEquals(Mode.ENDED, state().mode());
-    assertEquals(4, state().having("1"));
+    assertEquals(4, state().countWithVersion("1"));
   }
 
   @Test
@@ -280,7 +283,7 @@
     replaced("d1");
     settle(5_000);
     assertNull(asked());
-    assertTrue(state().still());
+    assertTrue(state().hasStopped());
     rollout.resume("ana", now);
     settle(10);
     settle(1_000);
@@ -292,10 +295,10 @@
   void released() {
     begin(4);
     through("d1");
-    put(new Seen("d1", "a", "", false, 1_000, 0, 0, 0, Held.NONE, false, ""));
+    put(new TargetStatus("d1", "a", "", false, 1_000, 0, 0, 0, PermitState.NONE, false, ""));
     settle(10);
     assertEquals(Mode.GOING, state().mode());
-    put(new Seen("d1", "a", "", false, 1_500, 0, 0, 0, Held.NONE, false, ""));
+    put(new TargetStatus("d1", "a", "", false, 1_500, 0, 0, 0, PermitState.NONE, false, ""));
     settle(10);
     assertEquals(Mode.HALTED, state().mode());
     assertEquals("released doors are lost: d1; of the 3 others 0", state().why());
@@ -306,8 +309,8 @@
   void aReleasedDoorThatIsLostWithOthersDoesNotHalt() {
     begin(4);
     through("d1");
-    put(new Seen("d1", "a", "", false, 5_000, 0, 0, 0, Held.NONE, false, ""));
-    put(new Seen("d3", "a", "", false, 4_900, 0, 0, 0, Held.NONE, false, ""));
+    put(new TargetStatus("d1", "a", "", false, 5_000, 0, 0, 0, PermitState.NONE, false, ""));
+    put(new TargetStatus("d3", "a", "", false, 4_900, 0, 0, 0, PermitState.NONE, false, ""));
     settle(10);
     assertEquals(Mode.GOING, state().mode());
   }
@@ -327,12 +330,12 @@
   void aDoorThatDiedInItsStepIsWaitedForAndThenReplaced() {
     begin(2);
     granted("d1");
-    put(new Seen("d1", "a", "", false, 3_000, 0, 0, Long.MAX_VALUE, Held.GRANTED, false, ""));
+    put(new TargetStatus("d1", "a", "", false, 3_000, 0, 0, Long.MAX_VALUE, PermitState.GRANTED, false, ""));
     settle(10);
     assertEquals(State.GOING, step("d1"));
-    put(new Seen("d1", "a", "1", false, 0, 0, 0, index, Held.GRANTED, false, ""));
+    put(new TargetStatus("d1", "a", "1", false, 0, 0, 0, index, PermitState.GRANTED, false, ""));
     settle(10);
-    assertEquals(1, rollout.due("d1", true, now).attempt());
+    assertEquals(1, rollout.dueStep("d1", true, now).attempt());
     replaced("d1");
   }
 
@@ -356,12 +359,12 @@
   void aDoorThatIsAwayIsNotCountedAsReleased() {
     begin(2);
     through("d1");
-    put(new Seen("d2", "b", "", false, 9_000, 0, 0, 0, Held.NONE, false, ""));
+    put(new TargetStatus("d2", "b", "", false, 9_000, 0, 0, 0, PermitState.NONE, false, ""));
     settle(5_000);
     settle(5_000);
     settle(5_000);
     assertEquals(Mode.GOING, state().mode());
-    assertEquals(List.of("d2"), rollout.away());
+    assertEquals(List.of("d2"), rollout.unreachableDoors());
     put(seen("d2", "1"));
     settle(10);
     through("d2");
@@ -371,7 +374,7 @@
   void doorsThatOthersHaveOutAreLeftToThem() {
     begin(2);
     rollout = Rollout.begin(1, "r", "ana", PLAN, now, List.copyOf(doors.values()), 0);
-    put(new Seen("d1", "a", "1", true, 0, 0, 0, 0, Held.NONE, true, ""));
+    put(new TargetStatus("d1", "a", "1", true, 0, 0, 0, 0, PermitState.NONE, true, ""));
     settle(0);
     assertNull(asked());
     put(seen("d1", "1"));
@@ -384,7 +387,7 @@
     begin(4);
     granted("d1");
     rollout = new Rollout(rollout.state());
-    assertEquals(1, rollout.due("d1", true, now).attempt());
+    assertEquals(1, rollout.dueStep("d1", true, now).attempt());
     replaced("d1");
   }
 
@@ -402,14 +405,15 @@
     assertThrows(IllegalArgumentException.class, () -> plan("1", "2"));
     assertThrows(IllegalArgumentException.class, () -> plan("1", "2", 0.5));
     assertThrows(IllegalArgumentException.class, () -> plan("1", "2", 0.5, 0.4, 1.0));
-    assertThrows(IllegalArgumentException.class, () -> new Plan(Plan.Of.DOORS, "1", "2", List.of(1.0), -1, 0,
+    assertThrows(IllegalArgumentException.class,
+        () -> new Plan(Plan.Kind.DOORS, "1", "2", List.of(1.0), -1, 0,
         1, 0,
-        Comparison.USUAL));
+        Comparison.DEFAULT));
     assertThrows(IllegalArgumentException.class, () -> new Comparison(2, 1, 0.1, 1));
     assertThrows(IllegalArgumentException.class, () -> new Comparison(1, 2, 0, 1));
   }
 
   private static Plan plan(String from, String to, Double... waves) {
-    return new Plan(Plan.Of.DOORS, from, to, List.of(waves), 0, 0, 1, 0, Comparison.USUAL);
+    return new Plan(Plan.Kind.DOORS, from, to, List.of(waves), 0, 0, 1, 0, Comparison.DEFAULT);
   }
 }
--- a/store-valkey/src/main/java/willowdoor/valkey/ValkeyStore.java
+++ b/store-valkey/src/main/java/willowdoor/valkey/ValkeyStore.java
@@ -41,7 +41,7 @@
 import willowdoor.recovery.WatchAction.Replaced;
 import willowdoor.recovery.WatchAction.WakeAt;
 import willowdoor.recovery.WatchEvent;
-import willowdoor.recovery.WatchEvent.Answered;
+import willowdoor.recovery.WatchEvent.CheckEnded;
 import willowdoor.recovery.WatchEvent.Connected;
 import willowdoor.recovery.WatchEvent.Woken;
 
@@ -355,7 +355,7 @@
     for (WatchAction action : told.on(clock.getAsDouble(), event)) {
       if (action instanceof Check c) {
         call(c.name(), c.amount(), c.ttlMs(), (status, total) -> loop.execute(() ->
-            tell(told, new Answered(c.number(), status == Status.OK ? total : Double.NaN))));
+            tell(told, new CheckEnded(c.number(), status == Status.OK ? total : Double.NaN))));
       } else if (action instanceof Replaced r) {
         LOG.info("other counts answer than before (" + r.origin() + ")");
         listener.replaced(r.lostSinceMs());
