--- a/policy/src/test/java/willowdoor/membership/MembershipTest.java
+++ b/policy/src/test/java/willowdoor/membership/MembershipTest.java
@@ -21,14 +21,14 @@
 /** The merge of lists and operators' words: single histories, and every order of a handful of events. */
 class MembershipTest {
 
-  private static final double FIRST_START = 500;
+  private static final double FIRST_START_MS = 500;
   private final Membership membership = new Membership();
 
   private static BackendEntry entry(long id, Phase phase, double startedMs) {
     return new BackendEntry(id, "a", 0, phase, 1, startedMs);
   }
 
-  private static Listed full(BackendEntry... entries) {
+  private static Listed fullList(BackendEntry... entries) {
     return new Listed(true, List.of(entries));
   }
 
@@ -37,12 +37,13 @@
   }
 
   @Test
-  void oneThatIsOutDrainsWhateverTheListsSay() {
-    membership.on(1, full(entry(1, Phase.SERVING, 0), entry(2, Phase.SERVING, 0)));
-    RosterUpdate out = membership.on(2, new TakeOut(1));
-    assertEquals(List.of(entry(1, Phase.DRAINING, 0)), out.entries());
-    assertFalse(out.full());
-    assertEquals(Phase.DRAINING, membership.on(3, full(entry(1, Phase.SERVING, 9))).entries().get(0).phase());
+  void aBackendTakenOutIsDrainingWhateverTheListsSay() {
+    membership.on(1, fullList(entry(1, Phase.SERVING, 0), entry(2, Phase.SERVING, 0)));
+    RosterUpdate update = membership.on(2, new TakeOut(1));
+    assertEquals(List.of(entry(1, Phase.DRAINING, 0)), update.entries());
+    assertFalse(update.full());
+    assertEquals(Phase.DRAINING,
+        membership.on(3, fullList(entry(1, Phase.SERVING, 9))).entries().get(0).phase());
     assertEquals(Phase.REMOVED,
         membership.on(4, changes(entry(1, Phase.REMOVED, 9))).entries().get(0).phase());
     assertEquals(Phase.DRAINING,
@@ -50,44 +51,46 @@
   }
 
   @Test
-  void anUnknownOneIsNamedSo() {
+  void unknownBackendsAreReportedAsUnknown() {
     assertFalse(membership.on(1, new TakeOut(7)).known());
     assertFalse(membership.on(1, new PutBack(7)).known());
-    membership.on(2, full(entry(7, Phase.SERVING, 0)));
+    membership.on(2, fullList(entry(7, Phase.SERVING, 0)));
     assertTrue(membership.on(3, new PutBack(7)).known(), "it was never out, and is there");
     assertTrue(membership.on(4, new TakeOut(7)).known());
-    membership.on(5, full());
+    membership.on(5, fullList());
     assertTrue(membership.on(6, new TakeOut(7)).known(), "out, though no list names it");
     assertTrue(membership.on(7, new PutBack(7)).known());
     assertFalse(membership.on(8, new PutBack(7)).known());
   }
 
   @Test
-  void backItIsColdFromTheCallUntilItsStartIsTold() {
-    membership.on(1000, full(entry(1, Phase.SERVING, FIRST_START)));
+  void aBackendPutBackIsColdFromTheCallUntilItsStartIsListed() {
+    membership.on(1000, fullList(entry(1, Phase.SERVING, FIRST_START_MS)));
     membership.on(2000, new TakeOut(1));
     membership.on(2100, new TakeOut(1));
     assertEquals(List.of(entry(1, Phase.SERVING, 5000)), membership.on(5000, new PutBack(1)).entries());
-    assertEquals(5000, membership.on(5100, full(entry(1, Phase.SERVING, FIRST_START))).entries().get(0)
+    assertEquals(5000, membership.on(5100, fullList(entry(1, Phase.SERVING, FIRST_START_MS))).entries().get(0)
         .startedMs(), "a list that is late");
-    assertEquals(3000, membership.on(5200, full(entry(1, Phase.SERVING, 3000))).entries().get(0).startedMs());
-    assertEquals(3000, membership.on(5300, full(entry(1, Phase.SERVING, 3000))).entries().get(0).startedMs());
+    assertEquals(3000,
+        membership.on(5200, fullList(entry(1, Phase.SERVING, 3000))).entries().get(0).startedMs());
+    assertEquals(3000,
+        membership.on(5300, fullList(entry(1, Phase.SERVING, 3000))).entries().get(0).startedMs());
   }
 
   @Test
-  void aStartThatWasToldWhileItWasOutIsItsStart() {
-    membership.on(1000, full(entry(1, Phase.SERVING, 0)));
+  void aStartListedWhileTheBackendWasOutIsItsStart() {
+    membership.on(1000, fullList(entry(1, Phase.SERVING, 0)));
     membership.on(2000, new TakeOut(1));
     membership.on(4000, changes(entry(1, Phase.SERVING, 3500)));
     assertEquals(List.of(entry(1, Phase.SERVING, 3500)), membership.on(5000, new PutBack(1)).entries());
   }
 
   @Test
-  void whatAnotherProcessKnewIsOutHereToo() {
-    membership.on(1, full(entry(1, Phase.SERVING, 0), entry(2, Phase.SERVING, 0)));
+  void backendsTakenOutAtAnotherProcessAreInherited() {
+    membership.on(1, fullList(entry(1, Phase.SERVING, 0), entry(2, Phase.SERVING, 0)));
     membership.on(2, new TakeOut(2));
     Membership successor = new Membership();
-    successor.on(3, full(entry(1, Phase.SERVING, 0), entry(2, Phase.SERVING, 0)));
+    successor.on(3, fullList(entry(1, Phase.SERVING, 0), entry(2, Phase.SERVING, 0)));
     assertEquals(List.of(entry(2, Phase.DRAINING, 0)), successor.on(4, new Inherited(membership.disabled()))
         .entries());
     assertEquals(List.of(), successor.on(5, new Inherited(membership.disabled())).entries(), "no news");
@@ -99,15 +102,15 @@
   }
 
   @Test
-  void theOutAreBounded() {
-    List<BackendEntry> many = new ArrayList<>();
-    List<DisabledBackend> out = new ArrayList<>();
+  void backendsTakenOutAreLimited() {
+    List<BackendEntry> entries = new ArrayList<>();
+    List<DisabledBackend> disabled = new ArrayList<>();
     for (long id = 0; id <= Membership.MAX_OUT; id++) {
-      many.add(entry(id, Phase.SERVING, 0));
-      out.add(new DisabledBackend(id, 1));
+      entries.add(entry(id, Phase.SERVING, 0));
+      disabled.add(new DisabledBackend(id, 1));
     }
-    membership.on(1, new Listed(true, many));
-    membership.on(2, new Inherited(out));
+    membership.on(1, new Listed(true, entries));
+    membership.on(2, new Inherited(disabled));
     assertEquals(Membership.MAX_OUT, membership.disabled().size());
     assertFalse(membership.on(3, new TakeOut(Membership.MAX_OUT)).known());
     assertTrue(membership.on(4, new TakeOut(0)).known());
@@ -115,8 +118,8 @@
 
   /** An operator's word here and the fleet's: it is back when neither has it out. */
   @Test
-  void outByTwoWordsItIsBackWithTheSecond() {
-    membership.on(1, full(entry(1, Phase.SERVING, 0)));
+  void aBackendTakenOutTwiceIsBackAfterBothPutBacks() {
+    membership.on(1, fullList(entry(1, Phase.SERVING, 0)));
     membership.on(2_000, new TakeOut(1));
     assertEquals(Phase.DRAINING, membership.on(2_100, new FleetTakeOut(1)).entries().get(0).phase());
     assertEquals(Phase.DRAINING, membership.on(3_000, new PutBack(1)).entries().get(0).phase());
@@ -128,9 +131,10 @@
 
   /** The fleet knows it from another door's list. */
   @Test
-  void whatTheFleetHasOutIsOutOnceItIsListed() {
+  void aBackendTakenOutByTheFleetIsOutOnceItIsListed() {
     membership.on(1, new FleetTakeOut(7));
-    assertEquals(Phase.DRAINING, membership.on(2, full(entry(7, Phase.SERVING, 0))).entries().get(0).phase());
+    assertEquals(Phase.DRAINING,
+        membership.on(2, fullList(entry(7, Phase.SERVING, 0))).entries().get(0).phase());
     for (int i = 0; i < Membership.MAX_OUT; i++) {
       membership.on(3, new FleetTakeOut(i));
     }
@@ -140,14 +144,14 @@
 
   /** Every order, with repeats, of six events that concern one backend, against what each rule says of it. */
   @Test
-  void everyOrderOfAHandfulOfEventsKeepsTheRules() {
+  void everyOrderOfUpToSixEventsKeepsTheRules() {
     List<MembershipEvent> events = List.of(new TakeOut(1), new PutBack(1),
-        full(entry(1, Phase.SERVING, FIRST_START)), full(), changes(entry(1, Phase.REMOVED, 0)),
+        fullList(entry(1, Phase.SERVING, FIRST_START_MS)), fullList(), changes(entry(1, Phase.REMOVED, 0)),
         changes(entry(1, Phase.SERVING, 5)));
     int orders = 0;
     for (int length = 1; length <= 6; length++) {
-      int all = (int) Math.pow(events.size(), length);
-      for (int order = 0; order < all; order++, orders++) {
+      int orderCount = (int) Math.pow(events.size(), length);
+      for (int order = 0; order < orderCount; order++, orders++) {
         play(events, order, length);
       }
     }
@@ -155,17 +159,17 @@
   }
 
   private static void play(List<MembershipEvent> events, int order, int length) {
-    Membership m = new Membership();
+    Membership membership = new Membership();
     Map<Long, BackendEntry> roster = new HashMap<>();
     boolean out = false;
     boolean listed = false;
-    double start = 0;
+    double startedMs = 0;
     String history = "";
-    int rest = order;
-    for (int i = 0; i < length; i++, rest /= events.size()) {
-      MembershipEvent event = events.get(rest % events.size());
+    int remaining = order;
+    for (int i = 0; i < length; i++, remaining /= events.size()) {
+      MembershipEvent event = events.get(remaining % events.size());
       history += event + "; ";
-      RosterUpdate told = m.on(1000 + i, event);
+      RosterUpdate update = membership.on(1000 + i, event);
       boolean known = true;
       if (event instanceof TakeOut) {
         known = out || listed;
@@ -175,21 +179,21 @@
         out = false;
       } else if (event instanceof Listed e) {
         listed = e.full() ? !e.entries().isEmpty() : e.entries().get(0).phase() != Phase.REMOVED;
-        start = listed ? e.entries().get(0).startedMs() : start;
+        startedMs = listed ? e.entries().get(0).startedMs() : startedMs;
       }
-      assertEquals(known, told.known(), history);
-      if (told.full()) {
+      assertEquals(known, update.known(), history);
+      if (update.full()) {
         roster.clear();
       }
-      told.entries().forEach(e -> roster.put(e.id(), e));
-      BackendEntry heard = roster.get(1L);
-      boolean there = heard != null && heard.phase() != Phase.REMOVED;
-      assertEquals(listed, there, history);
-      if (there) {
-        assertEquals(out ? Phase.DRAINING : Phase.SERVING, heard.phase(), history);
-        assertTrue(heard.startedMs() >= start, history);
+      update.entries().forEach(e -> roster.put(e.id(), e));
+      BackendEntry rosterEntry = roster.get(1L);
+      boolean present = rosterEntry != null && rosterEntry.phase() != Phase.REMOVED;
+      assertEquals(listed, present, history);
+      if (present) {
+        assertEquals(out ? Phase.DRAINING : Phase.SERVING, rosterEntry.phase(), history);
+        assertTrue(rosterEntry.startedMs() >= startedMs, history);
       }
-      assertEquals(out ? 1 : 0, m.disabled().size(), history);
+      assertEquals(out ? 1 : 0, membership.disabled().size(), history);
     }
   }
 }
--- a/policy/src/test/java/willowdoor/recovery/CounterWatchTest.java
+++ b/policy/src/test/java/willowdoor/recovery/CounterWatchTest.java
@@ -25,41 +25,41 @@
 class CounterWatchTest {
 
   /** A counter as the protocol has it: totals by name, forgotten when their life has passed. */
-  private static final class Model {
-    private final Map<String, double[]> names = new HashMap<>();
+  private static final class SimulatedCounter {
+    private final Map<String, double[]> totals = new HashMap<>();
 
     double add(double now, Check c) {
-      double[] held = names.get(c.name());
-      if (held == null || held[1] < now) {
-        held = new double[] {0, now + c.ttlMs()};
-        names.put(c.name(), held);
+      double[] entry = totals.get(c.name());
+      if (entry == null || entry[1] < now) {
+        entry = new double[] {0, now + c.ttlMs()};
+        totals.put(c.name(), entry);
       }
-      held[0] += c.amount();
-      return held[0];
+      entry[0] += c.amount();
+      return entry[0];
     }
 
-    Model copy() {
-      Model other = new Model();
-      names.forEach((n, held) -> other.names.put(n, held.clone()));
+    SimulatedCounter copy() {
+      SimulatedCounter other = new SimulatedCounter();
+      totals.forEach((n, entry) -> other.totals.put(n, entry.clone()));
       return other;
     }
   }
 
   private final CounterWatch watch = new CounterWatch("d1");
-  private Model counter = new Model();
+  private SimulatedCounter counter = new SimulatedCounter();
 
   /** Does all checks among the actions at once; gives the replacement told, or null. */
   private Replaced answerAll(double now, List<WatchAction> actions) {
-    Replaced told = null;
+    Replaced replaced = null;
     for (WatchAction a : new ArrayList<>(actions)) {
       if (a instanceof Replaced r) {
-        told = r;
+        replaced = r;
       } else if (a instanceof Check c) {
         Replaced further = answerAll(now, watch.on(now, new CheckEnded(c.number(), counter.add(now, c))));
-        told = further == null ? told : further;
+        replaced = further == null ? replaced : further;
       }
     }
-    return told;
+    return replaced;
   }
 
   private Replaced connect(double now) {
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void theSameCounterIsNeverTakenForAnotherForMinutes() {
+  void theSameCounterIsNeverReportedAsReplaced() {
     assertEquals(null, connect(0));
     assertTrue(watch.hasConfirmedTotal());
     for (double t = 0; t < 600_000; t += 250) {
@@ -81,86 +81,88 @@
   }
 
   @Test
-  void anEmptyOneIsToldByTheFirstCall() {
+  void anEmptyCounterIsDetectedByTheFirstCall() {
     connect(0);
-    counter = new Model();
+    counter = new SimulatedCounter();
     assertEquals(new Replaced(2, Origin.EMPTY, Double.NEGATIVE_INFINITY), connect(100));
     assertEquals(null, wake(400));
-    counter = new Model();
+    counter = new SimulatedCounter();
     assertEquals(new Replaced(3, Origin.EMPTY, Double.NEGATIVE_INFINITY), wake(700));
   }
 
   @Test
-  void soIsACopyThatLacksTheLastCheckAndNoneThatLacksNothing() {
+  void aCopyIsDetectedOnlyIfItLacksTheLastCheck() {
     connect(0);
-    Model copy = counter.copy();
+    SimulatedCounter copy = counter.copy();
     wake(300);
-    Model whole = counter.copy();
+    SimulatedCounter whole = counter.copy();
     counter = copy;
     assertEquals(new Replaced(2, Origin.OLD_COPY, 0), connect(400), "the check at 0 is the last that it has");
     connect(500);
     counter = counter.copy();
     assertEquals(null, connect(600));
-    assertFalse(whole.names.isEmpty());
+    assertFalse(whole.totals.isEmpty());
   }
 
   /** The copy is older than the current name, so only the name before tells that it is one, and how old. */
   @Test
-  void aCopyFromBeforeTheCurrentNameIsToldFromAnEmptyOne() {
+  void aCopyOlderThanTheCurrentNameIsDistinguishedFromAnEmptyCounter() {
     for (double t = 0; t <= 24_000; t += 250) {
       wake(t);
     }
-    Model copy = counter.copy();
+    SimulatedCounter copy = counter.copy();
     for (double t = 24_250; t <= 28_000; t += 250) {
       wake(t);
     }
     counter = copy;
     assertEquals(new Replaced(2, Origin.OLD_COPY, 24_000), connect(28_100));
     assertEquals(null, wake(28_500));
-    counter = new Model();
+    counter = new SimulatedCounter();
     assertEquals(new Replaced(3, Origin.EMPTY, Double.NEGATIVE_INFINITY), connect(28_600));
   }
 
   /** An answer that never comes must not keep it waiting: it is told as an empty one. */
   @Test
-  void whereTheOlderNameIsNotAnsweredForItIsTakenForEmpty() {
+  void withoutAnAnswerForTheRetiredNameTheCounterCountsAsEmpty() {
     connect(0);
     for (double t = 250; t <= 28_000; t += 250) {
       wake(t);
     }
-    counter = new Model();
+    counter = new SimulatedCounter();
     Check first = (Check) watch.on(28_100, new Connected(0)).get(0);
-    List<WatchAction> asks = watch.on(28_101, new CheckEnded(first.number(), counter.add(28_101, first)));
-    assertEquals(1, asks.size());
+    List<WatchAction> retiredChecks = watch
+        .on(28_101, new CheckEnded(first.number(), counter.add(28_101, first)));
+    assertEquals(1, retiredChecks.size());
     assertEquals(List.of(), watch.on(28_102, new Connected(1)), "nothing else meanwhile");
-    List<WatchAction> told = watch.on(28_200, new CheckEnded(((Check) asks.get(0)).number(), Double.NaN));
-    assertEquals(new Replaced(2, Origin.EMPTY, Double.NEGATIVE_INFINITY), told.get(0));
-    assertEquals(null, answerAll(28_200, told.subList(1, told.size())));
+    List<WatchAction> actions = watch
+        .on(28_200, new CheckEnded(((Check) retiredChecks.get(0)).number(), Double.NaN));
+    assertEquals(new Replaced(2, Origin.EMPTY, Double.NEGATIVE_INFINITY), actions.get(0));
+    assertEquals(null, answerAll(28_200, actions.subList(1, actions.size())));
   }
 
   @Test
-  void aReplacementBetweenTheTwoNamesOfAChangeIsTold() {
+  void aReplacementDuringAChangeOfNamesIsDetected() {
     connect(0);
     wake(25_000);
     List<WatchAction> actions = watch.on(25_300, new Woken());
-    Check old = (Check) actions.get(0);
-    Check fresh = (Check) actions.get(1);
-    assertFalse(old.name().equals(fresh.name()));
-    watch.on(25_301, new CheckEnded(old.number(), counter.add(25_301, old)));
-    counter = new Model();
-    watch.on(25_302, new CheckEnded(fresh.number(), counter.add(25_302, fresh)));
+    Check oldCheck = (Check) actions.get(0);
+    Check newCheck = (Check) actions.get(1);
+    assertFalse(oldCheck.name().equals(newCheck.name()));
+    watch.on(25_301, new CheckEnded(oldCheck.number(), counter.add(25_301, oldCheck)));
+    counter = new SimulatedCounter();
+    watch.on(25_302, new CheckEnded(newCheck.number(), counter.add(25_302, newCheck)));
     assertEquals(Origin.EMPTY, wake(25_600).origin());
   }
 
   @Test
-  void withoutAnyAnswerForTooLongItIsTakenForAnother() {
+  void withoutAnswersForTooLongTheCounterIsReportedAsReplaced() {
     connect(0);
     assertEquals(new Replaced(2, Origin.UNTOLD, Double.NEGATIVE_INFINITY), connect(50_000));
     assertEquals(null, connect(50_100));
   }
 
   @Test
-  void lostAnswersHideNothingAndLateOnesTellNothing() {
+  void lostAnswersHideNoReplacementAndLateAnswersAreIgnored() {
     connect(0);
     for (int i = 1; i <= 40; i++) {
       for (WatchAction a : watch.on(i * 300, new Woken())) {
@@ -173,14 +175,14 @@
     assertEquals(null, connect(13_000));
     Check late = (Check) watch.on(13_300, new Woken()).get(0);
     double total = counter.add(13_300, late);
-    counter = new Model();
+    counter = new SimulatedCounter();
     assertEquals(Origin.EMPTY, connect(13_400).origin());
     assertEquals(List.of(), watch.on(13_500, new CheckEnded(late.number(), total)));
     assertEquals(2, watch.incarnation());
   }
 
   @Test
-  void noMoreChecksAreOutThanTheBound() {
+  void pendingChecksAreLimited() {
     connect(0);
     int sent = 0;
     for (int i = 0; i < 200; i++) {
@@ -190,13 +192,13 @@
   }
 
   @Test
-  void itAsksToBeWokenAndChecksNoMoreOftenThanItSays() {
+  void requestsTheNextWakeUpAndKeepsTheCheckInterval() {
     assertTrue(watch.on(0, new Woken()).contains(new WakeAt(CounterWatch.CHECK_INTERVAL_MS)));
     assertTrue(watch.on(100, new Woken()).stream().noneMatch(Check.class::isInstance));
   }
 
   @Test
-  void badNamesOfDoorsAreNamed() {
+  void invalidDoorNamesAreRejected() {
     assertThrows(IllegalArgumentException.class, () -> new CounterWatch("a b"));
     assertThrows(IllegalArgumentException.class, () -> new CounterWatch(""));
   }
@@ -208,23 +210,23 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-  void noFalseAlarmAndNoReplacementMissedByACheckSentAfterIt(long seed) {
+  void noFalseAlarmsAndNoMissedReplacementsInRandomHistories(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     double now = 0;
-    List<Check> wire = new ArrayList<>();
-    Model copy = counter.copy();
-    boolean lacks = false;
+    List<Check> inFlight = new ArrayList<>();
+    SimulatedCounter copy = counter.copy();
+    boolean copyLacksChecks = false;
     boolean replaced = false;
-    int told = 0;
+    int reported = 0;
     List<WatchAction> actions = watch.on(now, new Connected(0));
     for (int step = 0; step < 30_000; step++) {
       for (WatchAction a : actions) {
         if (a instanceof Check c) {
-          wire.add(c);
+          inFlight.add(c);
         } else if (a instanceof Replaced r) {
           assertTrue(replaced || r.origin() == Origin.UNTOLD, "false alarm, seed " + seed + " step " + step);
           replaced = false;
-          told++;
+          reported++;
         }
       }
       actions = List.of();
@@ -233,87 +235,87 @@
       if (kind < 3) {
         // Another counter, empty or with the copy; what is on the wire is lost with its connections.
         boolean empty = random.nextBoolean();
-        lacks = empty || lacks;
-        counter = empty ? new Model() : copy.copy();
-        List<Check> lost = new ArrayList<>(wire);
-        wire.clear();
+        copyLacksChecks = empty || copyLacksChecks;
+        counter = empty ? new SimulatedCounter() : copy.copy();
+        List<Check> lost = new ArrayList<>(inFlight);
+        inFlight.clear();
         for (Check c : lost) {
           for (WatchAction a : watch.on(now, new CheckEnded(c.number(), Double.NaN))) {
             // It was asking for an older name at the counter before.
             assertTrue(replaced || !(a instanceof Replaced), "false alarm, seed " + seed + " step " + step);
             replaced &= !(a instanceof Replaced);
-            told += a instanceof Replaced ? 1 : 0;
+            reported += a instanceof Replaced ? 1 : 0;
           }
         }
-        boolean noticeable = watch.hasConfirmedTotal() && lacks;
-        replaced |= lacks;
+        boolean noticeable = watch.hasConfirmedTotal() && copyLacksChecks;
+        replaced |= copyLacksChecks;
         List<WatchAction> first = watch.on(now, new Connected(1));
-        boolean seen = first.stream().anyMatch(Replaced.class::isInstance);
+        boolean detected = first.stream().anyMatch(Replaced.class::isInstance);
         for (WatchAction a : first) {
           if (a instanceof Check c) {
-            List<WatchAction> then = watch.on(now, new CheckEnded(c.number(), counter.add(now, c)));
-            if (!seen && then.size() == 1 && then.get(0) instanceof Check older) {
-              then = watch.on(now, new CheckEnded(older.number(), counter.add(now, older)));
+            List<WatchAction> further = watch.on(now, new CheckEnded(c.number(), counter.add(now, c)));
+            if (!detected && further.size() == 1 && further.get(0) instanceof Check older) {
+              further = watch.on(now, new CheckEnded(older.number(), counter.add(now, older)));
             }
-            seen |= then.stream().anyMatch(Replaced.class::isInstance);
-            then.stream().filter(Check.class::isInstance).forEach(x -> wire.add((Check) x));
+            detected |= further.stream().anyMatch(Replaced.class::isInstance);
+            further.stream().filter(Check.class::isInstance).forEach(x -> inFlight.add((Check) x));
           }
         }
-        assertTrue(seen || !noticeable, "missed, seed " + seed + " step " + step);
-        assertTrue(!seen || replaced, "false alarm, seed " + seed + " step " + step);
-        told += seen ? 1 : 0;
-        replaced &= !seen;
-        lacks = false;
+        assertTrue(detected || !noticeable, "missed, seed " + seed + " step " + step);
+        assertTrue(!detected || replaced, "false alarm, seed " + seed + " step " + step);
+        reported += detected ? 1 : 0;
+        replaced &= !detected;
+        copyLacksChecks = false;
         copy = counter.copy();
       } else if (kind < 6) {
         copy = counter.copy();
-        lacks = false;
+        copyLacksChecks = false;
       } else if (kind < 10) {
         actions = watch.on(now, new Connected(random.nextInt(12)));
-      } else if (kind < 400 && !wire.isEmpty()) {
-        Check c = wire.remove(0);
+      } else if (kind < 400 && !inFlight.isEmpty()) {
+        Check c = inFlight.remove(0);
         double total = counter.add(now, c);
         // Only what the door has been told counts as confirmed: a copy may lack the rest unnoticed.
-        boolean heard = random.nextInt(10) > 0;
-        lacks |= heard;
-        actions = watch.on(now, new CheckEnded(c.number(), heard ? total : Double.NaN));
+        boolean answered = random.nextInt(10) > 0;
+        copyLacksChecks |= answered;
+        actions = watch.on(now, new CheckEnded(c.number(), answered ? total : Double.NaN));
       } else {
         actions = watch.on(now, new Woken());
       }
     }
-    assertTrue(told > 5, "replacements told: " + told);
+    assertTrue(reported > 5, "replacements told: " + reported);
   }
 
   /** Guards against first adds of many connections that hide an emptied counter from all later checks. */
   @Test
-  void aCounterEmptiedWhileManyConnectionsComeUpIsNoticed() {
+  void aCounterEmptiedWhileManyConnectionsAreEstablishedIsDetected() {
     for (int emptiedAfter = 1; emptiedAfter <= 12; emptiedAfter++) {
       for (boolean lost : new boolean[] {false, true}) {
         CounterWatch door = new CounterWatch("d2");
-        List<Check> asked = new ArrayList<>();
+        List<Check> checks = new ArrayList<>();
         for (int link = 0; link < 12; link++) {
-          door.on(1, new Connected(link)).forEach(a -> asked.add((Check) a));
+          door.on(1, new Connected(link)).forEach(a -> checks.add((Check) a));
         }
-        Model at = new Model();
+        SimulatedCounter simulated = new SimulatedCounter();
         boolean confirmed = false;
-        for (int i = 0; i < asked.size(); i++) {
-          at = i == emptiedAfter ? new Model() : at;
-          double total = at.add(2, asked.get(i));
+        for (int i = 0; i < checks.size(); i++) {
+          simulated = i == emptiedAfter ? new SimulatedCounter() : simulated;
+          double total = simulated.add(2, checks.get(i));
           confirmed |= !lost && i < emptiedAfter;
-          door.on(2, new CheckEnded(asked.get(i).number(), lost ? Double.NaN : total));
+          door.on(2, new CheckEnded(checks.get(i).number(), lost ? Double.NaN : total));
         }
-        at = asked.size() <= emptiedAfter ? new Model() : at;
-        boolean told = false;
+        simulated = checks.size() <= emptiedAfter ? new SimulatedCounter() : simulated;
+        boolean detected = false;
         for (double now = 300; now < 2_000; now += 250) {
           for (WatchAction a : door.on(now, new Woken())) {
-            told |= a instanceof Replaced;
+            detected |= a instanceof Replaced;
             if (a instanceof Check c) {
-              told |= door.on(now, new CheckEnded(c.number(), at.add(now, c))).stream()
+              detected |= door.on(now, new CheckEnded(c.number(), simulated.add(now, c))).stream()
                   .anyMatch(x -> x instanceof Replaced);
             }
           }
         }
-        assertEquals(confirmed, told, "emptied after " + emptiedAfter + ", answers lost: " + lost);
+        assertEquals(confirmed, detected, "emptied after " + emptiedAfter + ", answers lost: " + lost);
       }
     }
   }
--- a/policy/src/test/java/willowdoor/rollout/EvidenceTest.java
+++ b/policy/src/test/java/willowdoor/rollout/EvidenceTest.java
@@ -14,42 +14,42 @@
   /**
    * One of ten doors is released; of each's requests these parts are refused, rising and falling together.
    */
-  private static int roundsUntilAlarm(long seed, double released, double others, Comparison by) {
+  private static int roundsUntilAlarm(long seed, double released, double others, Comparison comparison) {
     Random random = new Random(seed);
     Evidence evidence = Evidence.empty(0);
     for (int round = 1; round <= ROUNDS; round++) {
       double surge = 1 + Math.sin(round / 7.0);
       evidence = evidence.with(true, tally(random, 20, released * surge))
-          .with(false, tally(random, 180, others * surge)).withRoundClosed(round * 1_000.0, by);
-      if (evidence.describeRegression(by) != null) {
+          .with(false, tally(random, 180, others * surge)).withRoundClosed(round * 1_000.0, comparison);
+      if (evidence.describeRegression(comparison) != null) {
         return round;
       }
     }
     return Integer.MAX_VALUE;
   }
 
-  private static Tally tally(Random random, int asked, double part) {
+  private static Tally tally(Random random, int asked, double refusedShare) {
     int refused = 0;
     for (int i = 0; i < asked; i++) {
-      refused += random.nextDouble() < part ? 1 : 0;
+      refused += random.nextDouble() < refusedShare ? 1 : 0;
     }
     return new Tally(asked, refused, 0, 0);
   }
 
   /** At the edge of what is tolerated, where it is most likely. */
   @Test
-  void falseAlarmsAreNoMoreThanStated() {
-    Comparison by = new Comparison(1.25, 2.5, 0.05, 1);
+  void falseAlarmsStayBelowTheStatedProbability() {
+    Comparison comparison = new Comparison(1.25, 2.5, 0.05, 1);
     int alarms = 0;
     for (int seed = 1; seed <= 1_000; seed++) {
-      alarms += roundsUntilAlarm(seed, 0.04 * 1.25, 0.04, by) <= ROUNDS ? 1 : 0;
+      alarms += roundsUntilAlarm(seed, 0.04 * 1.25, 0.04, comparison) <= ROUNDS ? 1 : 0;
     }
     // Some 17 in 1,000 are a third of 0.05, as one kind of three is played here.
     assertTrue(alarms <= 30 && alarms > 0, alarms + " of 1,000");
   }
 
   @Test
-  void oneThatRefusesATenthMoreIsFoundWithinAMinute() {
+  void tenPercentMoreRefusalsAreDetectedWithinAMinute() {
     int found = 0;
     for (int seed = 1; seed <= 200; seed++) {
       found += roundsUntilAlarm(seed, 0.14, 0.04, Comparison.DEFAULT) <= 60 ? 1 : 0;
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void saysWhatIsWorse() {
+  void describesWhatIsWorse() {
     Evidence evidence = Evidence.empty(0);
     assertNull(evidence.describeRegression(Comparison.DEFAULT));
     for (int round = 1; round <= 20; round++) {
@@ -73,7 +73,7 @@
    * Before it is over a round tells nothing, and one in which only one side was asked tells nothing at all.
    */
   @Test
-  void roundsThatCompareNothingTellNothing() {
+  void roundsWithoutAComparisonAddNoEvidence() {
     Evidence evidence = Evidence.empty(0).with(true, new Tally(100, 100, 0, 0));
     assertEquals(evidence, evidence.withRoundClosed(999, Comparison.DEFAULT));
     assertNull(evidence.withRoundClosed(1_000, Comparison.DEFAULT).describeRegression(Comparison.DEFAULT));
@@ -81,7 +81,7 @@
 
   /** A process that begins anew counts from nought again. */
   @Test
-  void whatIsLessThanBeforeIsOfAnother() {
+  void lowerCountsBelongToAnotherProcess() {
     assertEquals(Tally.NONE, new Tally(3, 0, 0, 0).since(new Tally(9, 0, 0, 0)));
     assertEquals(new Tally(6, 1, 0, 2), new Tally(9, 1, 0, 3).since(new Tally(3, 0, 0, 1)));
   }
--- a/policy/src/test/java/willowdoor/rollout/RolloutTest.java
+++ b/policy/src/test/java/willowdoor/rollout/RolloutTest.java
@@ -22,50 +22,50 @@
       10_000, 0,
       Comparison.DEFAULT);
 
-  private final Map<String, TargetStatus> doors = new LinkedHashMap<>();
-  private final List<PermitAction> wishes = new ArrayList<>();
+  private final Map<String, TargetStatus> statuses = new LinkedHashMap<>();
+  private final List<PermitAction> actions = new ArrayList<>();
   private Rollout rollout;
-  private double now = 1_000;
+  private double nowMs = 1_000;
   private long index;
 
-  private static TargetStatus seen(String door, String version) {
+  private static TargetStatus status(String door, String version) {
     return new TargetStatus(door, "a", version, true, 0, 0, 0, 0, PermitState.NONE, false, "");
   }
 
   private void put(TargetStatus x) {
-    doors.put(x.door(), x);
+    statuses.put(x.door(), x);
   }
 
-  private TargetStatus with(TargetStatus x, PermitState held) {
-    return new TargetStatus(x.door(), x.zone(), x.version(), held == PermitState.NONE, x.unreachableMs(),
+  private TargetStatus withPermit(TargetStatus x, PermitState permit) {
+    return new TargetStatus(x.door(), x.zone(), x.version(), permit == PermitState.NONE, x.unreachableMs(),
         x.startedAttempt(), x.failedAttempt(),
         x.knownIndex(),
-        held, x.heldByOthers(), held == PermitState.WAITING ? "others are out" : "");
+        permit, x.heldByOthers(), permit == PermitState.WAITING ? "others are out" : "");
   }
 
-  private void begin(int n) {
-    for (int i = 1; i <= n; i++) {
+  private void beginWithDoors(int count) {
+    for (int i = 1; i <= count; i++) {
       put(new TargetStatus("d" + i, i % 2 == 1 ? "a" : "b", "1", true, 0, 0, 0, 0, PermitState.NONE, false,
           ""));
     }
-    rollout = Rollout.begin(1, "r", "ana", PLAN, now, List.copyOf(doors.values()), 0);
-    settle(0);
+    rollout = Rollout.begin(1, "r", "ana", PLAN, nowMs, List.copyOf(statuses.values()), 0);
+    advance(0);
   }
 
-  private void settle(double later) {
-    now += later;
-    wishes.clear();
-    wishes.addAll(rollout.advance(now, ++index, List.copyOf(doors.values())));
+  private void advance(double byMs) {
+    nowMs += byMs;
+    actions.clear();
+    actions.addAll(rollout.advance(nowMs, ++index, List.copyOf(statuses.values())));
   }
 
-  private String asked() {
-    return wishes.stream().filter(PermitAction.RequestPermit.class::isInstance).map(x ->
+  private String doorOfPermitRequest() {
+    return actions.stream().filter(PermitAction.RequestPermit.class::isInstance).map(x ->
         ((PermitAction.RequestPermit) x).step().door()).findFirst()
         .orElse(null);
   }
 
-  private boolean givenBack(String door) {
-    return wishes.stream()
+  private boolean returnsPermitOf(String door) {
+    return actions.stream()
         .anyMatch(x -> x instanceof PermitAction.ReturnPermit e && e.step().door().equals(door));
   }
 
@@ -73,233 +73,233 @@
     return rollout.state();
   }
 
-  private State step(String door) {
+  private State stepState(String door) {
     return state().steps().stream().filter(x ->
         x.door().equals(door)).map(Step::state).findFirst().orElse(null);
   }
 
   /** The permit is had, the door goes. */
-  private void granted(String door) {
-    put(with(doors.get(door), PermitState.GRANTED));
-    settle(10);
-    assertEquals(State.GOING, step(door));
+  private void grantPermit(String door) {
+    put(withPermit(statuses.get(door), PermitState.GRANTED));
+    advance(10);
+    assertEquals(State.GOING, stepState(door));
   }
 
   /** Its new process is there, and the permit comes back. */
-  private void replaced(String door) {
-    put(with(seen(door, rollout.dueStep(door, true, now).version()), PermitState.GRANTED));
-    settle(10);
-    assertTrue(givenBack(door));
-    put(with(doors.get(door), PermitState.RETURNING));
-    settle(10);
-    assertEquals(State.RETURNING, step(door));
-    put(with(doors.get(door), PermitState.NONE));
-    settle(10);
-    assertNull(step(door));
+  private void replaceDoor(String door) {
+    put(withPermit(status(door, rollout.dueStep(door, true, nowMs).version()), PermitState.GRANTED));
+    advance(10);
+    assertTrue(returnsPermitOf(door));
+    put(withPermit(statuses.get(door), PermitState.RETURNING));
+    advance(10);
+    assertEquals(State.RETURNING, stepState(door));
+    put(withPermit(statuses.get(door), PermitState.NONE));
+    advance(10);
+    assertNull(stepState(door));
   }
 
-  private void through(String door) {
-    assertEquals(door, asked());
-    granted(door);
-    replaced(door);
+  private void completeStep(String door) {
+    assertEquals(door, doorOfPermitRequest());
+    grantPermit(door);
+    replaceDoor(door);
   }
 
   @Test
-  void goesInWavesWithDoorsOfAllZonesAndComparesAfterEach() {
-    begin(4);
-    through("d1");
+  void runsInWavesOverAllZonesAndComparesAfterEach() {
+    beginWithDoors(4);
+    completeStep("d1");
     assertEquals(0, state().wave());
-    assertNull(asked());
-    settle(990);
+    assertNull(doorOfPermitRequest());
+    advance(990);
     assertEquals(0, state().wave());
-    settle(20);
+    advance(20);
     assertEquals(1, state().wave());
-    settle(0);
-    through("d2");
-    settle(1_000);
-    settle(0);
-    through("d3");
-    through("d4");
+    advance(0);
+    completeStep("d2");
+    advance(1_000);
+    advance(0);
+    completeStep("d3");
+    completeStep("d4");
     assertEquals(Mode.GOING, state().mode());
-    settle(1_000);
+    advance(1_000);
     assertEquals(Mode.ENDED, state().mode());
     assertEquals(4, state().countWithVersion("2"));
     rollout.halt("late");
-    rollout.rollBack("late", now);
+    rollout.rollBack("late", nowMs);
     assertEquals(Mode.ENDED, state().mode());
   }
 
   /** Within the budget several go at a time, but one waits at a time, so that others come to their turns. */
   @Test
-  void asksForOneMoreOnlyWhenTheLastIsGranted() {
-    begin(8);
-    through("d1");
-    settle(1_000);
-    settle(0);
-    assertEquals("d2", asked());
-    put(with(doors.get("d2"), PermitState.WAITING));
-    settle(10);
-    assertNull(asked());
-    put(with(doors.get("d2"), PermitState.GRANTED));
-    settle(10);
-    assertEquals("d3", asked());
+  void requestsAnotherPermitOnlyAfterTheLastWasGranted() {
+    beginWithDoors(8);
+    completeStep("d1");
+    advance(1_000);
+    advance(0);
+    assertEquals("d2", doorOfPermitRequest());
+    put(withPermit(statuses.get("d2"), PermitState.WAITING));
+    advance(10);
+    assertNull(doorOfPermitRequest());
+    put(withPermit(statuses.get("d2"), PermitState.GRANTED));
+    advance(10);
+    assertEquals("d3", doorOfPermitRequest());
   }
 
   @Test
-  void aDoorIsToldOnlyOnceItIsEmptyOrHasHadItsTime() {
-    begin(2);
-    assertNull(rollout.dueStep("d1", true, now));
-    granted("d1");
-    assertNull(rollout.dueStep("d1", false, now));
-    assertEquals("2", rollout.dueStep("d1", true, now).version());
-    assertEquals(1, rollout.dueStep("d1", false, now + 500).attempt());
-    assertNull(rollout.dueStep("d2", true, now + 500));
+  void aDoorIsReplacedOnlyWhenItIsEmptyOrItsDrainTimeIsOver() {
+    beginWithDoors(2);
+    assertNull(rollout.dueStep("d1", true, nowMs));
+    grantPermit("d1");
+    assertNull(rollout.dueStep("d1", false, nowMs));
+    assertEquals("2", rollout.dueStep("d1", true, nowMs).version());
+    assertEquals(1, rollout.dueStep("d1", false, nowMs + 500).attempt());
+    assertNull(rollout.dueStep("d2", true, nowMs + 500));
   }
 
   @Test
-  void aHaltTakesBackWhatHasNotBegunAndWaitsForWhatHas() {
-    begin(8);
-    through("d1");
-    settle(1_000);
-    settle(0);
-    granted("d2");
-    assertEquals("d3", asked());
-    granted("d3");
-    assertEquals("d4", asked());
-    put(with(doors.get("d4"), PermitState.WAITING));
-    TargetStatus d2 = doors.get("d2");
+  void aHaltWithdrawsStepsNotBegunAndWaitsForTheOthers() {
+    beginWithDoors(8);
+    completeStep("d1");
+    advance(1_000);
+    advance(0);
+    grantPermit("d2");
+    assertEquals("d3", doorOfPermitRequest());
+    grantPermit("d3");
+    assertEquals("d4", doorOfPermitRequest());
+    put(withPermit(statuses.get("d4"), PermitState.WAITING));
+    TargetStatus d2 = statuses.get("d2");
     put(new TargetStatus("d2", "a", "1", false, 0, 2, 0, index, PermitState.GRANTED, false, ""));
     rollout.halt("halted by rui");
-    settle(10);
-    assertTrue(givenBack("d4"));
-    assertNull(step("d4"));
-    assertEquals(State.WITHDRAWN, step("d2"));
-    assertNull(rollout.dueStep("d2", true, now));
+    advance(10);
+    assertTrue(returnsPermitOf("d4"));
+    assertNull(stepState("d4"));
+    assertEquals(State.WITHDRAWN, stepState("d2"));
+    assertNull(rollout.dueStep("d2", true, nowMs));
     // Neither has said yet that it knows.
-    settle(10);
-    assertEquals(State.WITHDRAWN, step("d3"));
+    advance(10);
+    assertEquals(State.WITHDRAWN, stepState("d3"));
     put(new TargetStatus("d3", "a", "1", false, 0, 0, 0, index, PermitState.GRANTED, false, ""));
     put(new TargetStatus("d2", "a", "1", false, 0, 2, 0, index, PermitState.GRANTED, false, ""));
-    settle(10);
-    assertTrue(givenBack("d3"));
-    assertFalse(givenBack("d2"));
-    put(with(d2, PermitState.GRANTED));
+    advance(10);
+    assertTrue(returnsPermitOf("d3"));
+    assertFalse(returnsPermitOf("d2"));
+    put(withPermit(d2, PermitState.GRANTED));
     put(new TargetStatus("d2", "a", "2", false, 0, 0, 0, index, PermitState.GRANTED, false, ""));
-    settle(10);
-    assertTrue(givenBack("d2"));
-    put(with(seen("d2", "2"), PermitState.NONE));
-    put(with(seen("d3", "1"), PermitState.NONE));
-    settle(10);
+    advance(10);
+    assertTrue(returnsPermitOf("d2"));
+    put(withPermit(status("d2", "2"), PermitState.NONE));
+    put(withPermit(status("d3", "1"), PermitState.NONE));
+    advance(10);
     assertTrue(state().hasStopped());
     assertEquals("halted by rui", state().why());
   }
 
   /** One that isn't reached may have begun, so nothing is said of it until it is. */
   @Test
-  void aDoorThatIsNotReachedIsUnderWayUntilItIs() {
-    begin(4);
-    granted("d1");
+  void theStepOfAnUnreachableDoorStaysOpenUntilTheDoorIsReachable() {
+    beginWithDoors(4);
+    grantPermit("d1");
     put(new TargetStatus("d1", "a", "", false, 4_000, 0, 0, Long.MAX_VALUE, PermitState.GRANTED, false, ""));
     rollout.halt("x");
-    settle(10);
-    settle(100_000);
+    advance(10);
+    advance(100_000);
     assertFalse(state().hasStopped());
     put(new TargetStatus("d1", "a", "1", false, 0, 0, 0, index, PermitState.GRANTED, false, ""));
-    settle(10);
-    assertTrue(givenBack("d1"));
+    advance(10);
+    assertTrue(returnsPermitOf("d1"));
   }
 
   @Test
-  void anAttemptThatCameToNothingHalts() {
-    begin(4);
-    granted("d1");
+  void aFailedAttemptHalts() {
+    beginWithDoors(4);
+    grantPermit("d1");
     put(new TargetStatus("d1", "a", "1", false, 0, 1, 1, index, PermitState.GRANTED, false, ""));
-    settle(10);
-    assertTrue(givenBack("d1"));
+    advance(10);
+    assertTrue(returnsPermitOf("d1"));
     assertEquals(Mode.HALTED, state().mode());
     assertTrue(state().why().contains("d1 could not be replaced by 2"), state().why());
   }
 
   @Test
-  void aStepAndAWaitThatTakeTooLongHalt() {
-    begin(4);
-    put(with(doors.get("d1"), PermitState.WAITING));
-    settle(9_990);
+  void stepsAndPermitWaitsThatTakeTooLongHalt() {
+    beginWithDoors(4);
+    put(withPermit(statuses.get("d1"), PermitState.WAITING));
+    advance(9_990);
     assertEquals(Mode.GOING, state().mode());
-    settle(10);
+    advance(10);
     assertTrue(state().why().contains("others are out"), state().why());
-    rollout.resume("ana", now);
-    settle(10);
-    assertNull(asked());
-    put(with(doors.get("d1"), PermitState.NONE));
-    settle(10);
-    settle(10);
-    assertEquals("d1", asked());
-    granted("d1");
-    settle(10_000);
+    rollout.resume("ana", nowMs);
+    advance(10);
+    assertNull(doorOfPermitRequest());
+    put(withPermit(statuses.get("d1"), PermitState.NONE));
+    advance(10);
+    advance(10);
+    assertEquals("d1", doorOfPermitRequest());
+    grantPermit("d1");
+    advance(10_000);
     assertEquals(Mode.HALTED, state().mode());
     assertTrue(state().why().contains("d1 is not back with 2"), state().why());
   }
 
   @Test
-  void goesBackOutOfTheMiddleOfAWaveAndOutOfAHaltOfTheWayBack() {
-    begin(4);
-    through("d1");
-    settle(1_000);
-    settle(0);
-    granted("d2");
+  void rollsBackInTheMiddleOfAWaveAndAfterAHaltOfTheRollback() {
+    beginWithDoors(4);
+    completeStep("d1");
+    advance(1_000);
+    advance(0);
+    grantPermit("d2");
     // It has begun, and ends as the new one.
     put(new TargetStatus("d2", "b", "1", false, 0, 2, 0, 0, PermitState.GRANTED, false, ""));
-    rollout.rollBack("ana", now);
-    settle(10);
+    rollout.rollBack("ana", nowMs);
+    advance(10);
     assertEquals(Course.BACK, state().course());
-    assertEquals(State.WITHDRAWN, step("d2"));
-    assertEquals("d1", asked());
-    put(with(doors.get("d1"), PermitState.WAITING));
+    assertEquals(State.WITHDRAWN, stepState("d2"));
+    assertEquals("d1", doorOfPermitRequest());
+    put(withPermit(statuses.get("d1"), PermitState.WAITING));
     rollout.halt("halted by rui");
-    settle(10);
-    put(with(doors.get("d1"), PermitState.NONE));
+    advance(10);
+    put(withPermit(statuses.get("d1"), PermitState.NONE));
     put(new TargetStatus("d2", "b", "2", false, 0, 0, 0, 0, PermitState.GRANTED, false, ""));
-    settle(10);
-    put(with(seen("d2", "2"), PermitState.NONE));
-    settle(10);
+    advance(10);
+    put(withPermit(status("d2", "2"), PermitState.NONE));
+    advance(10);
     assertTrue(state().hasStopped());
-    rollout.rollBack("ana", now);
-    settle(10);
-    through("d1");
-    through("d2");
-    settle(0);
+    rollout.rollBack("ana", nowMs);
+    advance(10);
+    completeStep("d1");
+    completeStep("d2");
+    advance(0);
     assertEquals(Mode.ENDED, state().mode());
     assertEquals(4, state().countWithVersion("1"));
   }
 
   @Test
-  void aPauseLetsWhatIsUnderWayEndAndBeginsNothing() {
-    begin(4);
-    granted("d1");
+  void aPauseLetsGrantedStepsEndAndBeginsNone() {
+    beginWithDoors(4);
+    grantPermit("d1");
     rollout.pause("ana");
-    settle(10);
-    assertEquals(State.GOING, step("d1"));
-    replaced("d1");
-    settle(5_000);
-    assertNull(asked());
+    advance(10);
+    assertEquals(State.GOING, stepState("d1"));
+    replaceDoor("d1");
+    advance(5_000);
+    assertNull(doorOfPermitRequest());
     assertTrue(state().hasStopped());
-    rollout.resume("ana", now);
-    settle(10);
-    settle(1_000);
-    settle(0);
-    assertEquals("d2", asked());
+    rollout.resume("ana", nowMs);
+    advance(10);
+    advance(1_000);
+    advance(0);
+    assertEquals("d2", doorOfPermitRequest());
   }
 
   @Test
-  void released() {
-    begin(4);
-    through("d1");
+  void aLostReleasedDoorHalts() {
+    beginWithDoors(4);
+    completeStep("d1");
     put(new TargetStatus("d1", "a", "", false, 1_000, 0, 0, 0, PermitState.NONE, false, ""));
-    settle(10);
+    advance(10);
     assertEquals(Mode.GOING, state().mode());
     put(new TargetStatus("d1", "a", "", false, 1_500, 0, 0, 0, PermitState.NONE, false, ""));
-    settle(10);
+    advance(10);
     assertEquals(Mode.HALTED, state().mode());
     assertEquals("released doors are lost: d1; of the 3 others 0", state().why());
   }
@@ -307,96 +307,96 @@
   /** With its zone, by no fault of its version. */
   @Test
   void aReleasedDoorThatIsLostWithOthersDoesNotHalt() {
-    begin(4);
-    through("d1");
+    beginWithDoors(4);
+    completeStep("d1");
     put(new TargetStatus("d1", "a", "", false, 5_000, 0, 0, 0, PermitState.NONE, false, ""));
     put(new TargetStatus("d3", "a", "", false, 4_900, 0, 0, 0, PermitState.NONE, false, ""));
-    settle(10);
+    advance(10);
     assertEquals(Mode.GOING, state().mode());
   }
 
   @Test
-  void aDoorThatFallsBackByItselfHalts() {
-    begin(4);
-    through("d1");
-    put(seen("d1", "1"));
-    settle(10);
+  void aDoorThatRevertsByItselfHalts() {
+    beginWithDoors(4);
+    completeStep("d1");
+    put(status("d1", "1"));
+    advance(10);
     assertEquals(Mode.HALTED, state().mode());
     assertEquals("back on an older version by themselves: d1", state().why());
   }
 
   /** Down between the versions: it comes back with either, and gets what it is to have. */
   @Test
-  void aDoorThatDiedInItsStepIsWaitedForAndThenReplaced() {
-    begin(2);
-    granted("d1");
+  void aDoorThatDiedDuringItsStepIsReplacedWhenItReturns() {
+    beginWithDoors(2);
+    grantPermit("d1");
     put(new TargetStatus("d1", "a", "", false, 3_000, 0, 0, Long.MAX_VALUE, PermitState.GRANTED, false, ""));
-    settle(10);
-    assertEquals(State.GOING, step("d1"));
+    advance(10);
+    assertEquals(State.GOING, stepState("d1"));
     put(new TargetStatus("d1", "a", "1", false, 0, 0, 0, index, PermitState.GRANTED, false, ""));
-    settle(10);
-    assertEquals(1, rollout.dueStep("d1", true, now).attempt());
-    replaced("d1");
+    advance(10);
+    assertEquals(1, rollout.dueStep("d1", true, nowMs).attempt());
+    replaceDoor("d1");
   }
 
   @Test
-  void aDoorThatIsForgottenIsNotWaitedForAndOneThatJoinsComesLast() {
-    begin(2);
-    through("d1");
-    doors.remove("d2");
-    put(seen("d9", "1"));
-    settle(1_000);
-    settle(1_000);
-    settle(0);
-    through("d9");
-    settle(1_000);
-    settle(0);
-    settle(1_000);
+  void forgottenDoorsAreSkippedAndJoiningDoorsComeLast() {
+    beginWithDoors(2);
+    completeStep("d1");
+    statuses.remove("d2");
+    put(status("d9", "1"));
+    advance(1_000);
+    advance(1_000);
+    advance(0);
+    completeStep("d9");
+    advance(1_000);
+    advance(0);
+    advance(1_000);
     assertEquals(Mode.ENDED, state().mode());
   }
 
   @Test
-  void aDoorThatIsAwayIsNotCountedAsReleased() {
-    begin(2);
-    through("d1");
+  void anUnreachableDoorDoesNotCountAsReleased() {
+    beginWithDoors(2);
+    completeStep("d1");
     put(new TargetStatus("d2", "b", "", false, 9_000, 0, 0, 0, PermitState.NONE, false, ""));
-    settle(5_000);
-    settle(5_000);
-    settle(5_000);
+    advance(5_000);
+    advance(5_000);
+    advance(5_000);
     assertEquals(Mode.GOING, state().mode());
     assertEquals(List.of("d2"), rollout.unreachableDoors());
-    put(seen("d2", "1"));
-    settle(10);
-    through("d2");
+    put(status("d2", "1"));
+    advance(10);
+    completeStep("d2");
   }
 
   @Test
-  void doorsThatOthersHaveOutAreLeftToThem() {
-    begin(2);
-    rollout = Rollout.begin(1, "r", "ana", PLAN, now, List.copyOf(doors.values()), 0);
+  void doorsTakenOutByOthersAreNotReleased() {
+    beginWithDoors(2);
+    rollout = Rollout.begin(1, "r", "ana", PLAN, nowMs, List.copyOf(statuses.values()), 0);
     put(new TargetStatus("d1", "a", "1", true, 0, 0, 0, 0, PermitState.NONE, true, ""));
-    settle(0);
-    assertNull(asked());
-    put(seen("d1", "1"));
-    settle(0);
-    assertEquals("d1", asked());
+    advance(0);
+    assertNull(doorOfPermitRequest());
+    put(status("d1", "1"));
+    advance(0);
+    assertEquals("d1", doorOfPermitRequest());
   }
 
   @Test
-  void aSnapshotInTheMiddleGoesOnAsItWould() {
-    begin(4);
-    granted("d1");
+  void aReleaseContinuesFromItsState() {
+    beginWithDoors(4);
+    grantPermit("d1");
     rollout = new Rollout(rollout.state());
-    assertEquals(1, rollout.dueStep("d1", true, now).attempt());
-    replaced("d1");
+    assertEquals(1, rollout.dueStep("d1", true, nowMs).attempt());
+    replaceDoor("d1");
   }
 
   @Test
-  void refusesAThirdVersionAndPlansThatAreNone() {
-    put(seen("d1", "3"));
-    assertTrue(assertThrows(IllegalArgumentException.class, () -> Rollout.begin(1, "r", "ana", PLAN, now,
-        List.copyOf(doors.values()), 0)).getMessage().contains("d1 has version 3"));
-    assertThrows(IllegalArgumentException.class, () -> Rollout.begin(1, "r", "ana", PLAN, now, List.of(),
+  void rejectsAThirdVersionAndInvalidPlans() {
+    put(status("d1", "3"));
+    assertTrue(assertThrows(IllegalArgumentException.class, () -> Rollout.begin(1, "r", "ana", PLAN, nowMs,
+        List.copyOf(statuses.values()), 0)).getMessage().contains("d1 has version 3"));
+    assertThrows(IllegalArgumentException.class, () -> Rollout.begin(1, "r", "ana", PLAN, nowMs, List.of(),
         0));
     for (String bad : new String[] {"", "-x", "../x", "a b", "x".repeat(65)}) {
       assertThrows(IllegalArgumentException.class, () -> plan("1", bad, 1.0));
