--- a/policy/src/main/java/willowdoor/authz/AuthzAction.java
+++ b/policy/src/main/java/willowdoor/authz/AuthzAction.java
@@ -1,40 +1,43 @@
 package willowdoor.authz;
 
-/** What {@link AuthzEngine} has done. Each request gets one of {@link Pass}, {@link Deny}, {@link Refuse}. */
+/**
+ * An action that {@link AuthzEngine} asks its caller to perform. Each request gets exactly one of
+ * {@link Pass}, {@link Deny} and {@link Refuse}, unless it ends before.
+ */
 public sealed interface AuthzAction {
 
-  /** Why a request goes on. */
+  /** Why a request proceeds. */
   enum PassReason { NOT_ASKED, ALLOWED, ALLOWED_BEFORE, FAILED_OPEN }
 
-  /** Why a check has no answer. */
+  /** Why there is no decision on a request. */
   enum NoDecisionCause {
-    /** No authoriser could decide, and none is left that may be asked. */
+    /** No authoriser that was asked decided, and no other may be asked. */
     FAILED,
-    /** All are ejected: none was asked. */
+    /** All authorisers are ejected; none was asked. */
     EJECTED,
-    /** All that may be asked have as many calls out as they may have. */
+    /** All authorisers that are not ejected are at their limit of calls; none was asked. */
     BUSY,
-    /** The time that a check may take is over. */
+    /** The time for the check is used up. */
     LATE
   }
 
-  /** Ask that authoriser; the n-th Ask of a request, from 0, is its call n. */
-  record StartCall(String id, int call, int authoriser, double timeoutMs,
-      boolean probe) implements AuthzAction { }
+  /** Call an authoriser. The calls of a request are numbered from 0. */
+  record StartCall(String id, int call, int authoriser, double timeoutMs, boolean probe)
+      implements AuthzAction { }
 
-  /** Give a call up; nothing that comes of it counts any more. */
+  /** Cancel a call; its result is ignored from now on. */
   record CancelCall(String id, int call) implements AuthzAction { }
 
-  /** The request goes on; grant is what came with its allow, or null. */
+  /** The request proceeds; grant is what the authoriser sent with its decision to allow it, or null. */
   record Pass(String id, PassReason reason, Object grant) implements AuthzAction { }
 
-  /** The authoriser of that call has denied it. */
+  /** The authoriser of this call denied the request. */
   record Deny(String id, int call) implements AuthzAction { }
 
   /**
-   * There is no decision, and without one it may not go on. Nothing of it has run.
+   * There is no decision on the request, and it may not proceed without one. No part of it was run.
    *
-   * @param holdOffMs when asking again may help; 0 where that can't be told
+   * @param holdOffMs time after which a retry may succeed
    */
   record Refuse(String id, NoDecisionCause cause, double holdOffMs) implements AuthzAction { }
 }
--- a/policy/src/main/java/willowdoor/authz/AuthzEngine.java
+++ b/policy/src/main/java/willowdoor/authz/AuthzEngine.java
@@ -24,31 +24,33 @@
 import willowdoor.authz.AuthzSettings.OnFailure;
 
 /**
- * Decides whom to ask about a request and what follows from the answers. One request is decided once: it
- * leaves this class with its one pass, denial or refusal, and nothing that comes later of its calls counts.
- * No I/O, no clock, no thread.
+ * Chooses the authorisers to ask about a request and derives the decision from their answers. A request is
+ * decided once, with one pass, denial or refusal; later results of its calls are ignored. Does no I/O, reads
+ * no clock and starts no thread.
  *
  * <ul>
- * <li>One call of a request is out at a time. A further authoriser is asked when a call provably never
- *     reached the one before; after a call that may have, only where the member's checks are idempotent.
- *     Each authoriser is asked once for a request.
- * <li>A call waits for its member's limit, and all calls of a request together end early enough to leave the
+ * <li>A request has one call in progress at a time. Another authoriser is asked if the call provably did not
+ *     reach the one before; if it may have, only if the member's checks are idempotent. Each authoriser is
+ *     asked at most once for a request.
+ * <li>A call has its member's timeout, and all calls of a request together end early enough to leave the
  *     backends their share of the time.
- * <li>An authoriser has a bound of calls out. There is no queue: a request that finds all at their bound is
- *     refused at once, so a member with a slow authoriser holds no more than that bound.
- * <li>Allows are used again only as long as the authoriser permits, for the same check of the same firm.
+ * <li>The calls in progress at an authoriser are limited. There is no queue: a request that finds all
+ *     authorisers at their limits is not decided but refused, or let through, at once, so a member with a
+ *     slow authoriser never has more requests waiting than that limit.
+ * <li>A decision to allow is reused only for as long as the authoriser permits, for the same check of the
+ *     same firm.
  * </ul>
  */
 public final class AuthzEngine {
 
-  /** A call with less time than this is not begun: a connection on the same machine takes that long. */
+  /** Shortest timeout of a call; a connection to the same machine can take as long. */
   private static final double MIN_CALL_MS = 5;
-  /** A call that was given less than this share of its member's limit tells nothing by timing out. */
+  /** A timeout is no failure of the authoriser if it was below this share of the member's timeout. */
   private static final double CONCLUSIVE_TIMEOUT_SHARE = 0.5;
-  /** Without anything better to tell, clients are asked to wait so long. */
+  /** Clients are asked to wait at least this long before a retry. */
   private static final double MIN_HOLD_OFF_MS = 100;
 
-  /** One request that is being asked about. */
+  /** A request that waits for a decision. */
   private static final class PendingCheck {
     private final Arrived request;
     private final Member member;
@@ -92,7 +94,7 @@
     }));
   }
 
-  /** The member whose authorisers are asked about such a request, or null when none is. */
+  /** The first member that matches a request, or null if the request needs no decision. */
   public Member memberOf(String className, String plan, long customer) {
     for (Member m : settings.members()) {
       if (m.appliesTo(className, plan, customer)) {
@@ -102,12 +104,12 @@
     return null;
   }
 
-  /** Requests undecided. Bounded by the sum of the authorisers' calls, as each has one call out. */
+  /** Number of undecided requests; at most the sum of the authorisers' call limits, as each has one call. */
   public int undecidedCount() {
     return checks.size();
   }
 
-  /** Calls out at an authoriser. */
+  /** Number of calls in progress at an authoriser. */
   public int callsOut(int authoriser) {
     return breakers.get(authoriser).callsOut();
   }
@@ -117,7 +119,7 @@
     return breakers.get(authoriser).isEjected();
   }
 
-  /** Takes one event and gives what to do, in order. */
+  /** Handles one event and returns the actions to perform, in order; {@code nowMs} never goes back. */
   public List<AuthzAction> on(double nowMs, AuthzEvent event) {
     now = nowMs;
     actions = new ArrayList<>(2);
@@ -138,15 +140,15 @@
       return;
     }
     if (checks.containsKey(e.id())) {
-      throw new IllegalArgumentException("id: " + e.id() + " (expected: one that is not being asked about)");
+      throw new IllegalArgumentException("id: " + e.id() + " (expected: the id of no undecided request)");
     }
     CachedAllow cached = cachedAllow(member, e);
     if (cached != null) {
       actions.add(new Pass(e.id(), PassReason.ALLOWED_BEFORE, cached.grant()));
       return;
     }
-    PendingCheck check =
-        new PendingCheck(e, member, now + Math.max(0, e.giveUpMs() - now) * (1 - member.backendsShare()));
+    PendingCheck check = new PendingCheck(e, member,
+        now + Math.max(0, e.giveUpMs() - now) * (1 - member.backendsShare()));
     checks.put(e.id(), check);
     askNext(check, NoDecisionCause.FAILED);
   }
@@ -164,7 +166,10 @@
     return allow;
   }
 
-  /** Asks an authoriser that may be asked, or ends the check for the cause given, or for a better one. */
+  /**
+   * Calls an available authoriser, or ends the check without a decision: LATE if no time is left,
+   * {@code cause} if a call was made, and otherwise EJECTED or BUSY.
+   */
   private void askNext(PendingCheck check, NoDecisionCause cause) {
     double timeout = Math.min(check.member.callTimeoutMs(), check.decideByMs - now);
     if (timeout < MIN_CALL_MS) {
@@ -197,7 +202,7 @@
       if (check.member.choice() == Choice.ORDER) {
         return c.authoriser();
       }
-      // Weighted choice in one pass (Chao, 1982, for a sample of one).
+      // Weighted random choice in one pass (reservoir sampling, Chao, 1982, for a sample of one).
       sum += c.weight();
       if (random.nextDouble() * sum < c.weight()) {
         chosen = c.authoriser();
@@ -221,7 +226,7 @@
     }
   }
 
-  /** Until the first of the member's authorisers may be asked again. */
+  /** Time until the first of the member's authorisers may be called again, but at least the minimum. */
   private double holdOffMs(PendingCheck check) {
     double at = Double.POSITIVE_INFINITY;
     for (WeightedAuthoriser c : check.member.authorisers()) {
@@ -255,8 +260,8 @@
 
   private void recordResult(PendingCheck check, Result result) {
     CircuitBreaker b = breakers.get(check.currentAuthoriser);
-    boolean inconclusive = result == Result.TIMED_OUT && check.timeoutMs < CONCLUSIVE_TIMEOUT_SHARE
-        * check.member.callTimeoutMs();
+    boolean inconclusive = result == Result.TIMED_OUT
+        && check.timeoutMs < CONCLUSIVE_TIMEOUT_SHARE * check.member.callTimeoutMs();
     if (inconclusive) {
       b.callDiscarded(check.request.bodyBytes(), check.isProbe);
     } else {
--- a/policy/src/main/java/willowdoor/authz/AuthzEvent.java
+++ b/policy/src/main/java/willowdoor/authz/AuthzEvent.java
@@ -1,51 +1,50 @@
 package willowdoor.authz;
 
-/** What {@link AuthzEngine} is told. Times are milliseconds on a clock that only moves forward. */
+/** An event that {@link AuthzEngine} handles. Times are milliseconds on a monotonic clock. */
 public sealed interface AuthzEvent {
 
   /** How a call to an authoriser ended. */
   enum Result {
-    /** It allows the request. */
+    /** The authoriser allows the request. */
     ALLOWED,
-    /** It denies it: an answer as good as an allow. */
+    /** The authoriser denies the request; as valid an answer as ALLOWED. */
     DENIED,
-    /** No connection, or the call ended before it was written: the authoriser never saw it. */
+    /** No connection, or the call ended before it was written: the authoriser did not receive it. */
     NOT_REACHED,
-    /** An error, or the stream or the connection broke: it may have seen the call. */
+    /** An error, or the stream or connection broke: the authoriser may have received the call. */
     FAILED,
-    /** Nothing came in time. */
+    /** No answer in time. */
     TIMED_OUT,
-    /** What came can't be read or breaks the protocol. */
+    /** The answer can't be read or violates the protocol. */
     BAD_ANSWER;
 
-    /** True when the authoriser gave its decision. */
+    /** Whether the authoriser decided. */
     boolean isDecision() {
       return this == ALLOWED || this == DENIED;
     }
   }
 
   /**
-   * A request to be decided.
+   * A request that needs a decision.
    *
-   * @param giveUpMs when its client stops waiting
-   * @param bodyBytes of its body
-   * @param checkDigest what the check would say, as a digest without the request's id; null where nothing of
-   * it
-   *     may be used again
+   * @param giveUpMs the time at which its client stops waiting
+   * @param bodyBytes size of its body
+   * @param checkDigest digest of the check's content without the request's id; null if the decision must not
+   *     be reused
    */
   record Arrived(String id, String className, String plan, long customer, double giveUpMs, int bodyBytes,
       String checkDigest) implements AuthzEvent { }
 
   /**
-   * A call's one end.
+   * A call has ended.
    *
-   * @param call its number within the request, from 0
-   * @param reusableForMs with an allow: for so long the authoriser permits to use it again; 0 is never
-   * @param grant with an allow: what it says beside yes; given back as it came
+   * @param call number of the call within the request, from 0
+   * @param reusableForMs with ALLOWED: how long the authoriser permits the decision to be reused; 0 for never
+   * @param grant with ALLOWED: what the authoriser sent with its decision, passed on unchanged
    */
   record CallEnded(String id, int call, Result result, double reusableForMs, Object grant)
       implements AuthzEvent { }
 
-  /** The request has ended before it was decided: its client left, its time is up, or the process ends. */
+  /** The request ended before the decision: its client left, its time is up, or the process ends. */
   record RequestEnded(String id) implements AuthzEvent { }
 }
--- a/policy/src/main/java/willowdoor/authz/AuthzSettings.java
+++ b/policy/src/main/java/willowdoor/authz/AuthzSettings.java
@@ -4,22 +4,23 @@
 import java.util.Set;
 
 /**
- * What {@link AuthzEngine} goes by: the authorisers, and the members who have theirs asked. The first member
- * that fits a request is the one whose authorisers are asked; a request that fits none is not asked about.
+ * Settings of {@link AuthzEngine}: the authorisers, and the members whose requests they decide on. The first
+ * member that matches a request determines the authorisers to ask; a request that matches none needs no
+ * decision.
  */
 public record AuthzSettings(List<Authoriser> authorisers, List<Member> members, Health health) {
 
-  /** How one of a member's authorisers is chosen: the first in order that may be asked, or by weights. */
+  /** How one of a member's authorisers is chosen: the first available in order, or at random by weight. */
   public enum Choice { ORDER, WEIGHT }
 
-  /** What an unanswered check means: the request is refused, or goes on. */
+  /** What happens without a decision: the request is refused (CLOSED), or proceeds (OPEN). */
   public enum OnFailure { CLOSED, OPEN }
 
   /**
    * One policy server.
    *
-   * @param maxCalls calls out at it at the most; one more is asked elsewhere, or refused
-   * @param maxBytes bodies held for it at the most, in bytes; a single call may always be out
+   * @param maxCalls limit of concurrent calls; beyond it another authoriser is asked, or none
+   * @param maxBytes limit of request bodies held for its calls, in bytes; a single call is always allowed
    */
   public record Authoriser(String name, int maxCalls, long maxBytes) {
     public Authoriser {
@@ -28,7 +29,7 @@
     }
   }
 
-  /** Customers from the first number to the last, both within. */
+  /** A range of customer numbers, both ends included. */
   public record FirmRange(long first, long last) {
     public FirmRange {
       if (last < first) {
@@ -41,21 +42,23 @@
     }
   }
 
-  /** One of a member's authorisers, by its place in {@link #authorisers()}, and its weight. */
+  /** One of a member's authorisers, by its index in {@link AuthzSettings#authorisers()}, and its weight. */
   public record WeightedAuthoriser(int authoriser, double weight) { }
 
   /**
-   * One member: whose requests are asked about, and how.
+   * One member: which requests need a decision, and how it is obtained.
    *
-   * @param firms its customers; empty means all
-   * @param plans the plans asked about; empty means all
-   * @param classes the classes asked about
-   * @param callTimeoutMs a call is given up after this
-   * @param backendsShare of the time that a request has on its arrival, this share is left to the backends
-   * @param repeatable its checks are idempotent: one that may have reached an authoriser may be repeated
-   * @param failOpenClasses the classes for which an unanswered check means that the request goes on
-   * @param maxCacheMs an allow is used again for this long at the most; 0 is never
-   * @param maxCacheEntries allows kept at the most; beyond it the longest unused is forgotten
+   * @param firms the member's customers; empty for all
+   * @param plans the plans whose requests need a decision; empty for all
+   * @param classes the request classes that need a decision
+   * @param callTimeoutMs timeout of a call
+   * @param backendsShare share of a request's remaining time at arrival that is reserved for the backends;
+   *     from 0 to below 1
+   * @param repeatable whether checks are idempotent, so that a check which may have reached an authoriser may
+   *     be repeated at another
+   * @param failOpenClasses the request classes that proceed without a decision
+   * @param maxCacheMs longest time for which a decision to allow is reused; 0 for never
+   * @param maxCacheEntries limit of cached decisions; beyond it the least recently used one is evicted
    */
   public record Member(String name, List<FirmRange> firms, Set<String> plans, Set<String> classes,
       List<WeightedAuthoriser> authorisers, Choice choice, double callTimeoutMs, double backendsShare,
@@ -67,7 +70,7 @@
         throw new IllegalArgumentException("authorisers: none (expected: at least one)");
       }
       if (!(backendsShare >= 0 && backendsShare < 1)) {
-        throw new IllegalArgumentException("backendsShare: " + backendsShare + " (expected: 0 to under 1)");
+        throw new IllegalArgumentException("backendsShare: " + backendsShare + " (expected: >= 0 and < 1)");
       }
     }
 
@@ -84,13 +87,13 @@
   /**
    * When an authoriser is ejected, and for how long.
    *
-   * @param consecutiveFailures so many failed calls one after another eject it
-   * @param failureShare and so does a larger share of its latest calls, once there were enough to tell
-   * @param ejectMs the first ejection's length; each further one doubles it
-   * @param maxEjectMs the longest
-   * @param jitterShare each ejection is longer by up to this share of itself, at random, so that the probes
-   * of a
-   *     fleet's doors don't come together
+   * @param consecutiveFailures number of consecutive failed calls that eject it
+   * @param failureShare share of failures among its latest calls above which it is ejected, once there were
+   *     enough calls
+   * @param ejectMs length of the first ejection; doubled each time a probe fails
+   * @param maxEjectMs limit of an ejection's length, before {@code jitterShare}
+   * @param jitterShare each ejection is lengthened at random by up to this share of its length, so that the
+   *     probes of a fleet's doors do not coincide
    */
   public record Health(int consecutiveFailures, double failureShare, double ejectMs, double maxEjectMs,
       double jitterShare) {
--- a/policy/src/main/java/willowdoor/authz/CircuitBreaker.java
+++ b/policy/src/main/java/willowdoor/authz/CircuitBreaker.java
@@ -5,21 +5,23 @@
 import willowdoor.authz.AuthzSettings.Health;
 
 /**
- * What is known of one authoriser: calls out, and whether it is ejected.
+ * The state of one authoriser: its calls in progress, and whether it is ejected.
  *
- * <p>Ejected after failures in a row, or when most of its latest calls fail (Envoy's outlier detection:
- * consecutive errors and success rate). An ejected one is a circuit breaker (M. Nygard, Release It!, 2007):
- * nothing is asked until its time is up; then one call goes out as a probe, and no second while that is out.
- * The probe's success brings it back; its failure ejects it for twice as long, to a bound.
+ * <p>An authoriser is ejected after a number of consecutive failures, or when too large a share of its latest
+ * calls fail (as in Envoy's outlier detection: consecutive errors and success rate). While it is ejected this
+ * class works as an open circuit breaker (M. Nygard, Release It!, 2007): no call is made until the ejection
+ * time is over; then a single call is made as a probe, and no other while the probe is in progress. If the
+ * probe succeeds the authoriser is used again; if it fails the authoriser is ejected for twice as long, up to
+ * a limit.
  *
- * <p>It guards against requests that spend their time at an authoriser that won't answer. Harm: where calls
- * fail for the calls' own sake, a healthy authoriser rests for up to the longest ejection.
+ * <p>This keeps requests from spending their time on an authoriser that does not answer. The cost: if calls
+ * fail because of their own content, a healthy authoriser is not used for up to the longest ejection.
  */
 final class CircuitBreaker {
 
-  /** Weight of the newest call in the share of failures: about the last twenty count. */
+  /** Weight of the newest call in the moving average of failures: about the last twenty calls count. */
   private static final double NEWEST_WEIGHT = 0.1;
-  /** Calls after which the share tells something. */
+  /** Number of calls from which on the share of failures is used. */
   private static final int MIN_CALLS = 20;
 
   private final Authoriser authoriser;
@@ -41,22 +43,22 @@
     this.health = health;
   }
 
-  /** Whether it is ejected and its time is not up, or its one probe is out. */
+  /** Whether it is ejected, and the ejection time is not over or the probe is in progress. */
   boolean isBlocked(double now) {
     return ejected && (probeOut || now < probeAtMs);
   }
 
-  /** Whether it has as many calls out as it may have. */
+  /** Whether another call with a body of this size would exceed its limits. */
   boolean isFull(int bytes) {
     return callsOut >= authoriser.maxCalls() || callsOut > 0 && bytesOut + bytes > authoriser.maxBytes();
   }
 
-  /** When it may be asked again; now when it may be. */
+  /** The earliest time at which it may be called, not before {@code now}. */
   double availableAt(double now) {
     return ejected ? Math.max(now, probeAtMs) : now;
   }
 
-  /** A call goes out; true when it is a probe. */
+  /** Records the start of a call; returns whether the call is a probe. */
   boolean callStarted(int bytes) {
     callsOut++;
     bytesOut += bytes;
@@ -64,18 +66,18 @@
     return ejected;
   }
 
-  /** A call has ended and tells nothing of the authoriser. */
+  /** Records the end of a call that says nothing about the authoriser. */
   void callDiscarded(int bytes, boolean probe) {
     callsOut--;
     bytesOut -= bytes;
     probeOut &= !probe;
   }
 
-  /** A call has ended well or badly. */
+  /** Records the end of a call that succeeded or failed. */
   void callEnded(double now, int bytes, boolean probe, boolean succeeded) {
     callDiscarded(bytes, probe);
     if (ejected) {
-      // Calls from before the ejection tell nothing new.
+      // Calls started before the ejection are ignored; only the probe counts.
       if (probe && succeeded) {
         ejected = false;
         consecutiveFailures = 0;
@@ -90,8 +92,8 @@
     consecutiveFailures = succeeded ? 0 : consecutiveFailures + 1;
     callsCounted++;
     failureShare += NEWEST_WEIGHT * ((succeeded ? 0 : 1) - failureShare);
-    if (consecutiveFailures >= health.consecutiveFailures() || callsCounted >= MIN_CALLS
-        && failureShare > health.failureShare()) {
+    if (consecutiveFailures >= health.consecutiveFailures()
+        || callsCounted >= MIN_CALLS && failureShare > health.failureShare()) {
       eject(now);
     }
   }
--- a/policy/src/main/java/willowdoor/life/InstanceLifecycle.java
+++ b/policy/src/main/java/willowdoor/life/InstanceLifecycle.java
@@ -24,49 +24,54 @@
 import willowdoor.life.LifecycleEvent.Woken;
 
 /**
- * The life of one instance, from its start to its exit code: events and the time in, actions out. Like the
- * decision module it does no I/O, reads no clock and starts no thread.
+ * The state machine of one instance, from its start to its exit code: events and the time in, actions out.
+ * Like the decision module it does no I/O, reads no clock and starts no thread.
  *
  * <pre>
- *   STARTING --Bound--> WARMING --Warmed--> READY --EndSignal / SuccessorReady--> DRAINING
- *                                             ^                                     |  accept window over,
- *                                             +------- SuccessorLost (replaced) ----+  or a successor accepts
- *                                                                                   v
- *                 READY <--ComeBack-- OUT <--GoOut-- READY; OUT ends and is replaced as READY is
- *
- *                        STOPPED <--AllAnswered / last bound-- FAILING <--bound-- ANSWERING
+ *   STARTING --SocketBound--> WARMING --WarmUpEnded--> READY
+ *   READY, OUT --EndSignal / SuccessorReady--> DRAINING --accept window over--> ANSWERING
+ *   DRAINING --SuccessorLost, if draining for that successor--> READY
+ *   READY --OutOfService--> OUT --BackInService--> READY
+ *   ANSWERING --answer limit--> FAILING
+ *   ANSWERING, FAILING --AllAnswered--> STOPPED
+ *   FAILING --last limit--> STOPPED
+ *   any phase --FatalError--> STOPPED
  * </pre>
  *
- * <p>It guards against three losses. Connections that wait in the accept queue belong to this instance, so an
- * end that comes while it is warming still opens the door for its accept window, and what came is served.
- * What was taken is answered: as it would have been until the bound, as failed at the bound, and only a last
- * bound, for clients that read nothing, ends the process over an answer that is not out. And an instance that
- * was replaced serves again if its successor dies within its accept window; after that it has let go of the
- * socket. A second signal moves the bound to the hurried one, counted from itself.
+ * <p>An end signal while the instance starts or warms up leads to DRAINING as soon as there is a socket.
+ *
+ * <p>The state machine guards against three kinds of loss. Connections in the accept queue belong to this
+ * instance, so if it is told to end while it warms up, it still accepts connections for its accept window and
+ * serves them. Every accepted request is answered: normally until the answer limit, as failed at that limit;
+ * only the last limit, for clients that read nothing, ends the process while an answer is not sent. And an
+ * instance that was replaced serves again if its successor dies within the accept window; after that it has
+ * closed the socket. A second end signal shortens the answer limit, counted from that signal.
  */
 public final class InstanceLifecycle {
 
-  /** Exit code of an end in order. */
+  /** Exit code of a graceful shutdown. */
   public static final int EXIT_ORDERLY = 0;
-  /** Exit code when the instance could not start or go on. */
+  /** Exit code if the instance could not start or continue. */
   public static final int EXIT_FAILURE = 1;
-  /** Exit code of an end whose last bound passed while clients had not read their answers. */
+  /** Exit code if the last limit passed while clients had not read their answers. */
   public static final int EXIT_UNREAD = 3;
 
-  /** Where an instance is in its life; OUT is READY with its clients sent away, as the fleet agreed on. */
+  /** Phase of an instance; OUT is READY but out of service by the fleet's decision, sending clients away. */
   public enum Phase { STARTING, WARMING, READY, OUT, DRAINING, ANSWERING, FAILING, STOPPED }
 
   /**
-   * The bounds of an end, in milliseconds.
+   * Time limits of a graceful shutdown, in milliseconds.
    *
-   * @param acceptMs for so long after the signal connections are still taken, at least 0
-   * @param answerMs what is not answered so long after the signal is answered as failed, at least acceptMs
-   * @param hurriedMs the same, counted from a second signal
-   * @param lastMs for so long after that the answers may take to be read, at least 1
+   * @param acceptMs how long connections are still accepted after the end signal; at least 0
+   * @param answerMs time after the end signal at which pending requests are answered as failed; at least
+   *     acceptMs
+   * @param hurriedMs the same, counted from a second signal; at least 0
+   * @param lastMs how long clients may take, after pending requests were answered as failed, to read their
+   *     answers; at least 1
    */
   public record ShutdownLimits(double acceptMs, double answerMs, double hurriedMs, double lastMs) {
 
-    /** Checks them. */
+    /** Rejects limits out of range. */
     public ShutdownLimits {
       check("acceptMs", acceptMs, 0);
       check("answerMs", answerMs, acceptMs);
@@ -83,14 +88,14 @@
 
   private final ShutdownLimits limits;
   private Phase phase = Phase.STARTING;
-  /** An end signal came before the instance was ready; it is acted on as soon as there is a socket. */
+  /** An end signal came before there was a socket; it takes effect when the socket is bound. */
   private boolean endRequested;
-  /** It drains for a successor and not for a signal. */
+  /** Draining for a successor and not for a signal. */
   private boolean drainingForSuccessor;
-  /** A successor takes the connections. */
+  /** A successor accepts the connections. */
   private boolean successorAccepts;
   private boolean limitShortened;
-  /** The fleet has it out. */
+  /** The fleet has taken this instance out of service. */
   private boolean outOfService;
   private double acceptUntil;
   private double answerUntil;
@@ -104,7 +109,7 @@
     return phase;
   }
 
-  /** Takes an event at its time, in milliseconds on a clock that only moves forward. */
+  /** Handles an event and returns the actions to perform, in order; {@code nowMs} never goes back. */
   public List<LifecycleAction> on(double nowMs, LifecycleEvent event) {
     List<LifecycleAction> actions = new ArrayList<>(4);
     if (phase == Phase.STOPPED) {
@@ -156,7 +161,7 @@
     }
   }
 
-  /** Not while it starts or ends: then it is out already, and goes out, or not, when it is ready again. */
+  /** Only when READY: while starting or ending the instance takes no clients; applied once READY again. */
   private void drainIfOutOfService(List<LifecycleAction> actions) {
     if (outOfService && phase == Phase.READY) {
       phase = Phase.OUT;
@@ -182,7 +187,7 @@
       }
       default -> {
         if (drainingForSuccessor) {
-          // The end was the successor's wish until now; a signal makes it final and changes no bound yet.
+          // So far draining for the successor only; the signal makes the end final and changes no limit yet.
           drainingForSuccessor = false;
         } else if (!limitShortened) {
           shortenLimit(now, actions);
@@ -191,7 +196,7 @@
     }
   }
 
-  /** It never was ready: what waits in the accept queue is taken and refused. */
+  /** Drains an instance that was never ready: connections in the accept queue are accepted. */
   private void drainBeforeReady(double now, List<LifecycleAction> actions) {
     actions.add(new Accept());
     drain(now, now + limits.acceptMs(), actions);
--- a/policy/src/main/java/willowdoor/life/LifecycleAction.java
+++ b/policy/src/main/java/willowdoor/life/LifecycleAction.java
@@ -1,35 +1,35 @@
 package willowdoor.life;
 
-/** What an {@link InstanceLifecycle} has its instance do. */
+/** An action that {@link InstanceLifecycle} asks its instance to perform. */
 public sealed interface LifecycleAction {
 
-  /** Run the warm-up, off the door's loop, and tell when it has ended. */
+  /** Run the warm-up, off the door's event loop, and report when it has ended. */
   record WarmUp() implements LifecycleAction { }
 
-  /** Take connections from the listening socket. */
+  /** Accept connections from the listening socket. */
   record Accept() implements LifecycleAction { }
 
-  /** Answer {@code GET /up} with 200 from here on, and say to a predecessor that this instance serves. */
+  /** Answer {@code GET /up} with 200 from now on, and tell a predecessor that this instance serves. */
   record AnnounceReady() implements LifecycleAction { }
 
-  /** Answer {@code GET /up} with 503, and end each kept connection with its next answer. */
+  /** Answer {@code GET /up} with 503, and close each persistent connection after its next answer. */
   record BeginDrain() implements LifecycleAction { }
 
-  /** Take back {@link BeginDrain}: the instance serves on as before. */
+  /** Undo {@link BeginDrain}: the instance serves as before. */
   record Resume() implements LifecycleAction { }
 
-  /** Leave the listening socket's connections to the successor, without ending the socket. */
+  /** Stop accepting, in favour of the successor, without closing the listening socket. */
   record LeaveSocketToSuccessor() implements LifecycleAction { }
 
-  /** Take what still waits in the accept queue, end the listening socket, and end idle connections. */
+  /** Accept what waits in the accept queue, close the listening socket, and close idle connections. */
   record StopAccepting() implements LifecycleAction { }
 
-  /** Answer each request that is still out as failed, now. */
+  /** Answer each pending request as failed, now. */
   record FailPendingRequests() implements LifecycleAction { }
 
-  /** End what is left and let the process go with this exit code. */
+  /** Close everything that is left and let the process exit with this code. */
   record Close(int exitCode) implements LifecycleAction { }
 
-  /** Tell {@link LifecycleEvent.Woken} at this moment; an earlier wish is void. */
+  /** Send {@link LifecycleEvent.Woken} at this time; replaces any earlier {@code WakeAt}. */
   record WakeAt(double atMs) implements LifecycleAction { }
 }
--- a/policy/src/main/java/willowdoor/life/LifecycleEvent.java
+++ b/policy/src/main/java/willowdoor/life/LifecycleEvent.java
@@ -1,35 +1,35 @@
 package willowdoor.life;
 
-/** What an instance tells its {@link InstanceLifecycle}. */
+/** An event that an instance reports to its {@link InstanceLifecycle}. */
 public sealed interface LifecycleEvent {
 
-  /** The listening socket is held: bound here, or taken over from the instance that runs. */
+  /** This instance has the listening socket: bound here, or taken over from the running instance. */
   record SocketBound() implements LifecycleEvent { }
 
-  /** The warm-up has ended, whether it ran its whole length or was cut short. */
+  /** The warm-up has ended, completely or cut short. */
   record WarmUpEnded() implements LifecycleEvent { }
 
   /** The process was told to end (SIGTERM, SIGINT). */
   record EndSignal() implements LifecycleEvent { }
 
-  /** A successor holds the listening socket and takes connections from here on. */
+  /** A successor has the listening socket and accepts connections from now on. */
   record SuccessorReady() implements LifecycleEvent { }
 
-  /** The successor to which the listening socket was handed is gone. */
+  /** The successor that the listening socket was handed to has ended. */
   record SuccessorLost() implements LifecycleEvent { }
 
-  /** By what the fleet has agreed on this instance goes out: clients are to go elsewhere. */
+  /** The fleet has decided to take this instance out of service: clients are to use other doors. */
   record OutOfService() implements LifecycleEvent { }
 
-  /** It may take clients again. */
+  /** The fleet has put this instance back in service: it may take clients again. */
   record BackInService() implements LifecycleEvent { }
 
-  /** Nothing that was taken is without its answer, and no client's connection is open. */
+  /** Every accepted request is answered, and no client's connection is open. */
   record AllAnswered() implements LifecycleEvent { }
 
-  /** The moment that a {@link LifecycleAction.WakeAt} named. */
+  /** The time of a {@link LifecycleAction.WakeAt} has come. */
   record Woken() implements LifecycleEvent { }
 
-  /** Something without which the instance can't go on: it could not bind, or its event loop ended. */
+  /** The instance can't continue: it could not bind its socket, or its event loop ended. */
   record FatalError(String cause) implements LifecycleEvent { }
 }
--- a/policy/src/main/java/willowdoor/membership/DisabledBackend.java
+++ b/policy/src/main/java/willowdoor/membership/DisabledBackend.java
@@ -1,8 +1,8 @@
 package willowdoor.membership;
 
 /**
- * A backend that an operator has taken out.
+ * A backend that an operator has taken out of service.
  *
- * @param sinceMs when; a start that is told later than that is one of its maintenance
+ * @param sinceMs when it was taken out, in Unix ms; a later start belongs to its maintenance
  */
 public record DisabledBackend(long id, double sinceMs) { }
--- a/policy/src/main/java/willowdoor/membership/Membership.java
+++ b/policy/src/main/java/willowdoor/membership/Membership.java
@@ -15,34 +15,38 @@
 import willowdoor.policy.GatewayApi.Phase;
 
 /**
- * The one merge of what discovery tells of the backends and what operators say of them: events and the time
- * in, the roster out that all decisions hear. It does no I/O, reads no clock and starts no thread.
+ * Merges the backends that discovery lists with what operators and the fleet have taken out of service:
+ * events and the time in, the roster that all decisions use out. Does no I/O, reads no clock and starts no
+ * thread.
  *
- * <p>A backend that is out counts as draining whatever the lists say, by its id alone: over full lists, over
- * lists that drop it and name it again, over changes of its address. It is told as gone where it is gone.
- * Back in, it counts as cold, since it is put back after work on it: a start that was told since it went out
- * is its start; until one is told, the moment of the call is taken for it. Guards against one that is
- * pushed over because its restart is told seconds after it is back. Harm: one that was not restarted is
- * spared for the time that a cold one takes.
+ * <p>A backend that is out of service counts as draining, by its id alone, whatever the lists say: through
+ * full lists, through lists that drop it and name it again, and through changes of its address. If it is
+ * removed, it is reported as removed.
+ *
+ * <p>A backend that is put back counts as cold, as it is usually put back after maintenance. If a start later
+ * than its going out is listed, that is its start time; until then, the time when it was put back is used.
+ * This keeps a freshly restarted backend from being overloaded because discovery reports the restart only
+ * seconds after the backend is back. The cost: a backend that was not restarted gets less load for as long as
+ * a cold one would.
  */
 public final class Membership {
 
-  /** More backends than any list may name are not remembered as out; the answer to one more is no. */
+  /** Limit of each of the two maps, as many as a list may name; taking out one more backend is rejected. */
   static final int MAX_OUT = 10_000;
 
-  /** As listed last, by id. */
+  /** The latest listed entry of each backend, by id. */
   private final Map<Long, BackendEntry> listed = new HashMap<>();
-  /** When each was taken out that is out. */
+  /** When each backend was taken out by an operator of this door, by id, in the order of the removals. */
   private final Map<Long, Double> outByOperator = new LinkedHashMap<>();
-  /** The same by what the fleet has agreed on, beside what operators say here: any of both has it out. */
+  /** The same for those that the fleet has taken out; a backend is out of service if either map has it. */
   private final Map<Long, Double> outByFleet = new LinkedHashMap<>();
-  /** Taken for the start of those put back, until the lists tell one that came after they went out. */
+  /** Backends that were put back and whose start since they went out is not listed yet, by id. */
   private final Map<Long, Returned> returned = new HashMap<>();
 
-  /** A backend that was put back. */
+  /** When a backend was taken out and when it was put back. */
   private record Returned(double outSinceMs, double atMs) { }
 
-  /** Takes an event at its time, in Unix milliseconds as the lists' starts are. */
+  /** Handles an event; the time is in Unix milliseconds, like the start times in the lists. */
   public RosterUpdate on(double nowMs, MembershipEvent event) {
     if (event instanceof Listed e) {
       return onListed(e);
@@ -59,7 +63,7 @@
     }
   }
 
-  /** What is out, in the order of its going; for another process of the same front door. */
+  /** Backends taken out by operators, in the order of removal; for another process of the same door. */
   public List<DisabledBackend> disabled() {
     List<DisabledBackend> all = new ArrayList<>(outByOperator.size());
     outByOperator.forEach((id, since) -> all.add(new DisabledBackend(id, since)));
@@ -129,8 +133,8 @@
   }
 
   private RosterUpdate updateOf(List<Long> ids) {
-    return new RosterUpdate(true, false,
-        ids.stream().map(listed::get).filter(e -> e != null).map(this::merged)
+    return new RosterUpdate(true, false, ids.stream().map(listed::get).filter(e -> e != null)
+        .map(this::merged)
         .toList());
   }
 
--- a/policy/src/main/java/willowdoor/membership/MembershipEvent.java
+++ b/policy/src/main/java/willowdoor/membership/MembershipEvent.java
@@ -3,28 +3,28 @@
 import java.util.List;
 import willowdoor.policy.GatewayApi.BackendEntry;
 
-/** What a {@link Membership} is told. */
+/** An event that {@link Membership} handles. */
 public sealed interface MembershipEvent {
 
   /**
-   * A source of the list tells it, or what has changed in it.
+   * A source of the list has sent the whole list, or changes of it.
    *
-   * @param full whether what is not named is gone
+   * @param full whether {@code entries} is the whole list, so that backends not named are gone
    */
   record Listed(boolean full, List<BackendEntry> entries) implements MembershipEvent { }
 
-  /** An operator takes a backend out. */
+  /** An operator takes a backend out of service. */
   record TakeOut(long id) implements MembershipEvent { }
 
-  /** An operator puts a backend back, however often it was taken out. */
+  /** An operator puts a backend back in service, however often it was taken out. */
   record PutBack(long id) implements MembershipEvent { }
 
-  /** By what the fleet has agreed on a backend is out, whether the lists name it or not. */
+  /** The fleet has taken a backend out of service, whether or not the lists name it. */
   record FleetTakeOut(long id) implements MembershipEvent { }
 
-  /** What the fleet has agreed on no longer holds the backend out; an operator's word here may. */
+  /** The fleet has put a backend back; it stays out of service if an operator here took it out too. */
   record FleetPutBack(long id) implements MembershipEvent { }
 
-  /** What another process of the same front door knows of backends that are out. */
+  /** The backends that operators have taken out, as another process of the same front door knows them. */
   record Inherited(List<DisabledBackend> disabled) implements MembershipEvent { }
 }
--- a/policy/src/main/java/willowdoor/membership/RosterUpdate.java
+++ b/policy/src/main/java/willowdoor/membership/RosterUpdate.java
@@ -4,10 +4,11 @@
 import willowdoor.policy.GatewayApi.BackendEntry;
 
 /**
- * What a {@link Membership} says to an event.
+ * The result of an event in {@link Membership}.
  *
- * @param known false when an operator named a backend that there is not; then nothing has changed
- * @param full whether what is not among the entries is gone
+ * @param known false if the event names an unknown backend, or one more than can be out of service; then
+ *     nothing has changed
+ * @param full whether {@code entries} is the whole roster, so that backends not named are gone
  * @param entries the roster for the decisions, or what has changed in it
  */
 public record RosterUpdate(boolean known, boolean full, List<BackendEntry> entries) { }
--- a/policy/src/main/java/willowdoor/recovery/CeilingRights.java
+++ b/policy/src/main/java/willowdoor/recovery/CeilingRights.java
@@ -15,65 +15,68 @@
 import willowdoor.recovery.RightsEvent.Woken;
 
 /**
- * Divides each firm's ceiling among the doors of its set, so that the parts never make more than the whole,
- * whatever becomes of the counter: lost, replaced, an old copy, or two at once. No I/O, no clock, no thread.
+ * Divides each firm's ceiling among the doors that serve the firm, so that the shares never add up to more
+ * than the ceiling, whatever happens to the counter: lost, replaced, restored from an old copy, or split in
+ * two. Does no I/O, reads no clock and starts no thread.
  *
- * <p>The algorithm is that of rights which their holder gives away: a door may spend its own rights without
- * asking anyone, and the only change is that a holder lowers its own first and then tells one other door what
- * it has given. (D. Barbará and H. Garcia-Molina, "The Demarcation Protocol", VLDB Journal 3, 1994; for
- * replicas that may be split, V. Balegas et al., "Extending Eventually Consistent Cloud Databases for
- * Enforcing Numeric Invariants", SRDS 2015.) What is lost on the way is lost: the parts then make less, never
- * more.
+ * <p>The algorithm moves rights between doors: a door spends its own rights without asking anyone, and the
+ * only change is a transfer, in which the holder first lowers its own rights and then tells one other door
+ * how much it transferred. (D. Barbará and H. Garcia-Molina, "The Demarcation Protocol", VLDB Journal 3,
+ * 1994; for replicas that may be partitioned, V. Balegas et al., "Extending Eventually Consistent Cloud
+ * Databases for Enforcing Numeric Invariants", SRDS 2015.) A transfer that is lost on the way stays lost: the
+ * shares then add up to less than the ceiling, never to more.
  *
- * <p>Rights are quanta, {@value #QUANTA} to a ceiling, of its rate and its burst alike. An era of
- * {@value #PERIOD_MS} ms begins with even parts. Within it doors tell how much they were asked for, all under
- * one name of the firm, in a digit each. A door asked for less than its part gives the difference to those
- * asked for more than theirs, down to a floor of half its part, or of one largest request. A gift is added
- * to a name that only its receiver goes by, in a digit of the giver's; the receiver takes the largest digit
- * that it has seen, so that a counter which has forgotten, or knows another past, takes nothing away and adds
- * nothing. Gifts end with the era, for the receiver {@value #CLOCK_SKEW_GUARD_MS} ms before: clocks of doors
- * differ by
- * less than that.
+ * <p>Rights are counted in quanta, {@value #QUANTA} to a ceiling, which divide its rate and its burst alike.
+ * Each period of {@value #PERIOD_MS} ms starts with even shares. Within a period the doors report their
+ * demand under one counter name of the firm, each door in its own digit of the total. A door whose demand is
+ * below its even share transfers the difference to the doors whose demand is above theirs. It keeps at least
+ * a floor: half of the even share, or one largest request, but no more than the even share. A transfer is
+ * added to a counter name that belongs to the receiver alone, in the sender's digit. The receiver uses the
+ * largest digit that it has seen, so that a counter which lost its totals or has other ones takes nothing
+ * away and adds nothing. Transfers end with the period, for the receiver {@value #CLOCK_SKEW_GUARD_MS} ms
+ * earlier, as the clocks of doors differ by less than that.
  *
- * <p>A door that began within an era can't know what its life before had given away: until that era's end it
- * keeps to the floor, and gives nothing. Received gifts are not given on, for the same reason. A life that
- * hands over to another keeps nothing for what it still takes; one that takes back is as one that begins.
+ * <p>A door process that started within a period cannot know what the door's previous process transferred:
+ * until the period ends it has the floor only, and transfers nothing. Received rights are not passed on, for
+ * the same reason. A process that hands over to another has no share for requests that still arrive; one that
+ * takes over again is treated as one that has just started.
  *
- * <p>Bounds: sets of {@value #MAX_DOORS} doors at the most (larger ones keep even parts), {@value
- * #MAX_FIRMS} firms (further ones keep even parts), {@value #MAX_CALLS_PER_S} calls a second of a door (what
- * is
- * over waits for the next turn). What a door is not part of, it sends nothing of.
+ * <p>Limits: {@value #MAX_DOORS} doors to a firm (larger sets keep even shares), {@value #MAX_FIRMS} firms
+ * (further ones keep even shares), {@value #MAX_CALLS_PER_S} counter calls a second for each door (calls
+ * beyond that wait until the next wake-up or request). A door sends nothing about firms that it does not
+ * serve.
  */
 public final class CeilingRights {
 
-  /** Parts of a ceiling. */
+  /** Number of quanta that a ceiling is divided into. */
   static final int QUANTA = 64;
-  /** How long gifts last; counts of the counter live three times as long. */
+  /** Length of a period, after which transfers end; names at the counter live three times as long. */
   static final double PERIOD_MS = 20_000;
-  /** A receiver lets go of gifts so long before the era's end. */
+  /** A receiver stops using transfers this long before the period ends. */
   static final double CLOCK_SKEW_GUARD_MS = 1_000;
-  /** Four digits of this base make a total of less than 10^7, of which the counter keeps each digit. */
+  /** Base of the digits in a total: four of them stay below 10^7, up to which the counter is exact. */
   static final int DIGIT_BASE = 50;
   static final int MAX_DOORS = 4;
   static final int MAX_FIRMS = 4_096;
   static final int MAX_CALLS_PER_S = 100;
-  /** Spacing of a firm's calls while a door of its set is asked for more than its part, and otherwise. */
+  /** Interval of a firm's demand calls once a door of its set was overloaded in this period. */
   static final double OVERLOADED_CALL_INTERVAL_MS = 500;
+  /** Interval of a firm's demand calls otherwise. */
   static final double CALL_INTERVAL_MS = 1_000;
   private static final double WAKE_INTERVAL_MS = 250;
-  /** After a call that failed none is made for so long. */
+  /** After a failed call no demand is reported for this long. */
   private static final double FAILURE_BACKOFF_MS = 1_000;
   private static final double NAME_TTL_MS = 60_000;
-  /** Demand is told in steps of what the ceiling gives in this time. */
+  /** Demand is reported in steps; one step is what the ceiling's rate yields in this time. */
   private static final double DEMAND_STEP_S = 0.5;
-  /** Weight of the era before, or of even parts, beside what this era has shown; in steps. */
+  /** Weight, in steps, of the previous period's shares (or of even shares) against this period's demand. */
   private static final double PRIOR_WEIGHT_STEPS = 2;
-  /** A door asked for this much of its part's rate is pressed: bursts of its own lie ahead. */
+  /** A door counts as overloaded above this share of its part of the rate, to leave room for bursts. */
   private static final double OVERLOAD_RATE_SHARE = 0.4;
-  /** An era's demand is judged from here on. */
+  /** No rights are transferred before this much of a period has passed. */
   private static final double MIN_OBSERVATION_MS = 1_000;
 
-  /** One firm as this door sees it. */
+  /** The state of one firm in this door. */
   private static final class FirmState {
     private final int doorCount;
     private final int doorIndex;
@@ -81,9 +84,11 @@
     private final int floorQuanta;
     private long period = Long.MIN_VALUE;
     private double[] priorShares;
-    /** Steps asked for at each door in this era, as told; here: told, and not told yet. */
+    /** Demand of each door in this period, in steps, as the counter has answered. */
     private final int[] reportedDemand;
+    /** Demand of this door that was reported, in steps. */
     private int reportedSteps;
+    /** Demand of this door that was not reported yet, in steps. */
     private double unreportedSteps;
     private final int[] transferredTo;
     private final int[] receivedFrom;
@@ -138,7 +143,7 @@
       return shares;
     }
 
-    /** Quanta that each door would have if all went by what was asked for, none below the floor. */
+    /** Quanta of each door if rights followed demand alone, none below the floor. */
     double[] targetQuanta() {
       double[] targets = demandShares();
       for (int i = 0; i < doorCount; i++) {
@@ -157,18 +162,18 @@
   private double callTokens = MAX_CALLS_PER_S;
   private double callTokensAt;
 
-  /** For a door that begins to live now. */
+  /** For a door process that starts now. */
   public CeilingRights(double nowMs) {
     startedAt = nowMs;
     callTokensAt = nowMs;
   }
 
-  /** Whether a name at the counter is one of these, and its answers are to be told here. */
+  /** Whether a counter name is one of this class, whose answers are to be passed to {@link #on}. */
   public static boolean ownsName(String name) {
     return name.indexOf('^') > 0;
   }
 
-  /** Takes one event and gives what to do, in order. */
+  /** Handles one event and returns the actions to perform, in order; {@code nowMs} never goes back. */
   public List<RightsAction> on(double nowMs, RightsEvent event) {
     now = nowMs;
     actions = new ArrayList<>(2);
@@ -203,7 +208,7 @@
     }
   }
 
-  /** The firm, kept while there is room for it: one that is not kept has given nothing in any era. */
+  /** The firm's state, stored if there is room; a firm whose state is not stored has transferred nothing. */
   private FirmState firmState(Requested e) {
     FirmState f = firms.get(e.customer());
     if (f != null && f.doorCount == e.doorCount() && f.doorIndex == e.doorIndex()) {
@@ -211,7 +216,7 @@
     }
     FirmState created = new FirmState(e);
     if (f != null) {
-      // Its set has changed: what was given of the old parts may be in use until the era's end.
+      // The firm's set of doors has changed: transfers of the old shares may be in use until the period ends.
       created.transferredTo[created.doorIndex] = created.evenQuanta() - created.floorQuanta;
       created.period = periodOf(e.customer());
     }
@@ -261,18 +266,17 @@
     double transfersEnd = periodStart(customer, f.period + 1) - CLOCK_SKEW_GUARD_MS;
     int receivedQuanta = now < transfersEnd ? f.receivedTotal() : 0;
     return new Share((ownQuanta + receivedQuanta) / (double) QUANTA,
-        receivedQuanta > 0 ? transfersEnd : Double.POSITIVE_INFINITY,
-        ownQuanta / (double) QUANTA);
+        receivedQuanta > 0 ? transfersEnd : Double.POSITIVE_INFINITY, ownQuanta / (double) QUANTA);
   }
 
-  /** Tells what was asked for here since the last time, and hears of the others, when it is time to. */
+  /** When a call is due, reports this door's new demand; the answer holds the demand of all doors. */
   private void reportDemandIfDue(long customer, FirmState f) {
     rollPeriod(customer, f);
     if (handedOver || now < f.nextCallAt || now < backoffUntil || now - f.lastRequestAt > PERIOD_MS) {
       return;
     }
     int steps = (int) Math.min(f.unreportedSteps, DIGIT_BASE - 1 - f.reportedSteps);
-    // A life before may have told its part: nothing is added that could run over into another digit.
+    // The door's previous process may have reported demand: adding more could overflow into the next digit.
     steps = startedInPeriod(customer, f) ? 0 : steps;
     if (callCounter(counterName(customer, "d", f), steps, f.doorIndex)) {
       f.reportedSteps += steps;
@@ -321,14 +325,14 @@
       transferSpareRights(customer, f);
     } else if (purpose.equals(Integer.toString(f.doorIndex))) {
       for (int i = 0; i < f.doorCount; i++) {
-        // More than a door can give is no gift of these doors.
+        // A digit above what a door can transfer does not come from these doors.
         boolean plausible = i != f.doorIndex && digits[i] <= f.evenQuanta() - f.floorQuanta;
         f.receivedFrom[i] = plausible ? Math.max(f.receivedFrom[i], digits[i]) : f.receivedFrom[i];
       }
     }
   }
 
-  /** The digits of a total, or null when it is none of this kind. */
+  /** The digits of a total, one for each door, or null if doors cannot have made this total. */
   private static int[] digits(double total, int doors) {
     if (!(total >= 0) || total != Math.rint(total) || total >= Math.pow(DIGIT_BASE, doors)) {
       return null;
@@ -369,7 +373,7 @@
       int quanta = i == f.doorIndex ? 0 : (int) (spare * targets[i] / totalShortfall) - f.transferredTo[i];
       quanta = Math.min(quanta, spare - f.transferredTotal());
       if (quanta > 0) {
-        // Lowered before it is told: a call that is lost costs this door's part, and nobody's ceiling.
+        // Lowered before the call: if the call is lost, this door loses rights, and the ceiling holds.
         f.transferredTo[i] += quanta;
         if (!callCounter(counterName(customer, Integer.toString(i), f), quanta, f.doorIndex)) {
           f.transferredTo[i] -= quanta;
--- a/policy/src/main/java/willowdoor/recovery/CounterWatch.java
+++ b/policy/src/main/java/willowdoor/recovery/CounterWatch.java
@@ -13,59 +13,59 @@
 import willowdoor.recovery.WatchEvent.Woken;
 
 /**
- * Tells one counter from another, by one call and for every name at once, within a protocol that can only add
- * to names. No I/O, no clock, no thread.
+ * Detects that the counter was replaced by another one, with one call for all names together, in a protocol
+ * that can only add to names. Does no I/O, reads no clock and starts no thread.
  *
- * <p>Each door adds to a sentinel name that no other door uses, and only ever more than nothing. A counter
- * that has confirmed a total can never again answer a later call with less than that total and the call's
- * amount. If it does, it is not the counter that confirmed it: it began anew, or with a copy that lacks that
- * add. This holds however answers are lost, late or out of order, as only a lower bound is used; adds whose
- * answers were lost can raise a total, and then hide a replacement from that call, but never make one up.
+ * <p>Each door adds positive amounts to a sentinel name that no other door uses. A counter that has confirmed
+ * a total can never answer a later call with less than that total plus the call's amount. If an answer is
+ * lower, it comes from another counter: one that started empty, or from a copy that lacks the confirmed
+ * addition. As only a lower bound is used, this holds even if answers are lost, late or out of order.
+ * Additions whose answers were lost can raise a total and so hide a replacement from a call, but they can
+ * never cause a false report.
  *
- * <p>So that they can't hide an empty counter either, a name begins with an add of {@value #FIRST_AMOUNT}:
- * without
- * it, what a door adds in any count of calls stays below. One such add is out at a time, and its name is
- * given up with a lost answer: with several, those that come after the counter was emptied would raise its
- * total to what was confirmed, and hide it for good. What a copy has of a name tells how old it is: each
- * check adds one, and the times of the checks are kept. A copy from before the name was begun looks empty by
- * it, so the name used before is asked for then, and only its answer tells an empty counter from a copy.
+ * <p>To keep such additions from hiding an empty counter too, the first addition to a name is {@value
+ * #FIRST_AMOUNT}: the later additions of a door, each of 1, add up to less than that. Only one first addition
+ * is pending at a time, and if its answer is lost, its name is abandoned. If several were pending, those that
+ * arrive after the counter was emptied would raise its total to the confirmed one and hide the loss for good.
+ * The total of a name in a copy shows the copy's age, as each check adds 1 and the times of the checks are
+ * kept. A copy made before the name was first used looks empty by that name; then the name used before is
+ * checked, and only its answer distinguishes an empty counter from a copy.
  *
- * <p>Names live for {@value #NAME_TTL_MS} ms at the most, as the protocol has it. Well before, a new name is
- * begun, and the old one is checked on until an answer to a check that was sent after the new one's first
- * answer: if the old one still holds then, the new one was begun at the same counter. A door that could ask
- * nobody for so long that no name is left to go by takes the counter for another one.
+ * <p>By the protocol, names live for at most {@value #NAME_TTL_MS} ms. Well before that a new name is
+ * started, and the old one is still checked until one of its checks, sent after the new name's first answer,
+ * is answered. If the old name's total still holds then, the new name was started at the same counter. A door
+ * that got no answer for so long that no name is left to compare with reports the counter as replaced.
  *
- * <p>A check goes out first on each new connection, and in any case every {@value #CHECK_INTERVAL_MS} ms, for
- * counters
- * that change behind a connection that stays. What it can't tell: a copy that lacks no check of this door, so
- * one younger than the last check; and that two counters serve different doors (a split), as each door sees
- * one.
+ * <p>A check is the first call on each new connection, and is also sent every {@value #CHECK_INTERVAL_MS} ms,
+ * for counters that are replaced behind a connection that stays. Two cases are not detected: a copy that
+ * contains every check of this door, so one made after the last check; and a split, in which different doors
+ * use different counters, as each door sees only one.
  */
 public final class CounterWatch {
 
-  /** How often at least the counter is asked who it is. */
+  /** Interval of the checks. */
   static final double CHECK_INTERVAL_MS = 250;
-  /** For so long the protocol keeps a name at the most. */
+  /** The longest time that the protocol keeps a name. */
   static final double NAME_TTL_MS = 60_000;
-  /** A name is used for so long; the rest is for calls that come late. */
+  /** After this time a new name is started; the rest of a name's life allows for late calls. */
   static final double NAME_ROTATION_MS = 25_000;
-  /** A name older than this is not asked: its life could end before the answer is made. */
+  /** A name older than this is not checked, as it could expire before the counter answers. */
   static final double MAX_NAME_AGE_MS = 42_000;
-  /** The name before is asked for what a copy has until then: well before it is forgotten. */
+  /** Up to this age the retired name can tell a copy from an empty counter; well before it expires. */
   static final double MAX_RETIRED_NAME_AGE_MS = 55_000;
-  /** The first add to a name. */
+  /** The first amount added to a name. */
   static final double FIRST_AMOUNT = 1e6;
-  /** Checks out at the most; beyond it none is begun, as the counter answers none. */
+  /** Limit of unanswered checks; beyond it none is sent, as the counter does not answer. */
   static final int MAX_PENDING_CHECKS = 64;
 
-  /** One sentinel name, and the largest total that was confirmed; 0 before the first answer. */
+  /** A sentinel name and the largest total confirmed for it, which is 0 before the first answer. */
   private static final class SentinelName {
     private final String text;
     private final double startedAt;
     private double confirmedTotal;
     /**
-     * When each check of it was sent: the n-th made its total {@link #FIRST_AMOUNT} and n - 1, if none was
-     * lost.
+     * When each check was sent. Unless one was lost, the n-th check raised the total to
+     * {@link #FIRST_AMOUNT} + n - 1.
      */
     private final List<Double> sentAt = new ArrayList<>();
 
@@ -76,12 +76,11 @@
   }
 
   /**
-   * A check that is out.
+   * A check that is not answered yet.
    *
-   * @param minTotal the least total that the counter which confirmed the name can answer
-   * @param confirmsSameCounter it was sent after the first answer for the current name, so that its own
-   * answer tells that
-   *     both names are at one counter
+   * @param minTotal the lowest total that the counter which confirmed the name can answer
+   * @param confirmsSameCounter whether the check of the previous name was sent after the current name's first
+   *     answer, so that its own answer shows that both names are at the same counter
    */
   private record PendingCheck(SentinelName name, double minTotal, boolean confirmsSameCounter) { }
 
@@ -93,21 +92,19 @@
   private int nextNameIndex;
   private int incarnation = 1;
   private SentinelName current;
-  /** The name before, until it has vouched for the current one. */
+  /** The previous name, until an answer shows that the current one is at the same counter. */
   private SentinelName previous;
-  /** The name used before the current one, kept longer: whether a counter that lacks the current one has
-      it. */
+  /** The previous name, kept longer, to see whether a counter that lacks the current name has this one. */
   private SentinelName retired;
-  /** The check that asks for the retired name, or -1; until it ends nothing else is taken. */
+  /** Number of the check of the retired name, or -1; until that ends nothing is sent or accepted. */
   private long retiredCheckNumber = -1;
   private double lastCheckAt = Double.NEGATIVE_INFINITY;
 
   /**
-   * A watch for one door.
+   * Creates the watch of one door.
    *
-   * @param door distinguishes its names from those of all other doors and of its own earlier lives; letters
-   * and
-   *     digits, 32 at the most
+   * @param door distinguishes the names from those of all other doors and of this door's earlier processes;
+   *     1 to 32 letters and digits
    */
   public CounterWatch(String door) {
     if (!door.matches("[A-Za-z0-9]{1,32}")) {
@@ -116,17 +113,17 @@
     this.door = door;
   }
 
-  /** How many counters were seen, from 1. */
+  /** Number of counters seen so far, from 1. */
   public int incarnation() {
     return incarnation;
   }
 
-  /** Whether a counter has confirmed any total, so that a replacement would be noticed. */
+  /** Whether any total is confirmed, so that a replacement of the counter would be noticed. */
   public boolean hasConfirmedTotal() {
     return current != null && current.confirmedTotal > 0 || previous != null && previous.confirmedTotal > 0;
   }
 
-  /** Takes one event and gives what to do, in order. */
+  /** Handles one event and returns the actions to perform, in order; {@code nowMs} never goes back. */
   public List<WatchAction> on(double nowMs, WatchEvent event) {
     now = nowMs;
     actions = new ArrayList<>(2);
@@ -155,7 +152,7 @@
       current = new SentinelName("~" + door + ":" + nextNameIndex++, now);
     }
     if (previous != null && now - previous.startedAt > MAX_NAME_AGE_MS) {
-      // It may be forgotten before an answer comes: it can vouch for nothing any more.
+      // The previous name may expire before an answer comes, so its total proves nothing any more.
       previous = null;
     }
     if (hadConfirmedTotal && !hasConfirmedTotal()) {
@@ -198,7 +195,8 @@
       return;
     }
     if (check != null && check.name == current && current.confirmedTotal == 0 && Double.isNaN(e.total())) {
-      // Its first add may come late, and look like one that another counter has: a new name has none.
+      // The first addition may still arrive late, at a replaced counter, and look like a confirmed one; a
+      // new name has no such addition.
       current = null;
       return;
     }
@@ -216,10 +214,10 @@
     }
   }
 
-  /** One that lacks the name may have a copy from before the name was begun: an older name tells. */
+  /** A counter that lacks the name may be a copy made before the name was started; an older name shows it. */
   private void onLowerTotal(SentinelName name, double total) {
-    if (total > FIRST_AMOUNT || retired == null || retired == name || now
-        - retired.startedAt > MAX_RETIRED_NAME_AGE_MS) {
+    if (total > FIRST_AMOUNT || retired == null || retired == name
+        || now - retired.startedAt > MAX_RETIRED_NAME_AGE_MS) {
       reportReplaced(name, total);
       return;
     }
@@ -229,9 +227,10 @@
   }
 
   /**
-   * What was confirmed before is void; a new name begins at the new counter, and late answers tell nothing.
+   * Reports a replaced counter: all confirmed totals are void, a new name is started at the new counter, and
+   * late answers are ignored.
    *
-   * @param total of that name at the new counter, with the amount that asked for it; 0 when that is not known
+   * @param total the name's total at the new counter, with the check's own amount; 0 if it is not known
    */
   private void reportReplaced(SentinelName name, double total) {
     boolean isCopy = total > FIRST_AMOUNT;
--- a/policy/src/main/java/willowdoor/recovery/RightsAction.java
+++ b/policy/src/main/java/willowdoor/recovery/RightsAction.java
@@ -1,22 +1,21 @@
 package willowdoor.recovery;
 
-/** What {@link CeilingRights} has done. */
+/** An action that {@link CeilingRights} asks its caller to perform. */
 public sealed interface RightsAction {
 
   /**
-   * The answer to {@link RightsEvent.Requested}, and its first action: the share of the firm's ceiling that
-   * this
-   * door may use by itself.
+   * The share of the firm's ceiling that this door may use by itself; always the first action that answers
+   * {@link RightsEvent.Requested}.
    *
-   * @param share from 0 to 1, until a moment
-   * @param untilMs the moment; what it granted after it is the share named last
-   * @param shareAfter the share from that moment on, unless another is told
+   * @param share the share until {@code untilMs}, from 0 to 1
+   * @param untilMs when {@code share} ends; positive infinity if it does not
+   * @param shareAfter the share from {@code untilMs} on, unless another action replaces it
    */
   record Share(double share, double untilMs, double shareAfter) implements RightsAction { }
 
-  /** Add to a name at the counter; its end is told as {@link RightsEvent.CallEnded}. */
+  /** Add to a name at the counter; the end of the call is reported as {@link RightsEvent.CallEnded}. */
   record Call(String name, double amount, double ttlMs) implements RightsAction { }
 
-  /** Be woken then. */
+  /** Send {@link RightsEvent.Woken} at this time. */
   record WakeAt(double atMs) implements RightsAction { }
 }
--- a/policy/src/main/java/willowdoor/recovery/RightsEvent.java
+++ b/policy/src/main/java/willowdoor/recovery/RightsEvent.java
@@ -1,33 +1,33 @@
 package willowdoor.recovery;
 
-/** What {@link CeilingRights} is told. Times are milliseconds on a clock that only moves forward. */
+/** An event that {@link CeilingRights} handles. Times are milliseconds on a monotonic clock. */
 public sealed interface RightsEvent {
 
   /**
-   * A request of a firm under a ceiling has come to this door.
+   * A request of a firm that has a ceiling arrived at this door.
    *
-   * @param doorCount how many doors its firm's requests may come through
-   * @param doorIndex this door's place among them, from 0, or -1 when it is none of them
-   * @param rate units a second by which the ceiling fills
-   * @param burst units that it holds at the most
-   * @param maxUnits units that one request may name at the most
-   * @param units that this request names
+   * @param doorCount number of doors that serve the firm
+   * @param doorIndex this door's index among them, from 0; -1 if it is none of them
+   * @param rate refill rate of the ceiling, in units a second
+   * @param burst capacity of the ceiling, in units
+   * @param maxUnits the largest number of units that one request may ask for
+   * @param units the number of units that this request asks for
    */
   record Requested(long customer, int doorCount, int doorIndex, double rate, double burst, double maxUnits,
       double units) implements RightsEvent { }
 
-  /** The end of a call; the total is NaN when no readable answer came. */
+  /** A call to the counter has ended; the total is NaN if there was no readable answer. */
   record CallEnded(String name, double total) implements RightsEvent { }
 
-  /** The moment that a {@link RightsAction.WakeAt} named, or a later one. */
+  /** The time of a {@link RightsAction.WakeAt} has come or passed. */
   record Woken() implements RightsEvent { }
 
   /**
-   * This life of the door takes requests from here on: for the first time, or again after {@link HandedOver}.
-   * What another life of the same door has given away or spent until now is not known to it.
+   * This process of the door takes requests from now on: for the first time, or again after
+   * {@link HandedOver}. It does not know what another process of the same door transferred or spent so far.
    */
   record Activated() implements RightsEvent { }
 
-  /** Another life of the same door uses its parts from here on, and this one none of them. */
+  /** Another process of the same door uses the door's shares from now on, and this process none of them. */
   record HandedOver() implements RightsEvent { }
 }
--- a/policy/src/main/java/willowdoor/recovery/WatchEvent.java
+++ b/policy/src/main/java/willowdoor/recovery/WatchEvent.java
@@ -1,19 +1,20 @@
 package willowdoor.recovery;
 
-/** What {@link CounterWatch} is told. Times are milliseconds on a clock that only moves forward. */
+/** An event that {@link CounterWatch} handles. Times are milliseconds on a monotonic clock. */
 public sealed interface WatchEvent {
 
-  /** A connection to the counter has come up; it may be another counter's. */
+  /** A connection to the counter was established; it may lead to another counter than before. */
   record Connected(int link) implements WatchEvent { }
 
   /**
-   * The end of a check.
+   * A check has ended.
    *
-   * @param number the check's, as {@link WatchAction.Check} gave it
-   * @param total after the add; NaN when no readable answer came, whether it was added or not
+   * @param number the number of the {@link WatchAction.Check}
+   * @param total the total after the addition; NaN if there was no readable answer, whether or not the
+   *     amount was added
    */
   record CheckEnded(long number, double total) implements WatchEvent { }
 
-  /** The moment that a {@link WatchAction.WakeAt} named, or a later one. */
+  /** The time of a {@link WatchAction.WakeAt} has come or passed. */
   record Woken() implements WatchEvent { }
 }
--- a/policy/src/main/java/willowdoor/rollout/Comparison.java
+++ b/policy/src/main/java/willowdoor/rollout/Comparison.java
@@ -1,20 +1,22 @@
 package willowdoor.rollout;
 
 /**
- * By what released doors are held against those that are not.
+ * Parameters of the comparison of released doors with the others.
  *
- * @param tolerated released doors may refuse, fail or be late so many times as often as the others, above 0
- * @param suspected what is looked for: so many times as often, above {@code tolerated}
- * @param falseAlarm a release that keeps to what is tolerated is halted with this chance at most, in each
- * wave
- * @param clump refusals and failures come in clumps of so many, 1 where each comes by itself
+ * @param tolerated tolerated ratio of the released doors' rate of refusals, failures or late answers to the
+ *     rate of the others; above 0
+ * @param suspected the ratio that the test looks for; above {@code tolerated}, below 1000
+ * @param falseAlarm upper bound, for each wave, of the probability that a release within the tolerated ratio
+ *     is halted; above 0 and below 1
+ * @param clump number of refusals, failures or late answers that typically occur together; 1 if they occur
+ *     independently
  */
 public record Comparison(double tolerated, double suspected, double falseAlarm, double clump) {
 
-  /** What a plan has that says nothing else. */
+  /** Applies to plans that state no other values. */
   public static final Comparison DEFAULT = new Comparison(1.25, 2.5, 0.01, 2);
 
-  /** Refuses what compares nothing. */
+  /** Rejects values out of range. */
   public Comparison {
     if (!(tolerated > 0 && suspected > tolerated && suspected < 1_000)) {
       throw new IllegalArgumentException("tolerated " + tolerated + " and suspected " + suspected
--- a/policy/src/main/java/willowdoor/rollout/Evidence.java
+++ b/policy/src/main/java/willowdoor/rollout/Evidence.java
@@ -5,52 +5,54 @@
 import java.util.Locale;
 
 /**
- * A sequential test whether released doors do worse than the others: of refusals, failures and late answers
- * each. Wald's sequential probability ratio test (1945), conditioned on when something went wrong: of what
- * goes wrong in a round, the part that does so at released doors is compared with their part of the requests.
- * So a surge or an outage that meets all doors alike tells nothing, whatever the common rate does.
+ * A sequential test of whether released doors do worse than the others, separately for refusals, failures and
+ * late answers. It is Wald's sequential probability ratio test (1945), conditioned on the number of bad
+ * results: of the bad results in a round, the released doors' share is compared with their share of the
+ * requests. A surge or an outage that affects all doors alike therefore adds no evidence, whatever the common
+ * rate is.
  *
- * <p>Let released doors have n1 of a round's requests, the others n2. Where their rates are as r to 1, one
- * that goes wrong does so at a released door with p(r) = r n1 / (r n1 + n2). Each multiplies the evidence by
- * p(suspected) / p(tolerated), or by (1 - p(suspected)) / (1 - p(tolerated)) at another door. For any r up to
- * {@code tolerated} that product is a supermartingale that begins with 1, so it ever reaches k / falseAlarm
- * with a chance of falseAlarm / k at most (Ville, 1939), however often it is looked at; with the k = 3 kinds
- * together falseAlarm. A power below 1 of it is one as well (Jensen), which is how clumps are allowed for:
- * what comes in clumps of c counts as its c-th part.
+ * <p>Let released doors have n1 of a round's requests and the others n2. If the ratio of their rates is r, a
+ * bad result comes from a released door with probability p(r) = r n1 / (r n1 + n2). Each bad result
+ * multiplies the evidence by p(suspected) / p(tolerated) at a released door, and by
+ * (1 - p(suspected)) / (1 - p(tolerated)) at another one. For any r up to {@code tolerated} the product is a
+ * supermartingale that starts at 1, so the probability that it ever reaches k / falseAlarm is at most
+ * falseAlarm / k (Ville, 1939), however often it is evaluated; for the k = 3 kinds together, falseAlarm. The
+ * product raised to a power below 1 is a supermartingale as well (Jensen), which allows for results that are
+ * not independent: with clumps of c results, each counts with the weight 1 / c.
  *
- * <p>It uses {@link StrictMath}, so that every steward comes to the same.
+ * <p>Uses {@link StrictMath}, so that every steward computes the same value.
  *
- * @param since when the round that is under way began
- * @param released what came from released doors in it
- * @param others what came from the others in it
- * @param allReleased the same of the rounds before
- * @param allOthers the same of the rounds before
- * @param logs the logarithm of the evidence by kind: refused, failed, late
+ * @param since when the current round began, in ms
+ * @param released results of released doors in the current round
+ * @param others results of the other doors in the current round
+ * @param allReleased results of released doors in the earlier rounds
+ * @param allOthers results of the other doors in the earlier rounds
+ * @param logs natural logarithm of the evidence of each kind: refused, failed, late
  */
 public record Evidence(double since, Tally released, Tally others, Tally allReleased, Tally allOthers,
     List<Double> logs) {
 
-  /** What is compared, in the order of the logarithms. */
+  /** The kinds of bad results, in the order of the logarithms. */
   private static final List<String> KINDS = List.of("refused", "failed", "late");
   private static final double ROUND_MS = 1_000;
 
-  /** Keeps a copy. */
+  /** Copies the list. */
   public Evidence {
     logs = List.copyOf(logs);
   }
 
-  /** None yet, from that time on. */
+  /** Evidence without any results, collected from {@code nowMs} on. */
   public static Evidence empty(double nowMs) {
     return new Evidence(nowMs, Tally.NONE, Tally.NONE, Tally.NONE, Tally.NONE, List.of(0.0, 0.0, 0.0));
   }
 
-  /** With what a door said. */
+  /** Adds the results that a door reported. */
   public Evidence with(boolean isReleased, Tally tally) {
     return new Evidence(since, isReleased ? released.plus(tally) : released,
         isReleased ? others : others.plus(tally), allReleased, allOthers, logs);
   }
 
-  /** With the round closed, where it is over. */
+  /** Ends the current round and adds its evidence, if the round has lasted long enough. */
   public Evidence withRoundClosed(double nowMs, Comparison comparison) {
     if (nowMs - since < ROUND_MS) {
       return this;
@@ -79,7 +81,7 @@
     return kind == 0 ? tally.refused() : kind == 1 ? tally.failed() : tally.late();
   }
 
-  /** What released doors do worse, in words; null where that isn't shown. */
+  /** Describes in which respect released doors do worse; null if the evidence does not show that they do. */
   public String describeRegression(Comparison comparison) {
     double threshold = StrictMath.log(KINDS.size() / comparison.falseAlarm());
     for (int kind = 0; kind < KINDS.size(); kind++) {
--- a/policy/src/main/java/willowdoor/rollout/PermitAction.java
+++ b/policy/src/main/java/willowdoor/rollout/PermitAction.java
@@ -1,11 +1,11 @@
 package willowdoor.rollout;
 
-/** What a release has the record do. */
+/** An action that a release asks the stewards' replicated state to perform. */
 public sealed interface PermitAction {
 
-  /** Ask for a permit for this step. */
+  /** Request a permit for this step. */
   record RequestPermit(Step step) implements PermitAction { }
 
-  /** Give the step's permit back, or no longer wait for it. */
+  /** Return the step's permit, or cancel the request for it. */
   record ReturnPermit(Step step) implements PermitAction { }
 }
--- a/policy/src/main/java/willowdoor/rollout/Plan.java
+++ b/policy/src/main/java/willowdoor/rollout/Plan.java
@@ -3,18 +3,20 @@
 import java.util.List;
 
 /**
- * What a release is to do.
+ * The plan of a release.
  *
- * @param of what is released
- * @param from the version that doors have, and go back to
- * @param to the version that they get
- * @param waves how many doors have it at each wave's end, as growing parts of all; at least one more door
- * than     before, and the last part is 1
- * @param bakeMs after each wave and its doors' settling, in which these are compared with the others
- * @param drainMs a door whose clients don't leave is replaced after this all the same; none of their requests
- *     is lost by it, as its successor has the same socket
- * @param stepMs a door that isn't back after this, or a permit that isn't had, halts the release
- * @param settleMs a door's figures count so long after it is ready, as a new process is slow at first
+ * @param of whether doors or backends are released
+ * @param from the version before the release, which a rollback returns to
+ * @param to the version to be released
+ * @param waves the fraction of all doors that have the new version at the end of each wave; increasing, and
+ *     the last is 1. Each wave has at least one door more than the one before
+ * @param bakeMs how long the released doors are compared with the others after each wave, once
+ *     {@code settleMs} has passed
+ * @param drainMs after this time a door is replaced even if clients are still connected; none of their
+ *     requests is lost, as the successor has the same socket
+ * @param stepMs the release halts if a door is not back, or a permit not granted, within this time
+ * @param settleMs a door's results count from this time after it became ready, as a new process is slow at
+ *     first
  */
 public record Plan(Kind of, String from, String to, List<Double> waves, double bakeMs, double drainMs,
     double stepMs,
@@ -22,9 +24,9 @@
 
   /** What is released. */
   public enum Kind {
-    /** Doors, each of which starts another version in its place. */
+    /** Doors; each starts a process of the other version as its successor. */
     DOORS,
-    /** Backends, each of which somebody restarts once nothing is sent to it; discovery tells that it was. */
+    /** Backends; an operator restarts each one once nothing is sent to it, which discovery then reports. */
     BACKENDS
   }
 
@@ -32,7 +34,7 @@
   private static final int MAX_VERSION_LENGTH = 64;
   private static final double MAX_DURATION_MS = 7 * 24 * 3_600_000.0;
 
-  /** Keeps a copy, and refuses what is no plan, in words. */
+  /** Copies the list, and rejects an invalid plan with a message that says what is expected. */
   public Plan {
     waves = List.copyOf(waves);
     checkVersion(from);
@@ -41,7 +43,7 @@
       throw new IllegalArgumentException("from and to are both " + from + " (expected: two versions)");
     }
     if (waves.isEmpty() || waves.size() > MAX_WAVES || waves.get(waves.size() - 1) != 1) {
-      throw new IllegalArgumentException("waves " + waves + " (expected: growing parts of all doors, "
+      throw new IllegalArgumentException("waves " + waves + " (expected: increasing fractions of all doors, "
           + MAX_WAVES
           + " at most, the last of them 1)");
     }
@@ -62,12 +64,11 @@
   private static void checkRange(String name, double value, double min) {
     if (!(value >= min && value <= MAX_DURATION_MS)) {
       throw new IllegalArgumentException(name + " " + value + " (expected: from " + min + " to "
-          + MAX_DURATION_MS
-          + ")");
+          + MAX_DURATION_MS + ")");
     }
   }
 
-  /** A version's name goes into a command, so it can be no path and no option. */
+  /** Checks a version's name; as it becomes part of a command line, it must not be a path or an option. */
   public static void checkVersion(String name) {
     boolean good = !name.isEmpty() && name.length() <= MAX_VERSION_LENGTH && alphanumeric(name.charAt(0))
         && name.chars().allMatch(c -> alphanumeric((char) c) || "._+-".indexOf(c) >= 0);
--- a/policy/src/main/java/willowdoor/rollout/Release.java
+++ b/policy/src/main/java/willowdoor/rollout/Release.java
@@ -4,43 +4,43 @@
 import java.util.Map;
 
 /**
- * How a release stands, whole: one that is made from this goes on as the first would.
+ * The complete state of a release: a {@link Rollout} created from it continues exactly like the one before.
  *
- * @param id counted up over all releases
- * @param request the asker's name of the request that began it
- * @param by who began it
- * @param course which way it goes
- * @param mode whether it goes on
- * @param why what brought it to its mode, in words
- * @param wave which of the plan's waves, from 0
- * @param bakesSince when the wave was complete; below 0 where it isn't
- * @param attempts how many steps have begun, in this release and all before it
- * @param order of the doors
- * @param versions what each door was seen to have last
- * @param steps those under way
- * @param started of backends that are out for their step, when each had started before
+ * @param id increases over all releases
+ * @param request the client's identifier of the request that started the release
+ * @param by who started the release
+ * @param course the direction of the release
+ * @param mode whether steps begin
+ * @param why the reason for the current mode, as text
+ * @param wave index of the current wave in the plan, from 0
+ * @param bakesSince when the current wave was complete, in ms; below 0 if it is not complete
+ * @param attempts number of steps begun so far, in this release and all earlier ones
+ * @param order the order in which doors are released
+ * @param versions the last known version of each door
+ * @param steps the steps under way
+ * @param started for backends out of service for their step, the start time they had before, in ms
  */
 public record Release(long id, String request, String by, Plan plan, Course course, Mode mode, String why,
     int wave,
     double bakesSince, long attempts, List<String> order, Map<String, String> versions, List<Step> steps,
     Map<String, Double> started, Evidence evidence) {
 
-  /** Which way it goes. */
+  /** Direction: to the new version, or back to the old one. */
   public enum Course { FORWARD, BACK }
 
-  /** Whether it goes on. */
+  /** Whether steps begin. */
   public enum Mode {
-    /** It does. */
+    /** Steps begin as planned. */
     GOING,
-    /** No step begins until an operator has it go on. */
+    /** No step begins until an operator resumes the release. */
     PAUSED,
-    /** The same, and what hadn't begun at its door was taken back. */
+    /** As PAUSED, and steps that had not begun at their door are withdrawn. */
     HALTED,
-    /** Every door has the version that it was to have. */
+    /** Every door has the target version. */
     ENDED
   }
 
-  /** Keeps copies. */
+  /** Copies the collections. */
   public Release {
     order = List.copyOf(order);
     versions = Map.copyOf(versions);
@@ -48,17 +48,17 @@
     started = Map.copyOf(started);
   }
 
-  /** The version that doors are to have now. */
+  /** The version that doors are to get: the new one, or the old one on the way back. */
   public String targetVersion() {
     return course == Course.FORWARD ? plan.to() : plan.from();
   }
 
-  /** Whether nothing of it is under way any more. */
+  /** Whether no step is under way and none will begin unless an operator acts. */
   public boolean hasStopped() {
     return steps.isEmpty() && mode != Mode.GOING;
   }
 
-  /** How many doors have a version. */
+  /** Number of doors that have the given version. */
   public long countWithVersion(String version) {
     return versions.values().stream().filter(version::equals).count();
   }
--- a/policy/src/main/java/willowdoor/rollout/Rollout.java
+++ b/policy/src/main/java/willowdoor/rollout/Rollout.java
@@ -14,27 +14,30 @@
 import willowdoor.rollout.Step.State;
 
 /**
- * Carries one release on: what the record sees of the doors and its time in, wishes for permits out. It does
- * no I/O, reads no clock and draws no chance, so every steward carries it on in the same way, and the command
- * that began it may die.
+ * Runs one release as a deterministic state machine: the status of the doors and the replicated log's time
+ * go in, requests for permits come out. Does no I/O, reads no clock and uses no random numbers, so every
+ * steward computes the same state, and the command-line process that started the release need not stay alive.
  *
- * <p>A door's step is permit, drain, replacement by a second process, return. It begins with the permit. Once
- * the release is paused or halted no step begins; one whose door has not begun is taken back and leaves the
- * old version, one whose door has begun ends by that door's own word: the new version serves, or the attempt
- * came to nothing and the old one serves on. No timer ends a step, as a door that isn't heard may have begun.
+ * <p>A step of a door consists of permit, drain, replacement by a second process, and return. It begins with
+ * the permit. Once the release is paused or halted no step begins. A pause lets steps with a granted permit
+ * complete. After a halt or a rollback, a step whose door has not begun is withdrawn and leaves the version
+ * as it was; a step whose door has begun ends by that door's own report: the new version serves, or the
+ * attempt failed and the old version keeps serving. No timeout ends a step, as a door that can't be reached
+ * may have begun.
  *
- * <p>The release halts by itself where a door's attempt came to nothing, where a step or the wait for a
- * permit takes too long, where released doors are lost, or fall back, and others are not lost in the same
- * measure, and where they do worse ({@link Evidence}). Backends are released in the same way, but for who
- * restarts them: the step goes on until discovery tells of a start since nothing is sent to it, which is
- * then the version asked for; a start at any other time changes no version. On the way back nothing is
- * compared: what is gone back to is what others would be compared with.
+ * <p>The release halts by itself if a door's attempt failed; if a step or the wait for a permit takes too
+ * long; if released doors return to the old version; if released doors are lost and the others are not lost
+ * to a similar extent; and if released doors do worse than the others ({@link Evidence}). Backends are
+ * released in the same way, except that an operator restarts them: a step lasts until discovery reports that
+ * the backend started after requests to it had ceased, which then counts as the requested version. A start at
+ * any other time changes no version. On the way back nothing is compared, as the target is the version that
+ * released doors would be compared with.
  */
 public final class Rollout {
 
-  /** A released door counts as lost after this, so that doors that are lost together are seen together. */
+  /** A released door counts as lost after this time, so that doors lost together are counted together. */
   private static final double LOST_AFTER_MS = 1_500;
-  /** Released doors are lost so many times as often as the others before that speaks against the version. */
+  /** The release halts if released doors are lost more than this many times as often as the others. */
   private static final double LOST_RATIO = 3;
 
 
@@ -44,7 +47,7 @@
   private final Map<String, Double> startedBefore = new HashMap<>();
   private final List<PermitAction> actions = new ArrayList<>();
 
-  /** Goes on from there. */
+  /** Continues a release from its state. */
   public Rollout(Release release) {
     this.release = release;
     release.steps().forEach(x -> steps.put(x.door(), x));
@@ -52,15 +55,14 @@
   }
 
   /**
-   * A new one.
+   * Starts a release.
    *
-   * @param statuses the doors, in an order that is the same wherever the record is
-   * @param attempts how many steps releases before it began: a door tells attempts apart by their numbers
-   * @throws IllegalArgumentException in words, where the doors have other versions than the plan's
+   * @param statuses the doors, in an order that is the same on every steward
+   * @param attempts number of steps begun in earlier releases; doors distinguish attempts by their numbers
+   * @throws IllegalArgumentException if no door is known, or a door has neither of the plan's versions
    */
   public static Rollout begin(long id, String request, String by, Plan plan, double nowMs,
-      List<TargetStatus> statuses,
-      long attempts) {
+      List<TargetStatus> statuses, long attempts) {
     if (statuses.isEmpty()) {
       throw new IllegalArgumentException("no door is known");
     }
@@ -74,7 +76,7 @@
         -1, attempts, interleaveZones(statuses), Map.of(), List.of(), Map.of(), Evidence.empty(nowMs)));
   }
 
-  /** Zones by turns, so that the first waves have doors of all of them. */
+  /** Takes doors from the zones in turn, so that the first waves have doors of all zones. */
   private static List<String> interleaveZones(List<TargetStatus> statuses) {
     Map<String, List<String>> zones = new LinkedHashMap<>();
     statuses.forEach(x -> zones.computeIfAbsent(x.zone(), z -> new ArrayList<>()).add(x.door()));
@@ -89,26 +91,26 @@
     return order;
   }
 
-  /** How it stands. */
+  /** The current state of the release. */
   public Release state() {
     return release;
   }
 
-  /** No further step begins until it is resumed. */
+  /** Pauses the release: no further step begins until it is resumed. */
   public void pause(String by) {
     if (release.mode() == Mode.GOING) {
       setMode(Mode.PAUSED, "paused by " + by);
     }
   }
 
-  /** No further step begins, and what hasn't begun at its door is taken back. */
+  /** Halts the release: no further step begins, and steps not begun at their doors are withdrawn. */
   public void halt(String why) {
     if (release.mode() != Mode.ENDED) {
       setMode(Mode.HALTED, why);
     }
   }
 
-  /** It goes on in its course; what was held against it so far is forgotten. */
+  /** Resumes the release in its current direction, with new timeouts and without the evidence so far. */
   public void resume(String by, double nowMs) {
     if (release.mode() != Mode.ENDED) {
       setMode(Mode.GOING, "resumed by " + by);
@@ -116,7 +118,7 @@
     }
   }
 
-  /** Every door gets back the version that it had. */
+  /** Rolls the release back: every door gets the old version again. */
   public void rollBack(String by, double nowMs) {
     if (release.mode() != Mode.ENDED) {
       Release r = release;
@@ -134,7 +136,7 @@
         r.attempts(), r.order(), r.versions(), r.steps(), r.started(), r.evidence());
   }
 
-  /** Waits and evidence count from here. */
+  /** Restarts the timeouts of the steps and the collection of evidence. */
   private void restartTimers(double nowMs) {
     steps.replaceAll((door, x) -> x.state() == State.WAITING || x.state() == State.GOING
         ? x.withState(x.state(), nowMs, x.since()) : x);
@@ -149,23 +151,27 @@
         evidence);
   }
 
-  /** A door that is ready said what it came to since it last did. */
+  /** Adds the results that a ready door reported since its last report. */
   public void addTally(String door, String version, Tally tally, double nowMs) {
     if (release.mode() == Mode.GOING && release.course() == Course.FORWARD && !steps.containsKey(door)
         && release.plan().of() == Plan.Kind.DOORS) {
-      updateProgress(release.wave(), release.bakesSince(),
-          release.evidence().withRoundClosed(nowMs, release.plan()
-          .comparison()).with(version.equals(release.plan().to()), tally));
+      updateProgress(release.wave(), release.bakesSince(), release.evidence()
+          .withRoundClosed(nowMs, release.plan().comparison())
+          .with(version.equals(release.plan().to()), tally));
     }
   }
 
-  /** Nothing is sent to a backend any more: what starts after this has its step's version. */
+  /**
+   * Records that requests to a backend have ceased: a later start means that it has its step's version.
+   *
+   * @param startedMs the start time that the backend had until now
+   */
   public void backendTakenOut(String backend, double startedMs) {
     startedBefore.put(backend, startedMs);
     updateProgress(release.wave(), release.bakesSince(), release.evidence());
   }
 
-  /** What a door is to do for its step now; null for nothing. */
+  /** The step for which a door is to start its successor now, or null. */
   public Step dueStep(String door, boolean empty, double nowMs) {
     Step step = steps.get(door);
     return step != null && step.state() == State.GOING && release.plan().of() == Plan.Kind.DOORS
@@ -173,9 +179,9 @@
   }
 
   /**
-   * Goes on by what is seen now.
+   * Advances the release by the current status of the doors, and returns the permits to request or return.
    *
-   * @param index the command that was taken last
+   * @param index log index of the latest command applied
    */
   public List<PermitAction> advance(double nowMs, long index, List<TargetStatus> current) {
     actions.clear();
@@ -196,7 +202,7 @@
     return List.copyOf(actions);
   }
 
-  /** Who there is; a door that joins later comes last, one that was forgotten is no more. */
+  /** Updates order and versions: doors that join later come last, and forgotten doors are removed. */
   private void updateVersions() {
     Map<String, String> versions = new HashMap<>(release.versions());
     List<String> order = new ArrayList<>(release.order());
@@ -225,7 +231,7 @@
 
   private void advanceStep(Step step, TargetStatus status, double nowMs, long index) {
     if (status == null || status.permit() == PermitState.NONE && step.state() != State.WAITING) {
-      // Forgotten, or an operator gave its permit back; a permit that is returned ends so too.
+      // The door was forgotten, an operator returned its permit, or the return of the permit is complete.
       steps.remove(step.door());
       if (step.state() == State.WAITING) {
         actions.add(new PermitAction.ReturnPermit(step));
@@ -308,12 +314,11 @@
         othersUnreachable++;
       }
     }
-    boolean disproportionate = lostReleased.size() * Math.max(1.0, others.size()) > LOST_RATIO
-        * othersUnreachable * releasedDoors.size();
+    boolean disproportionate = lostReleased.size() * Math.max(1.0, others.size())
+        > LOST_RATIO * othersUnreachable * releasedDoors.size();
     return lostReleased.isEmpty() || !disproportionate ? null
         : "released doors are lost: " + String.join(", ", lostReleased)
-        + "; of the "
-        + others.size() + " others " + othersUnreachable;
+        + "; of the " + others.size() + " others " + othersUnreachable;
   }
 
   private void advanceWave(double nowMs, long index) {
@@ -336,7 +341,7 @@
     return release.targetVersion().equals(release.versions().get(door));
   }
 
-  /** At least one door more in each wave. */
+  /** Number of doors released at the end of the current wave; each wave has at least one door more. */
   private int waveSize(int doorCount) {
     int size = 0;
     for (int i = 0; i <= release.wave(); i++) {
@@ -369,10 +374,10 @@
     actions.add(new PermitAction.RequestPermit(step));
   }
 
-  /** Which doors it waits for that are not reached. */
+  /** Doors that do not have the target version yet and can't be reached. */
   public List<String> unreachableDoors() {
-    return release.order().stream()
-        .filter(x -> !hasTargetVersion(x) && statuses.containsKey(x) && !statuses.get(x).isReachable())
+    return release.order().stream().filter(x -> !hasTargetVersion(x) && statuses.containsKey(x)
+        && !statuses.get(x).isReachable())
         .collect(Collectors.toList());
   }
 }
--- a/policy/src/main/java/willowdoor/rollout/Step.java
+++ b/policy/src/main/java/willowdoor/rollout/Step.java
@@ -1,24 +1,24 @@
 package willowdoor.rollout;
 
 /**
- * A door's change from one version to another.
+ * The change of one door or backend from one version to another.
  *
- * @param attempt counted up over all releases, never used again
- * @param version that the door is to have
- * @param sinceMs when it came to its state
- * @param since the command by which it did
+ * @param attempt number of the attempt; increases over all releases and is never reused
+ * @param version the version that the door is to get
+ * @param sinceMs when the step entered its state, or its timeout was restarted
+ * @param since log index of the command by which the step entered its state
  */
 public record Step(String door, long attempt, String version, State state, double sinceMs, long since) {
 
-  /** How far it has come. */
+  /** Progress of the step. */
   public enum State {
-    /** Its permit waits. It has not begun. */
+    /** The permit has been requested and is not granted; the door has not begun. */
     WAITING,
-    /** The door may go out, and is replaced. */
+    /** The permit is granted: the door drains and is replaced. */
     GOING,
-    /** It was taken back, and goes on only if the door had begun already. */
+    /** The step was withdrawn, and completes only if the door had begun already. */
     WITHDRAWN,
-    /** The door has one of both versions, and comes back. */
+    /** The replacement has succeeded or failed, and the permit is being returned. */
     RETURNING
   }
 
--- a/policy/src/main/java/willowdoor/rollout/Tally.java
+++ b/policy/src/main/java/willowdoor/rollout/Tally.java
@@ -1,19 +1,20 @@
 package willowdoor.rollout;
 
 /**
- * How a process of a door has answered since it began; only ever more.
+ * Counts of the results of requests: those of one door process since its start, or the sum of such counts'
+ * differences. The counts of a process never decrease.
  *
- * @param asked requests that have ended, other than by their client's leaving
- * @param refused of these, those that were refused
- * @param failed of these, those that failed
- * @param late of these, those that were served later than their class aims at
+ * @param asked number of requests that have ended, except those whose client left
+ * @param refused number of these that were refused
+ * @param failed number of these that failed
+ * @param late number of these that were served later than their class's target latency
  */
 public record Tally(long asked, long refused, long failed, long late) {
 
-  /** Nothing yet. */
+  /** No requests. */
   public static final Tally NONE = new Tally(0, 0, 0, 0);
 
-  /** What came since; all none where the other is not an earlier state of the same. */
+  /** The difference from earlier counts; {@link #NONE} if any of those is higher, so of another process. */
   public Tally since(Tally earlier) {
     Tally difference = new Tally(asked - earlier.asked, refused - earlier.refused, failed - earlier.failed,
         late - earlier.late);
--- a/policy/src/main/java/willowdoor/rollout/TargetStatus.java
+++ b/policy/src/main/java/willowdoor/rollout/TargetStatus.java
@@ -1,23 +1,24 @@
 package willowdoor.rollout;
 
 /**
- * A door as the record has it at one moment.
+ * The status of a door or backend, at one moment, in the stewards' replicated state.
  *
- * @param version of the process that takes its requests, as far as it is reached; empty where none is
- * @param serving whether it is ready and reached
- * @param unreachableMs how long no process of it has been reached, or has been there; 0 where one is
- * @param startedAttempt the last attempt of a release that a process of it began, 0 for none
- * @param failedAttempt the last attempt that came to nothing, 0 for none
- * @param knownIndex up to which command all processes of it that are reached know the record
- * @param permit how its permit for its step stands
- * @param heldByOthers whether somebody else has it out, or is about to
- * @param waitReason why its permit waits; empty where it doesn't
+ * @param version version of the process that takes its requests; empty if no such process is reachable, or
+ *     if processes of two versions may be serving
+ * @param serving whether it is ready and reachable
+ * @param unreachableMs for how long none of its processes has been reachable; 0 if one is
+ * @param startedAttempt number of the last release attempt that one of its processes began; 0 if none
+ * @param failedAttempt number of the last attempt that failed; 0 if none
+ * @param knownIndex log index up to which all its reachable processes know the replicated state
+ * @param permit state of the permit for its step
+ * @param heldByOthers whether anyone else has taken it out of service, or is about to
+ * @param waitReason why its permit is waiting; empty if it is not
  */
-public record TargetStatus(String door, String zone, String version, boolean serving, double unreachableMs,
-    long startedAttempt,
-    long failedAttempt, long knownIndex, PermitState permit, boolean heldByOthers, String waitReason) {
+public record TargetStatus(String door, String zone, String version, boolean serving,
+    double unreachableMs, long startedAttempt, long failedAttempt, long knownIndex, PermitState permit,
+    boolean heldByOthers, String waitReason) {
 
-  /** How a step's permit stands. */
+  /** State of a step's permit. */
   public enum PermitState { NONE, WAITING, GRANTED, RETURNING }
 
   boolean isReachable() {
--- a/policy/src/test/java/willowdoor/authz/AuthzEngineTest.java
+++ b/policy/src/test/java/willowdoor/authz/AuthzEngineTest.java
@@ -34,7 +34,7 @@
 import willowdoor.authz.AuthzSettings.Health;
 import willowdoor.authz.AuthzSettings.Member;
 
-/** Histories of checks. */
+/** Single histories of decisions, and random ones. */
 class AuthzEngineTest {
 
   private static final Health HEALTH = new Health(3, 0.5, 1_000, 4_000, 0);
@@ -75,8 +75,8 @@
 
   @Test
   void onlyTheMembersClassesPlansAndFirmsNeedADecision() {
-    createEngine(
-        new Member("acme", List.of(new FirmRange(10, 19)), Set.of("full"), Set.of(BUY), List.of(weighted(0)),
+    createEngine(new Member("acme", List.of(new FirmRange(10, 19)), Set.of("full"), Set.of(BUY),
+        List.of(weighted(0)),
         Choice.ORDER, 300, 0.5, false, Set.of(), 0, 1));
     assertActions(0, new Arrived("a", "check-quote", "full", 11, 2_000, 0, null),
         new Pass("a", PassReason.NOT_ASKED, null));
@@ -173,8 +173,8 @@
     createEngine(member(false, Set.of(), 0, weighted(0)));
     for (int i = 0; i < 3; i++) {
       assertActions(i, request("a" + i), new StartCall("a" + i, 0, 0, 300, false));
-      assertActions(i, callEnded("a" + i, 0, Result.FAILED),
-          new Refuse("a" + i, NoDecisionCause.FAILED, i < 2 ? 100 : 1_000));
+      assertActions(i, callEnded("a" + i, 0, Result.FAILED), new Refuse("a" + i, NoDecisionCause.FAILED,
+          i < 2 ? 100 : 1_000));
     }
     assertTrue(engine.isEjected(0));
     assertActions(502, request("b"), new Refuse("b", NoDecisionCause.EJECTED, 500));
@@ -318,15 +318,14 @@
     assertThrows(IllegalArgumentException.class, () -> engine.on(1, request("a")));
   }
 
-  /** Random events, sensible or not: each request is decided once and no rule of asking is broken. */
+  /** Random events, valid or not: each request is decided once, and no rule for calls is broken. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void randomHistoriesDecideEachRequestOnce(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     boolean repeatable = seed % 2 == 0;
-    createEngine(
-        member(repeatable, seed % 3 == 0 ? Set.of(BUY) : Set.of(), seed % 4 < 2 ? 500 : 0, weighted(0),
-        weighted(1)));
+    createEngine(member(repeatable, seed % 3 == 0 ? Set.of(BUY) : Set.of(), seed % 4 < 2 ? 500 : 0,
+        weighted(0), weighted(1)));
     Map<String, Integer> decisions = new HashMap<>();
     Map<String, Boolean> mayHaveReached = new HashMap<>();
     Map<String, Integer> calls = new HashMap<>();
@@ -341,9 +340,8 @@
       if (kind < 4) {
         id = "r" + step;
         ids.add(id);
-        actions = engine
-            .on(nowMs, new Arrived(id, BUY, "full", 10 + random.nextInt(11), nowMs + random.nextInt(
-            900), random.nextInt(800), "s" + random.nextInt(4)));
+        actions = engine.on(nowMs, new Arrived(id, BUY, "full", 10 + random.nextInt(11),
+            nowMs + random.nextInt(900), random.nextInt(800), "s" + random.nextInt(4)));
       } else if (kind < 9) {
         Result result = Result.values()[random.nextInt(Result.values().length)];
         int call = random.nextInt(2);
--- a/policy/src/test/java/willowdoor/life/InstanceLifecycleTest.java
+++ b/policy/src/test/java/willowdoor/life/InstanceLifecycleTest.java
@@ -30,7 +30,7 @@
 import willowdoor.life.LifecycleEvent.WarmUpEnded;
 import willowdoor.life.LifecycleEvent.Woken;
 
-/** Histories of an instance, and every short history there is. */
+/** Single histories of an instance, and all short histories. */
 class InstanceLifecycleTest {
 
   private static final ShutdownLimits LIMITS = new ShutdownLimits(500, 3_000, 200, 400);
@@ -38,8 +38,8 @@
   private final InstanceLifecycle lifecycle = new InstanceLifecycle(LIMITS);
 
   private void assertActions(double atMs, LifecycleEvent event, LifecycleAction... actions) {
-    assertEquals(List.of(actions), lifecycle.on(atMs, event),
-        () -> event + " at " + atMs + " in " + lifecycle.phase());
+    assertEquals(List.of(actions), lifecycle.on(atMs, event), () -> event + " at " + atMs + " in "
+        + lifecycle.phase());
   }
 
   private void becomeReady() {
@@ -121,7 +121,7 @@
     assertEquals(Phase.DRAINING, lifecycle.phase());
   }
 
-  /** It learnt so before it was ready: it never takes clients as one that is not out. */
+  /** Taken out of service before it was ready: it never takes clients as if it were in service. */
   @Test
   void outOfServiceBeforeItWasReady() {
     assertActions(0, new SocketBound(), new WarmUp());
@@ -215,11 +215,11 @@
     assertThrows(IllegalArgumentException.class, () -> new ShutdownLimits(0, 1, 0, 0));
   }
 
-  /** Every history of six events, 0 or 300 ms apart: seven kinds of events, 7.5 million histories. */
+  /** All histories of six events, 0 or 300 ms apart, of seven kinds: 7.5 million histories. */
   @Test
   void inEveryShortHistoryTheSocketIsServedUntilItsEndAndTheEndComesOnce() {
-    List<LifecycleEvent> events = List
-        .of(new SocketBound(), new WarmUpEnded(), new EndSignal(), new SuccessorReady(),
+    List<LifecycleEvent> events = List.of(new SocketBound(), new WarmUpEnded(), new EndSignal(),
+        new SuccessorReady(),
         new SuccessorLost(), new AllAnswered(), new Woken());
     int[] history = new int[6];
     int choices = events.size() * 2;
@@ -249,9 +249,9 @@
       now += step % 2 == 0 ? 0 : 300;
       LifecycleEvent event = events.get(step / 2);
       for (LifecycleAction a : lifecycle.on(now, event)) {
-        assertEquals(0, closes, () -> "after its end: " + describe(history, events));
+        assertEquals(0, closes, () -> "action after the end: " + describe(history, events));
         if (a instanceof Accept) {
-          assertTrue(!socketClosed, () -> "accepts on an ended socket: " + describe(history, events));
+          assertTrue(!socketClosed, () -> "accepts on a closed socket: " + describe(history, events));
           accepting = true;
           leftToSuccessor = false;
         } else if (a instanceof LeaveSocketToSuccessor) {
--- a/policy/src/test/java/willowdoor/membership/MembershipTest.java
+++ b/policy/src/test/java/willowdoor/membership/MembershipTest.java
@@ -18,7 +18,7 @@
 import willowdoor.policy.GatewayApi.BackendEntry;
 import willowdoor.policy.GatewayApi.Phase;
 
-/** The merge of lists and operators' words: single histories, and every order of a handful of events. */
+/** The merge of lists and removals: single histories, and every order of up to six events. */
 class MembershipTest {
 
   private static final double FIRST_START_MS = 500;
@@ -42,8 +42,8 @@
     RosterUpdate update = membership.on(2, new TakeOut(1));
     assertEquals(List.of(entry(1, Phase.DRAINING, 0)), update.entries());
     assertFalse(update.full());
-    assertEquals(Phase.DRAINING,
-        membership.on(3, fullList(entry(1, Phase.SERVING, 9))).entries().get(0).phase());
+    assertEquals(Phase.DRAINING, membership.on(3, fullList(entry(1, Phase.SERVING, 9))).entries().get(0)
+        .phase());
     assertEquals(Phase.REMOVED,
         membership.on(4, changes(entry(1, Phase.REMOVED, 9))).entries().get(0).phase());
     assertEquals(Phase.DRAINING,
@@ -55,10 +55,10 @@
     assertFalse(membership.on(1, new TakeOut(7)).known());
     assertFalse(membership.on(1, new PutBack(7)).known());
     membership.on(2, fullList(entry(7, Phase.SERVING, 0)));
-    assertTrue(membership.on(3, new PutBack(7)).known(), "it was never out, and is there");
+    assertTrue(membership.on(3, new PutBack(7)).known(), "never taken out, but listed");
     assertTrue(membership.on(4, new TakeOut(7)).known());
     membership.on(5, fullList());
-    assertTrue(membership.on(6, new TakeOut(7)).known(), "out, though no list names it");
+    assertTrue(membership.on(6, new TakeOut(7)).known(), "taken out, but not listed");
     assertTrue(membership.on(7, new PutBack(7)).known());
     assertFalse(membership.on(8, new PutBack(7)).known());
   }
@@ -70,11 +70,11 @@
     membership.on(2100, new TakeOut(1));
     assertEquals(List.of(entry(1, Phase.SERVING, 5000)), membership.on(5000, new PutBack(1)).entries());
     assertEquals(5000, membership.on(5100, fullList(entry(1, Phase.SERVING, FIRST_START_MS))).entries().get(0)
-        .startedMs(), "a list that is late");
-    assertEquals(3000,
-        membership.on(5200, fullList(entry(1, Phase.SERVING, 3000))).entries().get(0).startedMs());
-    assertEquals(3000,
-        membership.on(5300, fullList(entry(1, Phase.SERVING, 3000))).entries().get(0).startedMs());
+        .startedMs(), "a list that does not have the restart yet");
+    assertEquals(3000, membership.on(5200, fullList(entry(1, Phase.SERVING, 3000))).entries().get(0)
+        .startedMs());
+    assertEquals(3000, membership.on(5300, fullList(entry(1, Phase.SERVING, 3000))).entries().get(0)
+        .startedMs());
   }
 
   @Test
@@ -93,7 +93,7 @@
     successor.on(3, fullList(entry(1, Phase.SERVING, 0), entry(2, Phase.SERVING, 0)));
     assertEquals(List.of(entry(2, Phase.DRAINING, 0)), successor.on(4, new Inherited(membership.disabled()))
         .entries());
-    assertEquals(List.of(), successor.on(5, new Inherited(membership.disabled())).entries(), "no news");
+    assertEquals(List.of(), successor.on(5, new Inherited(membership.disabled())).entries(), "nothing new");
     assertEquals(membership.disabled(), successor.disabled());
     assertTrue(successor.on(6, new Inherited(List.of(new DisabledBackend(9, 1)))).entries().isEmpty(),
         "not listed");
@@ -116,25 +116,26 @@
     assertTrue(membership.on(4, new TakeOut(0)).known());
   }
 
-  /** An operator's word here and the fleet's: it is back when neither has it out. */
+  /** Taken out by an operator here and by the fleet: in service again when both have put it back. */
   @Test
   void aBackendTakenOutTwiceIsBackAfterBothPutBacks() {
     membership.on(1, fullList(entry(1, Phase.SERVING, 0)));
     membership.on(2_000, new TakeOut(1));
     assertEquals(Phase.DRAINING, membership.on(2_100, new FleetTakeOut(1)).entries().get(0).phase());
     assertEquals(Phase.DRAINING, membership.on(3_000, new PutBack(1)).entries().get(0).phase());
-    assertEquals(List.of(), membership.disabled(), "the other process hears of the fleet's word itself");
-    assertEquals(List.of(entry(1, Phase.SERVING, 4_000)),
-        membership.on(4_000, new FleetPutBack(1)).entries());
+    assertEquals(List.of(), membership.disabled(),
+        "another process learns of the fleet's decision by itself");
+    assertEquals(List.of(entry(1, Phase.SERVING, 4_000)), membership.on(4_000, new FleetPutBack(1))
+        .entries());
     assertEquals(List.of(), membership.on(5_000, new FleetPutBack(1)).entries());
   }
 
-  /** The fleet knows it from another door's list. */
+  /** The fleet may know a backend from another door's list. */
   @Test
   void aBackendTakenOutByTheFleetIsOutOnceItIsListed() {
     membership.on(1, new FleetTakeOut(7));
-    assertEquals(Phase.DRAINING,
-        membership.on(2, fullList(entry(7, Phase.SERVING, 0))).entries().get(0).phase());
+    assertEquals(Phase.DRAINING, membership.on(2, fullList(entry(7, Phase.SERVING, 0))).entries().get(0)
+        .phase());
     for (int i = 0; i < Membership.MAX_OUT; i++) {
       membership.on(3, new FleetTakeOut(i));
     }
@@ -142,7 +143,7 @@
     assertTrue(membership.on(4, new FleetTakeOut(7)).known());
   }
 
-  /** Every order, with repeats, of six events that concern one backend, against what each rule says of it. */
+  /** Every order, with repeats, of up to six events of one backend, checked against the rules. */
   @Test
   void everyOrderOfUpToSixEventsKeepsTheRules() {
     List<MembershipEvent> events = List.of(new TakeOut(1), new PutBack(1),
--- a/policy/src/test/java/willowdoor/recovery/CeilingRightsTest.java
+++ b/policy/src/test/java/willowdoor/recovery/CeilingRightsTest.java
@@ -21,14 +21,14 @@
 import willowdoor.recovery.RightsEvent.HandedOver;
 import willowdoor.recovery.RightsEvent.Woken;
 
-/** Parts of a ceiling that move between doors, and never make more than the whole. */
+/** Transfers of rights between doors; the doors' shares never add up to more than the ceiling. */
 class CeilingRightsTest {
 
   private static final double RATE = 8;
   private static final double BURST = 64;
   private static final double MAX_UNITS = 8;
   private static final long FIRM = 42;
-  /** Some era of the firm, well after the doors' births. */
+  /** Start of one of the firm's periods, well after the doors started. */
   private static final double PERIOD_START_MS = CeilingRights.PERIOD_MS * 50
       - Math.floorMod(FIRM * 0x9E3779B97F4A7C15L, (long) CeilingRights.PERIOD_MS);
 
@@ -40,7 +40,7 @@
     return new Requested(FIRM, doors, place, RATE, BURST, MAX_UNITS, units);
   }
 
-  /** Tells one door of an event and answers its calls; gives its share, if one was told. */
+  /** Passes an event to a door and answers its calls; returns the share among its actions, or null. */
   private Share deliver(CeilingRights door, double now, RightsEvent event) {
     Share share = null;
     List<RightsAction> actions = new ArrayList<>(door.on(now, event));
@@ -51,7 +51,7 @@
         calls++;
         assertTrue(CeilingRights.ownsName(c.name()) && c.name().length() <= 64, c.name());
         double total = counterAnswers ? counter.merge(c.name(), c.amount(), Double::sum) : Double.NaN;
-        assertTrue(!(total >= 1e7), "the counter keeps seven digits: " + total);
+        assertTrue(!(total >= 1e7), "the counter is exact up to seven digits only: " + total);
         actions.addAll(door.on(now, new CallEnded(c.name(), total)));
       }
     }
@@ -66,8 +66,7 @@
     return doors;
   }
 
-  /** Three quarters of the traffic through the first door, for so long, and one request a second elsewhere.
-      */
+  /** Asks for 8 units a second at the first door and 1 a second at the others; returns the last shares. */
   private double[] runSkewedLoad(List<CeilingRights> doors, double fromMs, double forMs) {
     double[] shares = new double[doors.size()];
     for (double t = fromMs; t < fromMs + forMs; t += 250) {
@@ -119,7 +118,7 @@
     assertEquals(0.25, deliver(doors.get(1), end, requested(4, 1, 1)).share());
   }
 
-  /** Both lives of a door have one part between them at the most, whatever the old one had given. */
+  /** Both processes of a door together never have more than the door's part, whatever was transferred. */
   @Test
   void afterAHandoverTheOldProcessHasNoShareAndTheNewOneHasTheFloor() {
     List<CeilingRights> doors = doors(2);
@@ -127,21 +126,21 @@
     runSkewedLoad(doors, PERIOD_START_MS, 12_000);
     double now = PERIOD_START_MS + 12_000;
     double shareAfterTransfer = deliver(doors.get(1), now, requested(2, 1, 1)).share();
-    assertTrue(shareAfterTransfer < 0.5, "gave nothing: " + shareAfterTransfer);
+    assertTrue(shareAfterTransfer < 0.5, "nothing was transferred: " + shareAfterTransfer);
     deliver(doors.get(1), now, new HandedOver());
     deliver(next, now, new Activated());
     int callsBefore = calls;
     assertEquals(0, deliver(doors.get(1), now + 10, requested(2, 1, 8)).share());
     deliver(doors.get(1), now + 1_500, new Woken());
-    assertEquals(callsBefore, calls, "a life that is over goes on calling");
+    assertEquals(callsBefore, calls, "a process that handed over still calls");
     double floor = deliver(next, now + 10, requested(2, 1, 8)).share();
     assertTrue(floor > 0 && floor <= shareAfterTransfer, floor + " after " + shareAfterTransfer);
     assertTrue(floor + deliver(doors.get(0), now + 10, requested(2, 0, 1)).share() <= 1);
-    // The successor died: the old life can't know what that one has spent.
+    // The successor died: the old process can't know what the successor has spent.
     deliver(doors.get(1), now + 2_000, new Activated());
     assertEquals(floor, deliver(doors.get(1), now + 2_000, requested(2, 1, 1)).share());
-    assertEquals(0.5,
-        deliver(doors.get(1), PERIOD_START_MS + 2 * CeilingRights.PERIOD_MS, requested(2, 1, 1)).share());
+    assertEquals(0.5, deliver(doors.get(1), PERIOD_START_MS + 2 * CeilingRights.PERIOD_MS, requested(2, 1, 1))
+        .share());
   }
 
   @Test
@@ -149,21 +148,20 @@
     CeilingRights newDoor = new CeilingRights(PERIOD_START_MS + 5_000);
     List<CeilingRights> doors = List.of(new CeilingRights(0), newDoor);
     double[] shares = runSkewedLoad(doors, PERIOD_START_MS + 5_000, 10_000);
-    assertEquals(0.25, shares[1], "the life before may have given the rest away");
-    assertEquals(0.5, shares[0], "nothing is given by one that can't know what is left");
-    assertEquals(0.5,
-        deliver(newDoor, PERIOD_START_MS + CeilingRights.PERIOD_MS + 1, requested(2, 1, 1)).share());
+    assertEquals(0.25, shares[1], "the previous process may have transferred the rest");
+    assertEquals(0.5, shares[0], "a process that can't know its rights transfers nothing");
+    assertEquals(0.5, deliver(newDoor, PERIOD_START_MS + CeilingRights.PERIOD_MS + 1, requested(2, 1, 1))
+        .share());
   }
 
-  /** Its clock may have been set anew with it. */
+  /** The clock may have been reset with the restart, so the start may lie within the period. */
   @Test
   void aDoorStartedJustBeforeThePeriodHasTheFloor() {
     CeilingRights newDoor = new CeilingRights(PERIOD_START_MS - CeilingRights.CLOCK_SKEW_GUARD_MS / 2);
     assertEquals(0.25, deliver(newDoor, PERIOD_START_MS + 10, requested(2, 1, 1)).share());
   }
 
-  /** Its life before may have told some of the firm's demand: nothing is added that runs into other digits.
-      */
+  /** The previous process may have reported demand, and adding more could overflow into the next digit. */
   @Test
   void aDoorStartedWithinThePeriodReportsNoDemand() {
     CeilingRights newDoor = new CeilingRights(PERIOD_START_MS + 5_000);
@@ -183,7 +181,7 @@
     }
     deliver(sender, PERIOD_START_MS + 6_000, requested(2, 1, 1));
     double shareAfterTransfer = deliver(sender, PERIOD_START_MS + 6_000, requested(2, 1, 1)).share();
-    assertTrue(shareAfterTransfer < 0.5, "it gave: " + shareAfterTransfer);
+    assertTrue(shareAfterTransfer < 0.5, "share after the transfer: " + shareAfterTransfer);
     counter.clear();
     double[] shares = {0, 0};
     for (int i = 0; i < 12; i++) {
@@ -194,7 +192,7 @@
     assertTrue(sum(shares) <= 1, "sum " + sum(shares));
   }
 
-  /** A counter that comes back with less, or answers with what no door has added. */
+  /** The counter returns with lower totals, or answers with totals that no door can have caused. */
   @Test
   void impossibleAndForeignTotalsAreIgnored() {
     CeilingRights door = new CeilingRights(0);
@@ -203,19 +201,19 @@
     String transferName = Long.toString(FIRM, 36) + "^0:" + period;
     for (double total : new double[] {-1, 0.5, 2_500, 1e9, Double.POSITIVE_INFINITY, 17 * 50, 7}) {
       deliver(door, PERIOD_START_MS + 2, new CallEnded(transferName, total));
-      assertEquals(0.5, deliver(door, PERIOD_START_MS + 3, requested(2, 0, 1)).share(),
-          "after a total of " + total);
+      assertEquals(0.5, deliver(door, PERIOD_START_MS + 3, requested(2, 0, 1)).share(), "after a total of "
+          + total);
     }
     deliver(door, PERIOD_START_MS + 2, new CallEnded(transferName, 16 * 50));
     assertEquals(0.75, deliver(door, PERIOD_START_MS + 3, requested(2, 0, 1)).share());
     deliver(door, PERIOD_START_MS + 2, new CallEnded(transferName, 3 * 50));
     assertEquals(0.75, deliver(door, PERIOD_START_MS + 3, requested(2, 0, 1)).share(),
-        "what was given stays given");
+        "received rights stay");
     deliver(door, PERIOD_START_MS + 2, new CallEnded(Long.toString(FIRM, 36) + "^0:49", 5 * 50));
     deliver(door, PERIOD_START_MS + 2, new CallEnded(Long.toString(99, 36) + "^0:50", 5 * 50));
     deliver(door, PERIOD_START_MS + 2, new CallEnded(Long.toString(FIRM, 36) + "^1:50", 5 * 50));
     assertEquals(0.75, deliver(door, PERIOD_START_MS + 3, requested(2, 0, 1)).share(),
-        "others' names say nothing");
+        "other names are ignored");
   }
 
   @Test
@@ -225,7 +223,7 @@
     assertEquals(0, deliver(door, PERIOD_START_MS, requested(3, 3, 1)).share());
     assertEquals(1, deliver(door, PERIOD_START_MS, requested(1, 0, 1)).share());
     assertEquals(0.2, deliver(door, PERIOD_START_MS, requested(5, 4, 1)).share(),
-        "larger sets keep even parts");
+        "larger sets keep even shares");
     assertEquals(0, calls);
   }
 
@@ -253,14 +251,13 @@
       deliver(door, t, new Woken());
     }
     assertTrue(calls <= CeilingRights.MAX_CALLS_PER_S + 1, calls + " in a second");
-    // After an era without a word the eldest makes room.
-    assertEquals(0.5,
-        deliver(door, PERIOD_START_MS + 2 * CeilingRights.PERIOD_MS,
+    // A firm without requests for a period is evicted to make room.
+    assertEquals(0.5, deliver(door, PERIOD_START_MS + 2 * CeilingRights.PERIOD_MS,
         new Requested(firmCount, 2, 0, RATE, BURST, MAX_UNITS, 1))
         .share());
   }
 
-  /** In the same era the new parts are not known to be free of what was given of the old. */
+  /** Until the period ends, transfers made from the old share may still be in use. */
   @Test
   void aFirmWhoseDoorsChangeHasTheFloorUntilThePeriodEnds() {
     CeilingRights door = new CeilingRights(0);
@@ -277,8 +274,8 @@
   }
 
   /**
-   * Any order of asking, lost calls, lost answers, emptied and split counters, new lives and clocks that
-   * differ by less than the guard: at no moment do the parts of all doors make more than the whole.
+   * Random requests, lost calls, lost answers, emptied and split counters, restarted doors, and clocks that
+   * differ by less than the guard time: at no time do the shares of all doors exceed the ceiling.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
@@ -326,7 +323,7 @@
           actions.addAll(doors[i].on(doorNow, new CallEnded(c.name(), fate == 1 ? Double.NaN : total)));
         }
       }
-      // What a door would be told now, had it just been asked: without a request it uses nothing.
+      // The share of each door if a request arrived now; without a request a door uses nothing.
       double sum = 0;
       for (int j = 0; j < n; j++) {
         Share s = currentShare(doors[j], now + clockOffsetMs[j], n, j);
@@ -336,8 +333,8 @@
       largestSum = Math.max(largestSum, sum);
       assertTrue(sum <= 1 + 1e-9, "seed " + seed + ": " + sum + " at " + (now - PERIOD_START_MS));
     }
-    assertTrue(largestSum > 0.9 && largestRatio > 1.1,
-        "seed " + seed + " showed nothing: " + largestSum + ", " + largestRatio);
+    assertTrue(largestSum > 0.9 && largestRatio > 1.1, "seed " + seed + " moved too little: " + largestSum
+        + ", " + largestRatio);
   }
 
   private static Share currentShare(CeilingRights door, double now, int n, int place) {
--- a/policy/src/test/java/willowdoor/recovery/CounterWatchTest.java
+++ b/policy/src/test/java/willowdoor/recovery/CounterWatchTest.java
@@ -21,10 +21,10 @@
 import willowdoor.recovery.WatchEvent.Connected;
 import willowdoor.recovery.WatchEvent.Woken;
 
-/** A watch before counters of a model that are lost, copied and slow. */
+/** A watch of simulated counters that are emptied, restored from copies and slow to answer. */
 class CounterWatchTest {
 
-  /** A counter as the protocol has it: totals by name, forgotten when their life has passed. */
+  /** A counter as in the protocol: totals by name, which expire after their time to live. */
   private static final class SimulatedCounter {
     private final Map<String, double[]> totals = new HashMap<>();
 
@@ -48,7 +48,7 @@
   private final CounterWatch watch = new CounterWatch("d1");
   private SimulatedCounter counter = new SimulatedCounter();
 
-  /** Does all checks among the actions at once; gives the replacement told, or null. */
+  /** Performs all checks among the actions at once; returns the reported replacement, or null. */
   private Replaced answerAll(double now, List<WatchAction> actions) {
     Replaced replaced = null;
     for (WatchAction a : new ArrayList<>(actions)) {
@@ -97,14 +97,14 @@
     wake(300);
     SimulatedCounter whole = counter.copy();
     counter = copy;
-    assertEquals(new Replaced(2, Origin.OLD_COPY, 0), connect(400), "the check at 0 is the last that it has");
+    assertEquals(new Replaced(2, Origin.OLD_COPY, 0), connect(400), "the copy's last check is that at 0");
     connect(500);
     counter = counter.copy();
     assertEquals(null, connect(600));
     assertFalse(whole.totals.isEmpty());
   }
 
-  /** The copy is older than the current name, so only the name before tells that it is one, and how old. */
+  /** The copy is older than the current name; only the retired name shows that it is a copy, and its age. */
   @Test
   void aCopyOlderThanTheCurrentNameIsDistinguishedFromAnEmptyCounter() {
     for (double t = 0; t <= 24_000; t += 250) {
@@ -121,7 +121,7 @@
     assertEquals(new Replaced(3, Origin.EMPTY, Double.NEGATIVE_INFINITY), connect(28_600));
   }
 
-  /** An answer that never comes must not keep it waiting: it is told as an empty one. */
+  /** A lost answer must not block the watch: the counter is reported as empty. */
   @Test
   void withoutAnAnswerForTheRetiredNameTheCounterCountsAsEmpty() {
     connect(0);
@@ -130,12 +130,12 @@
     }
     counter = new SimulatedCounter();
     Check first = (Check) watch.on(28_100, new Connected(0)).get(0);
-    List<WatchAction> retiredChecks = watch
-        .on(28_101, new CheckEnded(first.number(), counter.add(28_101, first)));
+    List<WatchAction> retiredChecks = watch.on(28_101,
+        new CheckEnded(first.number(), counter.add(28_101, first)));
     assertEquals(1, retiredChecks.size());
-    assertEquals(List.of(), watch.on(28_102, new Connected(1)), "nothing else meanwhile");
-    List<WatchAction> actions = watch
-        .on(28_200, new CheckEnded(((Check) retiredChecks.get(0)).number(), Double.NaN));
+    assertEquals(List.of(), watch.on(28_102, new Connected(1)), "no other check meanwhile");
+    List<WatchAction> actions = watch.on(28_200, new CheckEnded(((Check) retiredChecks.get(0)).number(),
+        Double.NaN));
     assertEquals(new Replaced(2, Origin.EMPTY, Double.NEGATIVE_INFINITY), actions.get(0));
     assertEquals(null, answerAll(28_200, actions.subList(1, actions.size())));
   }
@@ -204,9 +204,8 @@
   }
 
   /**
-   * Random connections, lost and late answers, empty counters and copies of any age, over links that each
-   * keep
-   * their order and end with their counter.
+   * Random connections, lost and late answers, empty counters and copies of any age. Connections keep the
+   * order of calls and are lost with their counter.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
@@ -233,7 +232,7 @@
       now += random.nextDouble() * 60;
       int kind = random.nextInt(1_000);
       if (kind < 3) {
-        // Another counter, empty or with the copy; what is on the wire is lost with its connections.
+        // Another counter, empty or with the copy; calls in flight are lost with their connections.
         boolean empty = random.nextBoolean();
         copyLacksChecks = empty || copyLacksChecks;
         counter = empty ? new SimulatedCounter() : copy.copy();
@@ -241,7 +240,7 @@
         inFlight.clear();
         for (Check c : lost) {
           for (WatchAction a : watch.on(now, new CheckEnded(c.number(), Double.NaN))) {
-            // It was asking for an older name at the counter before.
+            // The lost call may have been the check of the retired name at the previous counter.
             assertTrue(replaced || !(a instanceof Replaced), "false alarm, seed " + seed + " step " + step);
             replaced &= !(a instanceof Replaced);
             reported += a instanceof Replaced ? 1 : 0;
@@ -261,7 +260,7 @@
             further.stream().filter(Check.class::isInstance).forEach(x -> inFlight.add((Check) x));
           }
         }
-        assertTrue(detected || !noticeable, "missed, seed " + seed + " step " + step);
+        assertTrue(detected || !noticeable, "replacement missed, seed " + seed + " step " + step);
         assertTrue(!detected || replaced, "false alarm, seed " + seed + " step " + step);
         reported += detected ? 1 : 0;
         replaced &= !detected;
@@ -275,7 +274,7 @@
       } else if (kind < 400 && !inFlight.isEmpty()) {
         Check c = inFlight.remove(0);
         double total = counter.add(now, c);
-        // Only what the door has been told counts as confirmed: a copy may lack the rest unnoticed.
+        // Only answered checks count as confirmed; a copy may lack others without being detected.
         boolean answered = random.nextInt(10) > 0;
         copyLacksChecks |= answered;
         actions = watch.on(now, new CheckEnded(c.number(), answered ? total : Double.NaN));
@@ -283,10 +282,10 @@
         actions = watch.on(now, new Woken());
       }
     }
-    assertTrue(reported > 5, "replacements told: " + reported);
+    assertTrue(reported > 5, "replacements reported: " + reported);
   }
 
-  /** Guards against first adds of many connections that hide an emptied counter from all later checks. */
+  /** First additions over many connections must not hide an emptied counter from all later checks. */
   @Test
   void aCounterEmptiedWhileManyConnectionsAreEstablishedIsDetected() {
     for (int emptiedAfter = 1; emptiedAfter <= 12; emptiedAfter++) {
--- a/policy/src/test/java/willowdoor/rollout/EvidenceTest.java
+++ b/policy/src/test/java/willowdoor/rollout/EvidenceTest.java
@@ -12,7 +12,8 @@
   private static final int ROUNDS = 120;
 
   /**
-   * One of ten doors is released; of each's requests these parts are refused, rising and falling together.
+   * One of ten doors is released; released doors and others refuse the given shares of their requests, both
+   * of which rise and fall together.
    */
   private static int roundsUntilAlarm(long seed, double released, double others, Comparison comparison) {
     Random random = new Random(seed);
@@ -36,7 +37,7 @@
     return new Tally(asked, refused, 0, 0);
   }
 
-  /** At the edge of what is tolerated, where it is most likely. */
+  /** The rate is exactly at the tolerated ratio, where false alarms are most likely. */
   @Test
   void falseAlarmsStayBelowTheStatedProbability() {
     Comparison comparison = new Comparison(1.25, 2.5, 0.05, 1);
@@ -44,7 +45,7 @@
     for (int seed = 1; seed <= 1_000; seed++) {
       alarms += roundsUntilAlarm(seed, 0.04 * 1.25, 0.04, comparison) <= ROUNDS ? 1 : 0;
     }
-    // Some 17 in 1,000 are a third of 0.05, as one kind of three is played here.
+    // The bound is about 17 of 1,000, a third of 0.05, as only one of the three kinds is simulated.
     assertTrue(alarms <= 30 && alarms > 0, alarms + " of 1,000");
   }
 
@@ -69,9 +70,7 @@
         evidence.describeRegression(Comparison.DEFAULT));
   }
 
-  /**
-   * Before it is over a round tells nothing, and one in which only one side was asked tells nothing at all.
-   */
+  /** A round adds no evidence before it ends, or if only one side received requests. */
   @Test
   void roundsWithoutAComparisonAddNoEvidence() {
     Evidence evidence = Evidence.empty(0).with(true, new Tally(100, 100, 0, 0));
@@ -79,7 +78,7 @@
     assertNull(evidence.withRoundClosed(1_000, Comparison.DEFAULT).describeRegression(Comparison.DEFAULT));
   }
 
-  /** A process that begins anew counts from nought again. */
+  /** A restarted process counts from zero again. */
   @Test
   void lowerCountsBelongToAnotherProcess() {
     assertEquals(Tally.NONE, new Tally(3, 0, 0, 0).since(new Tally(9, 0, 0, 0)));
--- a/policy/src/test/java/willowdoor/rollout/RolloutTest.java
+++ b/policy/src/test/java/willowdoor/rollout/RolloutTest.java
@@ -78,14 +78,14 @@
         x.door().equals(door)).map(Step::state).findFirst().orElse(null);
   }
 
-  /** The permit is had, the door goes. */
+  /** The permit is granted, and the door drains. */
   private void grantPermit(String door) {
     put(withPermit(statuses.get(door), PermitState.GRANTED));
     advance(10);
     assertEquals(State.GOING, stepState(door));
   }
 
-  /** Its new process is there, and the permit comes back. */
+  /** The successor serves, and the permit is returned. */
   private void replaceDoor(String door) {
     put(withPermit(status(door, rollout.dueStep(door, true, nowMs).version()), PermitState.GRANTED));
     advance(10);
@@ -129,7 +129,7 @@
     assertEquals(Mode.ENDED, state().mode());
   }
 
-  /** Within the budget several go at a time, but one waits at a time, so that others come to their turns. */
+  /** Several steps run within the budget, but only one waits for a permit, so that others get a turn. */
   @Test
   void requestsAnotherPermitOnlyAfterTheLastWasGranted() {
     beginWithDoors(8);
@@ -175,7 +175,7 @@
     assertNull(stepState("d4"));
     assertEquals(State.WITHDRAWN, stepState("d2"));
     assertNull(rollout.dueStep("d2", true, nowMs));
-    // Neither has said yet that it knows.
+    // Neither door has reported that it knows of the halt.
     advance(10);
     assertEquals(State.WITHDRAWN, stepState("d3"));
     put(new TargetStatus("d3", "a", "1", false, 0, 0, 0, index, PermitState.GRANTED, false, ""));
@@ -194,7 +194,7 @@
     assertEquals("halted by rui", state().why());
   }
 
-  /** One that isn't reached may have begun, so nothing is said of it until it is. */
+  /** A door that can't be reached may have begun, so its step is open until the door reports. */
   @Test
   void theStepOfAnUnreachableDoorStaysOpenUntilTheDoorIsReachable() {
     beginWithDoors(4);
@@ -248,7 +248,7 @@
     advance(1_000);
     advance(0);
     grantPermit("d2");
-    // It has begun, and ends as the new one.
+    // d2 has begun its attempt, and completes it with the new version.
     put(new TargetStatus("d2", "b", "1", false, 0, 2, 0, 0, PermitState.GRANTED, false, ""));
     rollout.rollBack("ana", nowMs);
     advance(10);
@@ -304,7 +304,7 @@
     assertEquals("released doors are lost: d1; of the 3 others 0", state().why());
   }
 
-  /** With its zone, by no fault of its version. */
+  /** The whole zone is lost, so the version is not the cause. */
   @Test
   void aReleasedDoorThatIsLostWithOthersDoesNotHalt() {
     beginWithDoors(4);
@@ -325,7 +325,7 @@
     assertEquals("back on an older version by themselves: d1", state().why());
   }
 
-  /** Down between the versions: it comes back with either, and gets what it is to have. */
+  /** A door that dies between the versions returns with either, and then gets the target version. */
   @Test
   void aDoorThatDiedDuringItsStepIsReplacedWhenItReturns() {
     beginWithDoors(2);
@@ -405,8 +405,8 @@
     assertThrows(IllegalArgumentException.class, () -> plan("1", "2"));
     assertThrows(IllegalArgumentException.class, () -> plan("1", "2", 0.5));
     assertThrows(IllegalArgumentException.class, () -> plan("1", "2", 0.5, 0.4, 1.0));
-    assertThrows(IllegalArgumentException.class,
-        () -> new Plan(Plan.Kind.DOORS, "1", "2", List.of(1.0), -1, 0,
+    assertThrows(IllegalArgumentException.class, () -> new Plan(Plan.Kind.DOORS, "1", "2", List.of(1.0), -1,
+        0,
         1, 0,
         Comparison.DEFAULT));
     assertThrows(IllegalArgumentException.class, () -> new Comparison(2, 1, 0.1, 1));
