--- a/daemon/src/main/java/willowdoor/daemon/agreement/PermitsCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/agreement/PermitsCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import willowdoor.agreement.Life;
+import willowdoor.agreement.DoorProcessState;
 import willowdoor.agreement.Note;
 import willowdoor.agreement.Outcome;
 import willowdoor.agreement.Permit;
@@ -92,7 +92,7 @@
         return WAITS;
       }
       out.println(outcome instanceof Outcome.Granted e ? "yes, permit " + e.permit()
-          : outcome instanceof Outcome.Begun e ? "yes, release " + e.release() : "yes");
+          : outcome instanceof Outcome.ReleaseStarted e ? "yes, release " + e.release() : "yes");
       return 0;
     }
   }
@@ -132,7 +132,8 @@
 
     @Override
     public Integer call() throws InterruptedException {
-      return at.put(new willowdoor.agreement.Command.Ask(0, request, what.subject(), at.by, reason, force));
+      return at.put(new willowdoor.agreement.Command
+          .RequestPermit(0, request, what.subject(), at.by, reason, force));
     }
   }
 
@@ -157,7 +158,8 @@
         if (permit.isEmpty()) {
           return at.say(new Answer.Came(new Outcome.Refused(subject + " is not out on purpose")));
         }
-        return at.say(operator.put(new willowdoor.agreement.Command.Return(0, subject, permit.get().id(),
+        return at.say(operator
+            .put(new willowdoor.agreement.Command.ReturnPermit(0, subject, permit.get().id(),
             at.by), at.limitMs));
       }
     }
@@ -235,7 +237,7 @@
       out.printf(Locale.ROOT, "steward %s leads; %d commands agreed on%ndoors: %d, of them out: %d%n"
           + "backends: %d, of them out: %d%n", s.leader(), s.index(), s.doors(), s.doorsOut(), s.backends(),
           s.backendsOut());
-      for (Life x : s.lives()) {
+      for (DoorProcessState x : s.lives()) {
         out.printf(Locale.ROOT, "  %-20s %-24s %s%n", x.door(), x.incarnation(), lower(x.doing()));
       }
       for (int i = 0; i < s.permits().size(); i++) {
--- a/daemon/src/main/java/willowdoor/daemon/config/Section.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/Section.java
@@ -11,7 +11,7 @@
 import org.tomlj.TomlArray;
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
-import willowdoor.agreement.Most;
+import willowdoor.agreement.OutageLimit;
 import willowdoor.net.EndpointUpdate;
 
 /**
@@ -176,19 +176,19 @@
   }
 
   /** How many: a whole number, or a share such as "10%". */
-  Most most(String key, Most absent) {
+  OutageLimit most(String key, OutageLimit absent) {
     Object found = look(key);
     if (found instanceof Long l && l >= 0 && l <= 1_000_000) {
-      return note(key, Most.of(l.intValue()));
+      return note(key, OutageLimit.of(l.intValue()));
     }
     if (found instanceof String s && s.matches("[0-9]{1,3}%") && Integer.parseInt(s.substring(0, s.length()
         - 1)) <= 100) {
-      return note(key, Most.part(Integer.parseInt(s.substring(0, s.length() - 1)) / 100.0));
+      return note(key, OutageLimit.ofShare(Integer.parseInt(s.substring(0, s.length() - 1)) / 100.0));
     }
     if (found != null || absent == null) {
       problem(key, found, "a whole number from 0, or a share from \"0%\" to \"100%\"");
     }
-    return note(key, absent == null ? Most.of(0) : absent);
+    return note(key, absent == null ? OutageLimit.of(0) : absent);
   }
 
   /** A table in this one; one that is missing gives its defaults. */
--- a/daemon/src/main/java/willowdoor/daemon/config/StewardConfig.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/StewardConfig.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import willowdoor.agreement.Budget;
-import willowdoor.agreement.Most;
-import willowdoor.agreement.Terms;
+import willowdoor.agreement.OutageLimit;
+import willowdoor.agreement.FleetSettings;
 import willowdoor.steward.StewardId;
 import willowdoor.steward.link.StewardProcess;
 
@@ -52,21 +52,22 @@
     if (self == null) {
       root.problem("member", names, "one of the name \"" + name + "\", as steward.name is");
     }
-    Terms terms = terms(root.table("terms"));
+    FleetSettings terms = terms(root.table("terms"));
     root.end();
     return self == null ? null : new StewardProcess.Settings(fleet, self, members.get(self), Path.of(store),
         members, terms, start);
   }
 
-  private static Terms terms(Section t) {
-    Terms terms = new Terms(budget(t, "doors"), budget(t, "backends"),
+  private static FleetSettings terms(Section t) {
+    FleetSettings terms = new FleetSettings(budget(t, "doors"), budget(t, "backends"),
         t.number("lease_ms", 3_000, 200, MOST_LEASE_MS));
     t.end();
     return terms;
   }
 
   private static Budget budget(Section t, String kind) {
-    return new Budget(t.most(kind + "_out", Most.of(1)), t.most(kind + "_out_in_zone", Most.ANY),
+    return new Budget(t.most(kind + "_out", OutageLimit.of(1)),
+        t.most(kind + "_out_in_zone", OutageLimit.UNLIMITED),
         t.number(kind + "_least_weight", 0, 0, 1e9));
   }
 }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/AgreedOperator.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AgreedOperator.java
@@ -5,8 +5,8 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import willowdoor.agreement.Command.Ask;
-import willowdoor.agreement.Command.Return;
+import willowdoor.agreement.Command.RequestPermit;
+import willowdoor.agreement.Command.ReturnPermit;
 import willowdoor.agreement.Outcome;
 import willowdoor.agreement.Outcome.Granted;
 import willowdoor.agreement.Outcome.Waiting;
@@ -80,7 +80,7 @@
     long permit = -1;
     boolean granted = false;
     do {
-      Answer answer = operator.put(new Ask(0, request, subject, name, "test", false), CALL_MS);
+      Answer answer = operator.put(new RequestPermit(0, request, subject, name, "test", false), CALL_MS);
       Outcome outcome = answer instanceof Answer.Came came ? came.outcome() : null;
       if (outcome instanceof Granted e) {
         permit = e.permit();
@@ -128,7 +128,7 @@
 
   private void giveBack(Operator operator, Subject subject, long permit) throws InterruptedException {
     ledger.machine(Ledger.Kind.GIVEN_BACK, subjects.get(subject), Long.toString(permit));
-    operator.put(new Return(0, subject, permit, name), CALL_MS);
+    operator.put(new ReturnPermit(0, subject, permit, name), CALL_MS);
   }
 
   /** Has everything come back that anybody left; true once nothing is out any more. */
@@ -144,7 +144,7 @@
         for (Permit x : s == null ? List.<Permit>of() : s.permits()) {
           if (x.stage() != Stage.RETURNING) {
             ledger.machine(Ledger.Kind.GIVEN_BACK, subjects.get(x.subject()), Long.toString(x.id()));
-            operator.put(new Return(0, x.subject(), x.id(), "tidy"), CALL_MS);
+            operator.put(new ReturnPermit(0, x.subject(), x.id(), "tidy"), CALL_MS);
           }
         }
         Thread.sleep(100);
--- a/daemon/src/main/java/willowdoor/daemon/fleet/RecordGrowth.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/RecordGrowth.java
@@ -7,20 +7,20 @@
 import java.util.Set;
 import willowdoor.agreement.Budget;
 import willowdoor.agreement.Command;
-import willowdoor.agreement.Command.Beat;
-import willowdoor.agreement.Command.Beats;
-import willowdoor.agreement.Command.Doing;
+import willowdoor.agreement.Command.Heartbeat;
+import willowdoor.agreement.Command.Heartbeats;
+import willowdoor.agreement.Command.Activity;
 import willowdoor.agreement.Command.Join;
-import willowdoor.agreement.Command.Lead;
+import willowdoor.agreement.Command.LeaderElected;
 import willowdoor.agreement.Command.Leave;
 import willowdoor.agreement.Command.Report;
 import willowdoor.agreement.Command.StartRelease;
 import willowdoor.agreement.Command.Tick;
-import willowdoor.agreement.FleetRecord;
-import willowdoor.agreement.Most;
+import willowdoor.agreement.FleetStateMachine;
+import willowdoor.agreement.OutageLimit;
 import willowdoor.agreement.Permit;
-import willowdoor.agreement.Terms;
-import willowdoor.agreement.View;
+import willowdoor.agreement.FleetSettings;
+import willowdoor.agreement.DoorView;
 import willowdoor.rollout.Comparison;
 import willowdoor.rollout.Plan;
 import willowdoor.rollout.Release;
@@ -37,7 +37,7 @@
   private static final double BEAT_MS = 1_000;
 
   private final PrintWriter out;
-  private final FleetRecord record;
+  private final FleetStateMachine record;
   private final int doors;
   private final List<String> incarnations = new ArrayList<>();
   private final long[] beats;
@@ -51,12 +51,12 @@
     this.out = out;
     this.doors = doors;
     beats = new long[doors];
-    Budget budget = new Budget(Most.of(Math.max(1, doors / 10)), Most.ANY, 0);
-    record = new FleetRecord(new Terms(budget, budget, LEASE_MS));
-    on(new Lead(at));
+    Budget budget = new Budget(OutageLimit.of(Math.max(1, doors / 10)), OutageLimit.UNLIMITED, 0);
+    record = new FleetStateMachine(new FleetSettings(budget, budget, LEASE_MS));
+    on(new LeaderElected(at));
     for (int i = 0; i < doors; i++) {
       incarnations.add(begin(i, "1"));
-      says(i, Doing.READY, Report.NONE);
+      says(i, Activity.READY, Report.NONE);
     }
   }
 
@@ -69,11 +69,11 @@
   private void on(Command command) {
     commands++;
     logBytes += Codec.bytes(command).length;
-    record.on(command);
+    record.apply(command);
   }
 
-  private void says(int door, Doing what, Report report) {
-    on(new Beats(at, List.of(new Beat("d" + door, incarnations.get(door), what, ++beats[door],
+  private void says(int door, Activity what, Report report) {
+    on(new Heartbeats(at, List.of(new Heartbeat("d" + door, incarnations.get(door), what, ++beats[door],
         record.state().index(), Set.of(), report))));
   }
 
@@ -114,17 +114,17 @@
   /** Each door's heartbeat, and what its step asks of it. */
   private void round(String to) {
     for (int i = 0; i < doors; i++) {
-      View view = record.view("d" + i, incarnations.get(i), LEASE_MS);
+      DoorView view = record.view("d" + i, incarnations.get(i), LEASE_MS);
       if (view.attempt() > 0 && view.version().equals(to)) {
-        says(i, Doing.EMPTY, new Report(view.attempt(), 0, Tally.NONE));
+        says(i, Activity.EMPTY, new Report(view.attempt(), 0, Tally.NONE));
         String old = incarnations.set(i, begin(i, to));
         beats[i] = 0;
-        says(i, Doing.EMPTY, Report.NONE);
+        says(i, Activity.EMPTY, Report.NONE);
         on(new Leave(at, "d" + i, old));
       }
       boolean goes = view.attempt() == 0 && view.permits().stream()
           .anyMatch(x -> x.stage() == Permit.Stage.GRANTED || x.stage() == Permit.Stage.OUT);
-      says(i, goes ? Doing.EMPTY : Doing.READY, Report.NONE);
+      says(i, goes ? Activity.EMPTY : Activity.READY, Report.NONE);
     }
     at += BEAT_MS;
     on(new Tick(at));
--- a/daemon/src/main/java/willowdoor/daemon/fleet/ReleasedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/ReleasedCommand.java
@@ -124,7 +124,7 @@
 
   private Release begin(ReleaseRun run, Plan plan) throws InterruptedException {
     Outcome outcome = run.start(plan);
-    if (!(outcome instanceof Outcome.Begun e)) {
+    if (!(outcome instanceof Outcome.ReleaseStarted e)) {
       breach("a release of " + plan.to() + " could not begin: " + outcome);
       return null;
     }
--- a/daemon/src/main/java/willowdoor/daemon/life/Agreement.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Agreement.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.logging.Logger;
 import willowdoor.agreement.Command.Backend;
-import willowdoor.agreement.Command.Doing;
+import willowdoor.agreement.Command.Activity;
 import willowdoor.daemon.config.DaemonConfig;
 import willowdoor.life.InstanceLifecycle.Phase;
 import willowdoor.life.LifecycleEvent.FatalError;
@@ -210,13 +210,13 @@
     link.does(doing());
   }
 
-  private Doing doing() {
+  private Activity doing() {
     return switch (phase) {
-      case STARTING, WARMING -> Doing.STARTING;
-      case READY -> Doing.READY;
-      case OUT -> door.idle() && door.held() == 0 ? Doing.EMPTY : Doing.DRAINING;
-      case DRAINING, ANSWERING, FAILING -> Doing.DRAINING;
-      case STOPPED -> Doing.ENDED;
+      case STARTING, WARMING -> Activity.STARTING;
+      case READY -> Activity.READY;
+      case OUT -> door.idle() && door.held() == 0 ? Activity.EMPTY : Activity.DRAINING;
+      case DRAINING, ANSWERING, FAILING -> Activity.DRAINING;
+      case STOPPED -> Activity.ENDED;
     };
   }
 
--- a/daemon/src/test/java/willowdoor/daemon/agreement/PermitsCommandTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/agreement/PermitsCommandTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 import willowdoor.agreement.Budget;
-import willowdoor.agreement.Most;
-import willowdoor.agreement.Terms;
+import willowdoor.agreement.OutageLimit;
+import willowdoor.agreement.FleetSettings;
 import willowdoor.steward.StewardId;
 import willowdoor.steward.link.StewardProcess;
 
@@ -36,9 +36,9 @@
   void start() throws Exception {
     StewardId self = new StewardId("a", "1");
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
-    Budget one = new Budget(Most.of(1), Most.ANY, 0);
+    Budget one = new Budget(OutageLimit.of(1), OutageLimit.UNLIMITED, 0);
     steward = new StewardProcess(new StewardProcess.Settings("fleet", self, any, folder.resolve("a.db"),
-        Map.of(self, any), new Terms(one, one, 1_500), StewardProcess.Start.BEGIN));
+        Map.of(self, any), new FleetSettings(one, one, 1_500), StewardProcess.Start.BEGIN));
   }
 
   @AfterEach
--- a/daemon/src/test/java/willowdoor/daemon/agreement/ReleaseCommandTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/agreement/ReleaseCommandTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 import willowdoor.agreement.Budget;
-import willowdoor.agreement.Command.Doing;
-import willowdoor.agreement.Most;
-import willowdoor.agreement.Terms;
+import willowdoor.agreement.Command.Activity;
+import willowdoor.agreement.OutageLimit;
+import willowdoor.agreement.FleetSettings;
 import willowdoor.daemon.fleet.FleetCommand;
 import willowdoor.steward.StewardId;
 import willowdoor.steward.link.DoorLink;
@@ -41,13 +41,13 @@
   void start() throws Exception {
     StewardId self = new StewardId("a", "1");
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
-    Budget one = new Budget(Most.of(1), Most.ANY, 0);
+    Budget one = new Budget(OutageLimit.of(1), OutageLimit.UNLIMITED, 0);
     steward = new StewardProcess(new StewardProcess.Settings("fleet", self, any, folder.resolve("a.db"),
-        Map.of(self, any), new Terms(one, one, 1_500), StewardProcess.Start.BEGIN));
+        Map.of(self, any), new FleetSettings(one, one, 1_500), StewardProcess.Start.BEGIN));
     door = new DoorLink(new DoorLink.Self("fleet", "d1", "x", "a", 1, "1", 0), List.of(steward.address()),
         0.01,
         folder.resolve("d1"), 1, new Nothing());
-    door.does(Doing.READY);
+    door.does(Activity.READY);
     while (permits("status") != 0 || !printed.contains("doors: 1, of them out: 0")) {
       Thread.sleep(20);
     }
--- a/daemon/src/test/java/willowdoor/daemon/config/StewardConfigTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/config/StewardConfigTest.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import willowdoor.agreement.Most;
+import willowdoor.agreement.OutageLimit;
 import willowdoor.steward.StewardId;
 import willowdoor.steward.link.StewardProcess;
 import willowdoor.steward.link.StewardProcess.Start;
@@ -36,15 +36,15 @@
     assertEquals(3, s.members().size());
     assertEquals(new StewardId("a", "1"), s.self());
     assertEquals(3_000, s.first().leaseMs());
-    assertEquals(Most.of(1), s.first().doors().inAll());
+    assertEquals(OutageLimit.of(1), s.first().doors().inAll());
   }
 
   @Test
   void sharesAndNumbersAreRead() throws Exception {
     StewardProcess.Settings s = read(STEWARD + MEMBER
         + "[terms]\ndoors_out = \"10%\"\nbackends_out = 3\nbackends_least_weight = 12.5\nlease_ms = 800\n");
-    assertEquals(Most.part(0.1), s.first().doors().inAll());
-    assertEquals(Most.of(3), s.first().backends().inAll());
+    assertEquals(OutageLimit.ofShare(0.1), s.first().doors().inAll());
+    assertEquals(OutageLimit.of(3), s.first().backends().inAll());
     assertEquals(12.5, s.first().backends().leastWeight());
   }
 
--- a/daemon/src/test/java/willowdoor/daemon/fleet/AgreedTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/AgreedTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.agreement.Command.Ask;
-import willowdoor.agreement.Command.Doing;
-import willowdoor.agreement.Command.Return;
+import willowdoor.agreement.Command.RequestPermit;
+import willowdoor.agreement.Command.Activity;
+import willowdoor.agreement.Command.ReturnPermit;
 import willowdoor.agreement.Outcome;
 import willowdoor.agreement.Outcome.Granted;
 import willowdoor.agreement.Outcome.Waiting;
@@ -92,7 +92,8 @@
   }
 
   private Outcome ask(Subject subject) throws InterruptedException {
-    Answer answer = operator.put(new Ask(0, "r" + requests.incrementAndGet(), subject, "ana", "disk", false),
+    Answer answer = operator
+        .put(new RequestPermit(0, "r" + requests.incrementAndGet(), subject, "ana", "disk", false),
         LIMIT_MS);
     return assertInstanceOf(Answer.Came.class, answer, answer::toString).outcome();
   }
@@ -106,7 +107,7 @@
     run.rig().ledger().machine(Ledger.Kind.GIVEN_BACK, name, "");
     long permit = stewards.look().permits().stream().filter(x -> x.subject().equals(subject)).findFirst()
         .orElseThrow().id();
-    assertInstanceOf(Answer.Came.class, operator.put(new Return(0, subject, permit, "ana"), LIMIT_MS));
+    assertInstanceOf(Answer.Came.class, operator.put(new ReturnPermit(0, subject, permit, "ana"), LIMIT_MS));
   }
 
   private Stage stage(Subject subject) {
@@ -120,7 +121,7 @@
     run.rig().ledger().machine(Ledger.Kind.OUT, "b" + backend, "");
   }
 
-  private boolean says(int door, Doing what) {
+  private boolean says(int door, Activity what) {
     Standing s = stewards.look();
     return s != null && s.lives().stream().anyMatch(x -> x.door().equals("d" + door) && x.doing() == what);
   }
@@ -134,14 +135,14 @@
   @Test
   void doorsGoOutOneAtATimeAndBackendsAreOutWhenNobodySendsThereAnyMore() throws Exception {
     granted(door(0), "d0");
-    await("d0 sends clients away", () -> says(0, Doing.EMPTY) && !run.clients().up(0));
+    await("d0 sends clients away", () -> says(0, Activity.EMPTY) && !run.clients().up(0));
     assertInstanceOf(Waiting.class, ask(door(1)));
     granted(backend(2), "b2");
     awaitOut(2);
     assertInstanceOf(Waiting.class, ask(backend(3)));
     FleetRun.sleep(500);
     giveBack(door(0), "d0");
-    await("d0 back, then d1 out", () -> run.clients().up(0) && says(1, Doing.EMPTY));
+    await("d0 back, then d1 out", () -> run.clients().up(0) && says(1, Activity.EMPTY));
     giveBack(backend(2), "b2");
     await("b3 in its place", () -> stage(backend(3)) == Stage.OUT && stage(backend(2)) == null);
     kept();
@@ -154,7 +155,7 @@
     await("d2 counts as out", () -> stewards.look() != null && stewards.look().doorsOut() == 1);
     assertInstanceOf(Waiting.class, ask(door(0)));
     run.doors().get(2).start();
-    await("d0 out", () -> says(0, Doing.EMPTY));
+    await("d0 out", () -> says(0, Activity.EMPTY));
     kept();
   }
 
@@ -170,7 +171,7 @@
     await("back", () -> stewards.look() != null);
     assertNotEquals(null, stage(door(0)));
     giveBack(door(0), "d0");
-    await("d1", () -> says(1, Doing.EMPTY));
+    await("d1", () -> says(1, Activity.EMPTY));
     kept();
   }
 
@@ -240,9 +241,9 @@
     says(200, "goes out by permit", call(0, "/drain"));
     says(200, "goes out by permit", call(0, "/drain"));
     says(503, "waits as number 1", call(1, "/drain"));
-    await("d0 out", () -> says(0, Doing.EMPTY));
+    await("d0 out", () -> says(0, Activity.EMPTY));
     says(200, "comes back", call(0, "/undrain"));
-    await("d1 in its turn", () -> says(1, Doing.EMPTY));
+    await("d1 in its turn", () -> says(1, Activity.EMPTY));
     says(200, "goes out by permit", call(1, "/drain"));
     says(200, "comes back", call(1, "/undrain"));
     HttpResponse<String> out = call(0, "/backends/disable?member=b2");
--- a/daemon/src/test/java/willowdoor/daemon/fleet/BackendReleaseTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/BackendReleaseTest.java
@@ -52,7 +52,7 @@
   }
 
   private void begin(String version, double bakeMs) throws InterruptedException {
-    assertInstanceOf(Outcome.Begun.class, fleet.start(new Plan(Plan.Kind.BACKENDS, "b1", version,
+    assertInstanceOf(Outcome.ReleaseStarted.class, fleet.start(new Plan(Plan.Kind.BACKENDS, "b1", version,
         List.of(0.1, 1.0), bakeMs, 0, 30_000, 0, Comparison.DEFAULT)));
   }
 
--- a/daemon/src/test/java/willowdoor/daemon/fleet/InnerStewardTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/InnerStewardTest.java
@@ -9,8 +9,8 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.agreement.Command.Ask;
-import willowdoor.agreement.Command.Return;
+import willowdoor.agreement.Command.RequestPermit;
+import willowdoor.agreement.Command.ReturnPermit;
 import willowdoor.agreement.Outcome.Granted;
 import willowdoor.agreement.Permit.Stage;
 import willowdoor.agreement.Subject;
@@ -57,7 +57,7 @@
       Subject b0 = new Subject(Kind.BACKEND, Long.toHexString(EndpointUpdate.idOf("b0")));
       try (Operator ana = new Operator("fleet", "ana", List.of(run.address(0, 7_101)))) {
         await(ana, "all known", s -> s.backends() == 3 && s.doorsOut() == 0);
-        Answer answer = ana.put(new Ask(0, "r1", b0, "ana", "disk", false), LIMIT_MS);
+        Answer answer = ana.put(new RequestPermit(0, "r1", b0, "ana", "disk", false), LIMIT_MS);
         Granted granted = assertInstanceOf(Granted.class,
             assertInstanceOf(Answer.Came.class, answer).outcome());
         await(ana, "out", s -> s.permits().get(0).stage() == Stage.OUT);
@@ -69,7 +69,7 @@
         run.doors().get(0).start();
         await(ana, "out after the kill", s -> s.permits().get(0).stage() == Stage.OUT && s.doorsOut() == 0);
         run.rig().ledger().machine(willowdoor.testkit.Ledger.Kind.GIVEN_BACK, "b0", "");
-        ana.put(new Return(0, b0, granted.permit(), "ana"), LIMIT_MS);
+        ana.put(new ReturnPermit(0, b0, granted.permit(), "ana"), LIMIT_MS);
         await(ana, "back", s -> s.permits().isEmpty());
       }
       Judge.Verdict verdict = run.finish();
--- a/daemon/src/test/java/willowdoor/daemon/fleet/ReleaseTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/ReleaseTest.java
@@ -64,7 +64,7 @@
   /** The leader is killed in the middle, and nobody who began it is needed any more. */
   @Test
   void allDoorsGetItWithoutALostRequestThoughTheLeaderIsKilled() throws Exception {
-    assertInstanceOf(Outcome.Begun.class, fleet.start(ReleaseRun.plan(ReleaseRun.GOOD)));
+    assertInstanceOf(Outcome.ReleaseStarted.class, fleet.start(ReleaseRun.plan(ReleaseRun.GOOD)));
     assertInstanceOf(Outcome.Refused.class, fleet.start(ReleaseRun.plan(ReleaseRun.MUTE)));
     assertNotNull(fleet.awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD) >= 1, LIMIT_MS));
     DoorProcess leader = fleet.stewards().processes().get(fleet.stewards().leader());
--- a/emulator/src/main/java/willowdoor/emulator/agreement/FleetWorld.java
+++ b/emulator/src/main/java/willowdoor/emulator/agreement/FleetWorld.java
@@ -11,21 +11,21 @@
 import java.util.function.Consumer;
 import willowdoor.agreement.Budget;
 import willowdoor.agreement.Command;
-import willowdoor.agreement.Command.Beat;
-import willowdoor.agreement.Command.Doing;
+import willowdoor.agreement.Command.Heartbeat;
+import willowdoor.agreement.Command.Activity;
 import willowdoor.agreement.DoorAction;
 import willowdoor.agreement.DoorEvent;
-import willowdoor.agreement.DoorSide;
-import willowdoor.agreement.FleetRecord;
-import willowdoor.agreement.Life;
-import willowdoor.agreement.Most;
+import willowdoor.agreement.DoorParticipant;
+import willowdoor.agreement.FleetStateMachine;
+import willowdoor.agreement.DoorProcessState;
+import willowdoor.agreement.OutageLimit;
 import willowdoor.agreement.Outcome;
 import willowdoor.agreement.Permit;
 import willowdoor.agreement.Permit.Stage;
 import willowdoor.agreement.State;
 import willowdoor.agreement.Subject;
 import willowdoor.agreement.Subject.Kind;
-import willowdoor.agreement.Terms;
+import willowdoor.agreement.FleetSettings;
 import willowdoor.emulator.SimClock;
 import willowdoor.rollout.Comparison;
 import willowdoor.rollout.Plan;
@@ -85,7 +85,7 @@
   private final Bug bug;
   private final int doors;
   private final int atOnce;
-  private final FleetRecord record;
+  private final FleetStateMachine record;
   private final List<Process> processes = new ArrayList<>();
   private final Map<String, Map<String, Map<String, Long>>> files = new HashMap<>();
   private final Map<String, Process> holders = new HashMap<>();
@@ -122,8 +122,8 @@
     this.doors = doors;
     this.bug = bug;
     atOnce = Math.max(OUT_AT_ONCE, doors / DOORS_FOR_ONE_MORE);
-    Budget budget = new Budget(Most.of(atOnce), Most.ANY, 0);
-    record = new FleetRecord(new Terms(budget, budget, LEASE_MS));
+    Budget budget = new Budget(OutageLimit.of(atOnce), OutageLimit.UNLIMITED, 0);
+    record = new FleetStateMachine(new FleetSettings(budget, budget, LEASE_MS));
     for (int i = 0; i < BACKENDS; i++) {
       servers.put("b" + i, new Server("b" + i));
     }
@@ -283,7 +283,7 @@
     }
     if (!allBack()) {
       breach("not all is back: " + end.permits() + ", doors out " + record.out(Kind.DOOR) + ", held up by "
-          + end.permits().stream().map(x -> record.holdUp(x.subject())).toList());
+          + end.permits().stream().map(x -> record.blockingProcesses(x.subject())).toList());
     }
   }
 
@@ -429,7 +429,7 @@
     leaderRate = drifting(DRIFT);
     leaderAhead = random.nextInt(1_000_000);
     agree(bug == Bug.LEADER_TRUSTS_OLD_LEASES && term > 1 ? new Command.Tick(leaderClock())
-        : new Command.Lead(leaderClock()));
+        : new Command.LeaderElected(leaderClock()));
     // Whoever is dead and was not known to be was given a whole lease anew.
     State state = record.state();
     countsAsDead.replaceAll((door, from) -> state.lives().stream().anyMatch(x -> x.door().equals(door)
@@ -532,7 +532,7 @@
       if (led) {
         clock.after(random.nextDouble() * 10, () -> {
           if (led && term == asked) {
-            Outcome outcome = agree(returnOfAny(command.at(leaderClock())));
+            Outcome outcome = agree(returnOfAny(command.withLeaderTime(leaderClock())));
             if (!lost(from)) {
               clock.after(random.nextDouble() * MOST_DELAY_MS, () -> then.accept(outcome));
             }
@@ -543,9 +543,9 @@
   }
 
   private Command returnOfAny(Command command) {
-    if (bug == Bug.RETURN_OF_ANY && command instanceof Command.Return e) {
+    if (bug == Bug.RETURN_OF_ANY && command instanceof Command.ReturnPermit e) {
       return record.state().permits().stream().filter(x -> x.subject().equals(e.subject())).findFirst()
-          .<Command>map(x -> new Command.Return(e.atMs(), e.subject(), x.id(), e.by())).orElse(command);
+          .<Command>map(x -> new Command.ReturnPermit(e.atMs(), e.subject(), x.id(), e.by())).orElse(command);
     }
     return command;
   }
@@ -556,7 +556,7 @@
 
   private Outcome agree(Command command) {
     boolean before = underWay();
-    Outcome outcome = record.on(command);
+    Outcome outcome = record.apply(command);
     if (before && !underWay()) {
       ended(last());
     }
@@ -615,8 +615,8 @@
     State state = record.state();
     double now = state.nowMs() + Math.max(0, led ? leaderClock() - state.leaderMs() : 0);
     for (Process p : processes) {
-      if (!p.dead && p.side.inContact(p.clock())) {
-        Life life = state.lives().stream().filter(x -> x.door().equals(p.door)
+      if (!p.dead && p.side.hasLease(p.clock())) {
+        DoorProcessState life = state.lives().stream().filter(x -> x.door().equals(p.door)
             && x.incarnation().equals(p.incarnation)).findFirst().orElse(null);
         if (life != null && now >= life.untilMs()) {
           breach(p.door + " believes in its lease, over for " + (now - life.untilMs()) + " ms");
@@ -647,7 +647,7 @@
     }
     boolean[] answered = {false};
     String said = bug == Bug.ASKED_ANEW ? request + "-" + tries : request;
-    ask(name, new Command.Ask(0, said, subject, name, "test", false), outcome -> {
+    ask(name, new Command.RequestPermit(0, said, subject, name, "test", false), outcome -> {
           if (answered[0]) {
             return;
           }
@@ -687,7 +687,7 @@
     }
     held.remove(permit);
     boolean[] answered = {false};
-    ask(name, new Command.Return(0, subject, permit, name), outcome -> answered[0] = true);
+    ask(name, new Command.ReturnPermit(0, subject, permit, name), outcome -> answered[0] = true);
     clock.after(400, () -> {
       if (!answered[0] && tries < 10) {
         giveBack(name, subject, permit, tries + 1);
@@ -700,7 +700,7 @@
     if (bug != Bug.ASKED_ANEW) {
       record.state().permits().stream().filter(x -> x.stage() != Stage.RETURNING
           && !x.request().startsWith("release-"))
-          .forEach(x -> ask("tidy", new Command.Return(0, x.subject(), x.id(), "tidy"), y -> { }));
+          .forEach(x -> ask("tidy", new Command.ReturnPermit(0, x.subject(), x.id(), "tidy"), y -> { }));
     }
   }
 
@@ -710,7 +710,7 @@
     private final String incarnation;
     private final double rate;
     private final double ahead = random.nextInt(1_000_000);
-    private final DoorSide side;
+    private final DoorParticipant side;
     private final Set<String> away = new HashSet<>();
     private final Map<String, Integer> pending = new HashMap<>();
     private final List<Runnable> held = new ArrayList<>();
@@ -744,7 +744,7 @@
       }
       knows = (holds || bug == Bug.SUCCESSOR_GOES_BY_FILES) && files.containsKey(door)
           || bug == Bug.SERVES_BEFORE_TOLD || bug == Bug.SUCCESSOR_UNASKED && attempt > 0;
-      side = new DoorSide(door, incarnation, DRIFT, before, version,
+      side = new DoorParticipant(door, incarnation, DRIFT, before, version,
           holds && !before.isEmpty() ? 0 : attempt);
       away.addAll(before.keySet());
       before.keySet().forEach(x -> clock.after(0, () -> on(() -> lookWhetherLeft(x))));
@@ -764,11 +764,11 @@
     }
 
     private void tell(DoorEvent event) {
-      side.on(clock(), event).forEach(this::execute);
+      side.handle(clock(), event).forEach(this::execute);
     }
 
     void start() {
-      tell(new DoorEvent.Woken());
+      tell(new DoorEvent.TimerFired());
       sight();
       waitForLock();
       vouch();
@@ -796,13 +796,13 @@
             clock.after(700, () -> begin(door, true));
           });
         }
-        tell(new DoorEvent.Does(doing()));
+        tell(new DoorEvent.ActivityChanged(doing()));
         traffic();
       }
     }
 
-    private Doing doing() {
-      return !serving ? Doing.STARTING : drains ? Doing.EMPTY : Doing.READY;
+    private Activity doing() {
+      return !serving ? Activity.STARTING : drains ? Activity.EMPTY : Activity.READY;
     }
 
     /** Held by one process of the door until that is dead. */
@@ -861,14 +861,14 @@
       if (seesList < listVersion) {
         seesList = listVersion;
         sees = listed();
-        tell(new DoorEvent.Sees(Command.Listed.of(seesList, sees)));
+        tell(new DoorEvent.BackendListChanged(Command.BackendListId.of(seesList, sees)));
         tellList();
       }
       clock.after(LIST_MS, () -> on(this::sight));
     }
 
     private void tellList() {
-      ask(door, new Command.Sight(0, seesList, sees), x -> { });
+      ask(door, new Command.UpdateBackends(0, seesList, sees), x -> { });
     }
 
     void kill() {
@@ -885,7 +885,7 @@
 
     private void zombie(long number) {
       if (!quiet) {
-        ask(door, new Command.Beats(0, List.of(new Beat(door, incarnation, Doing.READY, number,
+        ask(door, new Command.Heartbeats(0, List.of(new Heartbeat(door, incarnation, Activity.READY, number,
             record.state().index(), Set.of(), Command.Report.NONE))), x -> { });
         clock.after(300, () -> zombie(number + 1));
       }
@@ -909,7 +909,7 @@
         } else {
           serving = false;
           ending = true;
-          tell(new DoorEvent.Does(Doing.DRAINING));
+          tell(new DoorEvent.ActivityChanged(Activity.DRAINING));
           endWhenEmpty();
         }
       });
@@ -966,46 +966,46 @@
         return;
       }
       if (!pending.containsKey(backend) || bug == Bug.LET_GO_AT_ONCE) {
-        tell(new DoorEvent.LetGo(backend));
+        tell(new DoorEvent.BackendVacated(backend));
       } else {
         clock.after(20, () -> on(() -> lookWhetherLeft(backend)));
       }
     }
 
     private void execute(DoorAction action) {
-      if (action instanceof DoorAction.SendBeat e) {
-        beat(e.beat());
+      if (action instanceof DoorAction.SendHeartbeat e) {
+        beat(e.heartbeat());
       } else if (action instanceof DoorAction.SendJoin) {
         join();
-      } else if (action instanceof DoorAction.TellList && bug != Bug.LIST_TOLD_ONCE) {
+      } else if (action instanceof DoorAction.SendBackendList && bug != Bug.LIST_TOLD_ONCE) {
         tellList();
       } else if (action instanceof DoorAction.WakeAt e) {
         wakeAt = e.atMs();
         clock.after((e.atMs() - clock()) / rate + 0.01, () -> on(() -> {
           if (wakeAt == e.atMs()) {
-            tell(new DoorEvent.Woken());
+            tell(new DoorEvent.TimerFired());
           }
         }));
-      } else if (action instanceof DoorAction.Replace e) {
+      } else if (action instanceof DoorAction.StartSuccessor e) {
         replace(e);
-      } else if (action instanceof DoorAction.Remember e) {
+      } else if (action instanceof DoorAction.PersistOutBackends e) {
         files.computeIfAbsent(door, x -> new HashMap<>()).put(incarnation, e.out());
       } else if (action instanceof DoorAction.TakeOut e) {
         away.add(e.backend());
         lookWhetherLeft(e.backend());
       } else if (action instanceof DoorAction.PutBack e) {
         away.remove(e.backend());
-      } else if (action instanceof DoorAction.Told) {
+      } else if (action instanceof DoorAction.AllowServing) {
         told = true;
         serveIfTold();
       } else if (action instanceof DoorAction.Drain || action instanceof DoorAction.Undrain) {
         drains = action instanceof DoorAction.Drain;
-        clock.after(100 + random.nextInt(300), () -> on(() -> tell(new DoorEvent.Does(doing()))));
+        clock.after(100 + random.nextInt(300), () -> on(() -> tell(new DoorEvent.ActivityChanged(doing()))));
       }
     }
 
     /** Starts another, kills it where it isn't ready in time, and says so where this one serves on. */
-    private void replace(DoorAction.Replace e) {
+    private void replace(DoorAction.StartSuccessor e) {
       if (ending || dead) {
         return;
       }
@@ -1023,7 +1023,7 @@
     private void awaitSuccessor(Process next, long of) {
       if (next.dead && !ending) {
         if (bug != Bug.FAILURE_UNSAID) {
-          tell(new DoorEvent.CameToNothing(of));
+          tell(new DoorEvent.SuccessorFailed(of));
         }
       } else if (!ending) {
         clock.after(50, () -> on(() -> awaitSuccessor(next, of)));
@@ -1034,20 +1034,21 @@
       return bug == Bug.BEGINNING_UNSAID ? new Command.Report(0, report.failed(), report.tally()) : report;
     }
 
-    private void beat(Beat beat) {
+    private void beat(Heartbeat beat) {
       double sentAt = clock();
       Set<Long> left = new HashSet<>(beat.left());
       if (bug == Bug.LEFT_FOR_OTHERS) {
         record.state().permits().forEach(x -> left.add(x.id()));
       }
-      Beat said = new Beat(beat.door(), beat.incarnation(), beat.doing(), beat.number(), beat.seen(), left,
+      Heartbeat said =
+          new Heartbeat(beat.door(), beat.incarnation(), beat.doing(), beat.number(), beat.seen(), left,
           reported(beat.report()), beat.listed());
-      Command.Beats command = new Command.Beats(0, List.of(said));
+      Command.Heartbeats command = new Command.Heartbeats(0, List.of(said));
       ask(door, command, outcome -> {
-        if (outcome instanceof Outcome.Beaten e) {
+        if (outcome instanceof Outcome.HeartbeatsRecorded e) {
           var view = record.view(door, incarnation, e.leaseMs()
               + (bug == Bug.LEASE_FROM_RECEIPT ? clock() - sentAt + MOST_DELAY_MS : 0));
-          on(() -> tell(new DoorEvent.Answered(beat.number(), view)));
+          on(() -> tell(new DoorEvent.HeartbeatAnswered(beat.number(), view)));
         }
       });
     }
--- a/emulator/src/main/java/willowdoor/emulator/agreement/StewardWorld.java
+++ b/emulator/src/main/java/willowdoor/emulator/agreement/StewardWorld.java
@@ -17,9 +17,9 @@
 import java.util.logging.Logger;
 import willowdoor.agreement.Budget;
 import willowdoor.agreement.Command;
-import willowdoor.agreement.Most;
+import willowdoor.agreement.OutageLimit;
 import willowdoor.agreement.Outcome;
-import willowdoor.agreement.Terms;
+import willowdoor.agreement.FleetSettings;
 import willowdoor.steward.DiskStore;
 import willowdoor.steward.Steward;
 import willowdoor.steward.StewardId;
@@ -52,7 +52,7 @@
   private List<StewardId> initial = List.of();
   private final Path folder;
   private final int snapshotAfter;
-  private final Terms terms;
+  private final FleetSettings terms;
   private final List<DiskStore> disks = new ArrayList<>();
   /** How often each process was begun. */
   private final List<Integer> lives = new ArrayList<>();
@@ -62,8 +62,8 @@
     random = new Random(seed);
     this.folder = Files.createTempDirectory(folder, "seed" + seed + "-");
     this.snapshotAfter = snapshotAfter;
-    Budget doors = new Budget(Most.of(budget), Most.ANY, 0);
-    terms = new Terms(doors, doors, 3_000);
+    Budget doors = new Budget(OutageLimit.of(budget), OutageLimit.UNLIMITED, 0);
+    terms = new FleetSettings(doors, doors, 3_000);
     for (int i = 0; i < n; i++) {
       ids.add(new StewardId("s" + i, "disk" + i));
       stewards.add(null);
--- a/emulator/src/main/java/willowdoor/emulator/epoch/EpochWorld.java
+++ b/emulator/src/main/java/willowdoor/emulator/epoch/EpochWorld.java
@@ -9,18 +9,18 @@
 import java.util.Random;
 import java.util.Set;
 import willowdoor.emulator.SimClock;
-import willowdoor.epoch.By;
-import willowdoor.epoch.Change;
-import willowdoor.epoch.Document;
+import willowdoor.epoch.ActivePolicy;
+import willowdoor.epoch.PolicyChange;
+import willowdoor.epoch.PolicyDocument;
 import willowdoor.epoch.EpochAction;
 import willowdoor.epoch.EpochEvent;
-import willowdoor.epoch.EpochSide;
+import willowdoor.epoch.EpochParticipant;
 import willowdoor.epoch.EpochState;
-import willowdoor.epoch.EpochTerms;
+import willowdoor.epoch.EpochSettings;
 import willowdoor.epoch.EpochView;
-import willowdoor.epoch.Epochs;
-import willowdoor.epoch.Member;
-import willowdoor.epoch.Past;
+import willowdoor.epoch.EpochCoordinator;
+import willowdoor.epoch.EpochMember;
+import willowdoor.epoch.PastChange;
 
 /**
  * Changes of policy in simulated time: the real record's side and the real doors' sides, with leaders that
@@ -56,13 +56,13 @@
   private static final double TRAFFIC_MS = 12;
   private static final double FAULTS_UNTIL_MS = 25_000;
   private static final double MOST_MENDING_MS = 25_000;
-  private static final EpochTerms TERMS = new EpochTerms(3_000, 700, 6_000);
+  private static final EpochSettings TERMS = new EpochSettings(3_000, 700, 6_000);
 
   private final SimClock clock = new SimClock();
   private final Random random;
   private final Bug bug;
   private final boolean both;
-  private final Epochs epochs;
+  private final EpochCoordinator epochs;
   private final Map<String, Life> record = new LinkedHashMap<>();
   private final List<Process> processes = new ArrayList<>();
   private final Map<String, Long> files = new HashMap<>();
@@ -85,14 +85,15 @@
   private long pairs;
   private long refusals;
 
-  private record Life(double heardMs, Member.Word word) { }
+  private record Life(double heardMs, EpochMember.Report word) { }
 
   private EpochWorld(long seed, int doors, Bug bug) {
     random = new Random(seed);
     this.doors = doors;
     this.bug = bug;
     both = random.nextBoolean();
-    epochs = new Epochs(new EpochState(TERMS, 0, Document.NONE, Document.NONE, null, List.of()));
+    epochs = new EpochCoordinator(
+        new EpochState(TERMS, 0, PolicyDocument.NONE, PolicyDocument.NONE, null, List.of()));
   }
 
   /** Plays one schedule. */
@@ -120,19 +121,19 @@
     }
     if (!settled()) {
       breach("not all has ended: " + epochs.state().change() + ", held up by "
-          + epochs.holdUp(recordMs, members()));
+          + epochs.describeBlockers(recordMs, members()));
     }
-    List<Past> log = epochs.state().log();
-    return new Result(List.copyOf(breaches), (int) log.stream().filter(Past::held).count(),
+    List<PastChange> log = epochs.state().log();
+    return new Result(List.copyOf(breaches), (int) log.stream().filter(PastChange::held).count(),
         (int) log.stream().filter(x -> !x.held()).count(), alone, pairs, refusals);
   }
 
   private boolean settled() {
     long current = epochs.state().current().epoch();
     return epochs.state().change() == null && processes.stream().filter(x -> !x.dead).allMatch(x -> {
-      By by = x.side.by(x.clock());
+      ActivePolicy by = x.side.policyAt(x.clock());
       // One that can't have what others agreed on while it was fenced refuses.
-      return by.epoch() == current && by.also() < 0 || x.side.word().refused() == current && by.refuses();
+      return by.epoch() == current && by.also() < 0 || x.side.report().refused() == current && by.refuses();
     });
   }
 
@@ -161,7 +162,7 @@
     }
     leaderMs = leaderClock();
     if (bug != Bug.LEADER_IS_TRUSTED && term > 1) {
-      epochs.led(recordMs);
+      epochs.onLeaderElected(recordMs);
     }
     settle();
     if (before < FAULTS_UNTIL_MS) {
@@ -182,21 +183,22 @@
     leaderMs = Math.max(leaderMs, leaderClock());
   }
 
-  private List<Member> members() {
-    return record.entrySet().stream().map(e -> new Member(e.getKey(), e.getValue().heardMs()
+  private List<EpochMember> members() {
+    return record.entrySet().stream().map(e -> new EpochMember(e.getKey(), e.getValue().heardMs()
         + (bug == Bug.FORGOTTEN_WHEN_SILENT ? 500 : TERMS.fenceMs()),
         bug == Bug.NO_IS_UNHEARD ? ready(e.getValue().word()) : e.getValue().word())).toList();
   }
 
-  private static Member.Word ready(Member.Word word) {
-    return word.refused() == 0 ? word : new Member.Word(word.holds(), word.refused(), 0, "");
+  private static EpochMember.Report ready(EpochMember.Report word) {
+    return word.refused() == 0 ? word : new EpochMember.Report(word.holds(), word.refused(), 0, "");
   }
 
   private void settle() {
-    Change before = epochs.state().change();
-    epochs.settle(recordMs, members());
-    Change now = epochs.state().change();
-    if (before != null && now != null && before.stage() != now.stage() && now.stage() == Change.Stage.DECIDED
+    PolicyChange before = epochs.state().change();
+    epochs.advance(recordMs, members());
+    PolicyChange now = epochs.state().change();
+    if (before != null && now != null && before.stage() != now.stage()
+        && now.stage() == PolicyChange.Stage.DECIDED
         && record.values().stream().anyMatch(x -> x.word().refused() == now.document().epoch())) {
       breach("epoch " + now.document().epoch() + " is decided, and somebody has said no to it");
     }
@@ -207,7 +209,8 @@
       pass();
       String text = "document " + ++proposals;
       try {
-        long epoch = epochs.propose(recordMs, text, Document.hash(text), epochs.state().current().epoch(),
+        long epoch = epochs
+            .propose(recordMs, text, PolicyDocument.hash(text), epochs.state().current().epoch(),
             "ana",
             "test");
         if (random.nextInt(5) == 0) {
@@ -287,18 +290,18 @@
     private final String name;
     private final double rate = bug == Bug.CLOCK_BEYOND_DRIFT ? 0.6 : drifting();
     private final double ahead = random.nextInt(1_000_000);
-    private final EpochSide side;
+    private final EpochParticipant side;
     private final List<Runnable> held = new ArrayList<>();
     private long beats;
     private boolean dead;
     private boolean stopped;
     private double wakeAt = Double.POSITIVE_INFINITY;
-    private By asleep;
+    private ActivePolicy asleep;
 
     Process(String door, String name) {
       this.door = door;
       this.name = name;
-      side = new EpochSide(DRIFT, both, files.getOrDefault(door, 0L));
+      side = new EpochParticipant(DRIFT, both, files.getOrDefault(door, 0L));
     }
 
     double clock() {
@@ -315,7 +318,7 @@
 
     void stop(boolean on) {
       if (on && !dead) {
-        asleep = side.by(clock());
+        asleep = side.policyAt(clock());
       }
       stopped = on && !dead;
       if (!on) {
@@ -337,16 +340,16 @@
     void beat() {
       long number = ++beats;
       double sent = clock();
-      Member.Word said = bug == Bug.YES_OF_ANOTHER && epochs.state().change() != null
-          ? new Member.Word(side.word().holds(), epochs.state().change().document().epoch(), 0, "")
-          : side.word();
+      EpochMember.Report said = bug == Bug.YES_OF_ANOTHER && epochs.state().change() != null
+          ? new EpochMember.Report(side.report().holds(), epochs.state().change().document().epoch(), 0, "")
+          : side.report();
       if (!lost(door)) {
         clock.after(delay(), () -> agree(number, sent, said));
       }
       clock.after(BEAT_MS / rate, () -> on(this::beat));
     }
 
-    private void agree(long number, double sent, Member.Word said) {
+    private void agree(long number, double sent, EpochMember.Report said) {
       if (!led || dead && !record.containsKey(name)) {
         return;
       }
@@ -380,22 +383,23 @@
 
     private void answered(long number, double sent, EpochView view) {
       boolean late = bug == Bug.OLD_ANSWERS_AS_NEW;
-      tell(new EpochEvent.Answered(late ? beats : number, bug == Bug.COUNTS_FROM_RECEIPT || late ? clock()
+      tell(new EpochEvent
+          .HeartbeatAnswered(late ? beats : number, bug == Bug.COUNTS_FROM_RECEIPT || late ? clock()
           : sent, view));
     }
 
     private void tell(EpochEvent event) {
-      for (EpochAction action : side.on(clock(), event)) {
+      for (EpochAction action : side.handle(clock(), event)) {
         if (action instanceof EpochAction.Prepare e) {
           clock.after(30 + random.nextInt(600), () -> on(() -> prepared(e.epoch())));
-        } else if (action instanceof EpochAction.TakeHold e) {
+        } else if (action instanceof EpochAction.Adopt e) {
           files.put(door, e.epoch());
         } else if (action instanceof EpochAction.WakeAt e && e.atMs() != wakeAt) {
           wakeAt = e.atMs();
           clock.after(Math.max(0, (e.atMs() - clock()) / rate) + 0.01, () -> on(() -> {
             if (wakeAt == e.atMs()) {
               wakeAt = Double.POSITIVE_INFINITY;
-              tell(new EpochEvent.Woken());
+              tell(new EpochEvent.TimerFired());
             }
           }));
         }
@@ -404,7 +408,7 @@
 
     private void prepared(long epoch) {
       if (bad.contains(epoch) && door.equals("d0")) {
-        tell(new EpochEvent.Cannot(epoch, "too large"));
+        tell(new EpochEvent.PrepareFailed(epoch, "too large"));
       } else {
         if (bug == Bug.KEEPS_WHAT_IS_PREPARED) {
           files.put(door, epoch);
@@ -414,15 +418,15 @@
     }
 
     void traffic() {
-      By by = side.by(clock());
-      if (bug == Bug.READY_IS_HELD && side.word().prepared() > 0) {
-        by = new By(side.word().prepared(), By.NONE, 0);
+      ActivePolicy by = side.policyAt(clock());
+      if (bug == Bug.READY_IS_HELD && side.report().prepared() > 0) {
+        by = new ActivePolicy(side.report().prepared(), ActivePolicy.NONE, 0);
       }
       decided(by);
       clock.after(random.nextDouble() * 2 * TRAFFIC_MS, () -> on(this::traffic));
     }
 
-    private void decided(By by) {
+    private void decided(ActivePolicy by) {
       if (by.refuses()) {
         refusals++;
       } else if (Math.max(by.epoch(), by.also()) < decidedBy) {
@@ -436,7 +440,7 @@
           breach(name + " decides by epoch " + by.epoch() + ", which was aborted");
         }
         if (epochs.state().change() != null && epochs.state().change().document().epoch() == by.epoch()
-            && epochs.state().change().stage() == Change.Stage.PREPARING) {
+            && epochs.state().change().stage() == PolicyChange.Stage.PREPARING) {
           breach(name + " decides by epoch " + by.epoch() + ", which is not decided on");
         }
       }
--- a/emulator/src/test/java/willowdoor/emulator/agreement/StewardWorldTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/agreement/StewardWorldTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import willowdoor.agreement.Command;
-import willowdoor.agreement.Command.Ask;
+import willowdoor.agreement.Command.RequestPermit;
 import willowdoor.agreement.Command.Backend;
-import willowdoor.agreement.Command.Sight;
+import willowdoor.agreement.Command.UpdateBackends;
 import willowdoor.agreement.Outcome;
 import willowdoor.agreement.Outcome.Granted;
 import willowdoor.agreement.Outcome.Waiting;
@@ -52,11 +52,11 @@
   }
 
   private static DoubleFunction<Command> ask(String request, String backend) {
-    return at -> new Ask(at, request, new Subject(Kind.BACKEND, backend), "ana", "disk", false);
+    return at -> new RequestPermit(at, request, new Subject(Kind.BACKEND, backend), "ana", "disk", false);
   }
 
   private static DoubleFunction<Command> backends(int n) {
-    return at -> new Sight(at, 1, java.util.stream.IntStream.range(0, n)
+    return at -> new UpdateBackends(at, 1, java.util.stream.IntStream.range(0, n)
         .mapToObj(i -> new Backend("b" + i, "a", 1, true, 0)).toList());
   }
 
--- a/policy/src/main/java/willowdoor/agreement/Budget.java
+++ b/policy/src/main/java/willowdoor/agreement/Budget.java
@@ -7,7 +7,7 @@
  * @param inZone of those of one zone
  * @param leastWeight the sum of the weights that must go on serving
  */
-public record Budget(Most inAll, Most inZone, double leastWeight) {
+public record Budget(OutageLimit inAll, OutageLimit inZone, double leastWeight) {
 
   /** Refuses a weight below none. */
   public Budget {
--- a/policy/src/main/java/willowdoor/agreement/Command.java
+++ b/policy/src/main/java/willowdoor/agreement/Command.java
@@ -7,7 +7,7 @@
 
 /**
  * An entry of the agreed log. Each carries the leader's monotonic time in milliseconds, which means something
- * within the leader's own term only; the first of a term is a {@link Lead}.
+ * within the leader's own term only; the first of a term is a {@link LeaderElected}.
  */
 public sealed interface Command {
 
@@ -15,17 +15,17 @@
   double atMs();
 
   /** The same, taken by a leader at that time; what only leaders make stays as it is. */
-  default Command at(double leaderMs) {
+  default Command withLeaderTime(double leaderMs) {
     return this;
   }
 
   /** The first of a term, as the leader changed: its clock counts from here, and every lease anew. */
-  record Lead(double atMs) implements Command { }
+  record LeaderElected(double atMs) implements Command { }
 
   /** Other terms; what is out already stays out. */
-  record Configure(double atMs, Terms terms) implements Command {
+  record Configure(double atMs, FleetSettings terms) implements Command {
     @Override
-    public Command at(double leaderMs) {
+    public Command withLeaderTime(double leaderMs) {
       return new Configure(leaderMs, terms);
     }
   }
@@ -43,22 +43,22 @@
   record Join(double atMs, String door, String incarnation, String zone, double weight, long generation,
       String version) implements Command {
     @Override
-    public Command at(double leaderMs) {
+    public Command withLeaderTime(double leaderMs) {
       return new Join(leaderMs, door, incarnation, zone, weight, generation, version);
     }
   }
 
   /** Heartbeats that came together. */
-  record Beats(double atMs, List<Beat> beats) implements Command {
+  record Heartbeats(double atMs, List<Heartbeat> beats) implements Command {
 
     /** Keeps a copy. */
-    public Beats {
+    public Heartbeats {
       beats = List.copyOf(beats);
     }
 
     @Override
-    public Command at(double leaderMs) {
-      return new Beats(leaderMs, beats);
+    public Command withLeaderTime(double leaderMs) {
+      return new Heartbeats(leaderMs, beats);
     }
   }
 
@@ -71,17 +71,17 @@
    * @param report what it has done by itself
    * @param listed which list of backends it goes by
    */
-  record Beat(String door, String incarnation, Doing doing, long number, long seen,
-      Set<Long> left, Report report, Listed listed) {
+  record Heartbeat(String door, String incarnation, Activity doing, long number, long seen,
+      Set<Long> left, Report report, BackendListId listed) {
 
     /** One that has heard no list. */
-    public Beat(String door, String incarnation, Doing doing, long number, long seen, Set<Long> left,
+    public Heartbeat(String door, String incarnation, Activity doing, long number, long seen, Set<Long> left,
         Report report) {
-      this(door, incarnation, doing, number, seen, left, report, Listed.NONE);
+      this(door, incarnation, doing, number, seen, left, report, BackendListId.NONE);
     }
 
     /** Keeps a copy. */
-    public Beat {
+    public Heartbeat {
       left = Set.copyOf(left);
     }
   }
@@ -99,12 +99,12 @@
   }
 
   /** What a process of a door does. */
-  enum Doing { STARTING, READY, DRAINING, EMPTY, ENDED }
+  enum Activity { STARTING, READY, DRAINING, EMPTY, ENDED }
 
   /** A process has ended, and says so itself. */
   record Leave(double atMs, String door, String incarnation) implements Command {
     @Override
-    public Command at(double leaderMs) {
+    public Command withLeaderTime(double leaderMs) {
       return new Leave(leaderMs, door, incarnation);
     }
   }
@@ -117,10 +117,10 @@
    */
   record Forget(double atMs, String request, String door, String by) implements Command {
 
-    static final String BACKEND = "backend/";
+    static final String BACKEND_PREFIX = "backend/";
 
     @Override
-    public Command at(double leaderMs) {
+    public Command withLeaderTime(double leaderMs) {
       return new Forget(leaderMs, request, door, by);
     }
   }
@@ -130,16 +130,16 @@
    *
    * @param version the list's own; an older one than a door goes by that is reached is of one that is behind
    */
-  record Sight(double atMs, long version, List<Backend> backends) implements Command {
+  record UpdateBackends(double atMs, long version, List<Backend> backends) implements Command {
 
     /** Keeps a copy. */
-    public Sight {
+    public UpdateBackends {
       backends = List.copyOf(backends);
     }
 
     @Override
-    public Command at(double leaderMs) {
-      return new Sight(leaderMs, version, backends);
+    public Command withLeaderTime(double leaderMs) {
+      return new UpdateBackends(leaderMs, version, backends);
     }
   }
 
@@ -149,18 +149,18 @@
    *
    * @param hash of its backends, the same for the same ones in any order
    */
-  record Listed(long version, int hash) {
+  record BackendListId(long version, int hash) {
 
     /** None was heard. */
-    public static final Listed NONE = new Listed(-1, 0);
+    public static final BackendListId NONE = new BackendListId(-1, 0);
 
     /** That list. */
-    public static Listed of(long version, List<Backend> backends) {
+    public static BackendListId of(long version, List<Backend> backends) {
       int hash = 0;
       for (Backend x : backends) {
-        hash += x.stamp();
+        hash += x.stableHash();
       }
-      return new Listed(version, hash);
+      return new BackendListId(version, hash);
     }
   }
 
@@ -173,16 +173,16 @@
    */
   record Backend(String name, String zone, double weight, boolean serving, double startedMs) {
 
-    Backend gone(double nowMs) {
-      return listed() ? new Backend(name, zone, weight, false, -Math.max(1, nowMs)) : this;
+    Backend asDelisted(double nowMs) {
+      return isListed() ? new Backend(name, zone, weight, false, -Math.max(1, nowMs)) : this;
     }
 
-    boolean listed() {
+    boolean isListed() {
       return startedMs >= 0;
     }
 
     /** The hash of a record is left open by the language; this one is the same everywhere. */
-    int stamp() {
+    int stableHash() {
       return (((name.hashCode() * 31 + zone.hashCode()) * 31 + Double.hashCode(weight)) * 31
           + Boolean.hashCode(serving)) * 31 + Double.hashCode(startedMs);
     }
@@ -195,11 +195,11 @@
    * @param by who asks
    * @param force whether it is given over the budget
    */
-  record Ask(double atMs, String request, Subject subject, String by, String reason, boolean force)
+  record RequestPermit(double atMs, String request, Subject subject, String by, String reason, boolean force)
       implements Command {
     @Override
-    public Command at(double leaderMs) {
-      return new Ask(leaderMs, request, subject, by, reason, force);
+    public Command withLeaderTime(double leaderMs) {
+      return new RequestPermit(leaderMs, request, subject, by, reason, force);
     }
   }
 
@@ -208,10 +208,10 @@
    *
    * @param permit the one that is given back: heard late once more, it ends no other
    */
-  record Return(double atMs, Subject subject, long permit, String by) implements Command {
+  record ReturnPermit(double atMs, Subject subject, long permit, String by) implements Command {
     @Override
-    public Command at(double leaderMs) {
-      return new Return(leaderMs, subject, permit, by);
+    public Command withLeaderTime(double leaderMs) {
+      return new ReturnPermit(leaderMs, subject, permit, by);
     }
   }
 
@@ -222,7 +222,7 @@
    */
   record StartRelease(double atMs, String request, Plan plan, String by) implements Command {
     @Override
-    public Command at(double leaderMs) {
+    public Command withLeaderTime(double leaderMs) {
       return new StartRelease(leaderMs, request, plan, by);
     }
   }
@@ -238,7 +238,7 @@
   record SteerRelease(double atMs, String request, long release, Steering steering, String by)
       implements Command {
     @Override
-    public Command at(double leaderMs) {
+    public Command withLeaderTime(double leaderMs) {
       return new SteerRelease(leaderMs, request, release, steering, by);
     }
   }
--- a/policy/src/main/java/willowdoor/agreement/DoorAction.java
+++ b/policy/src/main/java/willowdoor/agreement/DoorAction.java
@@ -2,29 +2,30 @@
 
 import java.util.Map;
 
-/** What a {@link DoorSide} has done. */
+/** What a {@link DoorParticipant} has done. */
 public sealed interface DoorAction {
 
   /** Say to the stewards that this process is there. */
   record SendJoin() implements DoorAction { }
 
   /** Send it to the stewards. */
-  record SendBeat(Command.Beat beat) implements DoorAction { }
+  record SendHeartbeat(Command.Heartbeat heartbeat) implements DoorAction { }
 
-  /** Tell the stewards the list of backends that was {@link DoorEvent.Sees seen} last. */
-  record TellList() implements DoorAction { }
+  /** Tell the stewards the list of backends that was {@link DoorEvent.BackendListChanged seen} last. */
+  record SendBackendList() implements DoorAction { }
 
   /** Put an operator's request to the stewards. */
-  record SendAsk(DoorEvent.Asked asked) implements DoorAction { }
+  record SendPermitRequest(DoorEvent.PermitRequested request) implements DoorAction { }
 
   /**
-   * Keep this where a process of this door that comes after finds it, before any {@link DoorEvent.LetGo}: it
+   * Keep this where a process of this door that comes after finds it, before any {@link
+   * DoorEvent.BackendVacated}: it
    * may serve before the stewards can tell it which backends are out, and would send there.
    */
-  record Remember(Map<String, Long> out) implements DoorAction {
+  record PersistOutBackends(Map<String, Long> out) implements DoorAction {
 
     /** Keeps a copy. */
-    public Remember {
+    public PersistOutBackends {
       out = Map.copyOf(out);
     }
   }
@@ -33,7 +34,7 @@
    * The stewards have told for the first time which backends are out and, to one that was started for an
    * attempt of a release, that the attempt still stands: it may serve.
    */
-  record Told() implements DoorAction { }
+  record AllowServing() implements DoorAction { }
 
   /** Send nothing more to the backend, and tell once no attempt is out at it. */
   record TakeOut(String backend) implements DoorAction { }
@@ -48,13 +49,14 @@
   record Undrain() implements DoorAction { }
 
   /**
-   * Start a process of that version, which takes this one's place; tell {@link DoorEvent.CameToNothing} once
+   * Start a process of that version, which takes this one's place; tell {@link DoorEvent.SuccessorFailed}
+   * once
    * it has ended without that.
    */
-  record Replace(long attempt, String version) implements DoorAction { }
+  record StartSuccessor(long attempt, String version) implements DoorAction { }
 
   /** The final answer to an operator's request. */
-  record Tell(String request, Outcome outcome) implements DoorAction { }
+  record AnswerOperator(String request, Outcome outcome) implements DoorAction { }
 
   /** Wake it at that time. */
   record WakeAt(double atMs) implements DoorAction { }
--- a/policy/src/main/java/willowdoor/agreement/DoorLease.java
+++ b/policy/src/main/java/willowdoor/agreement/DoorLease.java
@@ -9,7 +9,7 @@
  */
 public final class DoorLease {
 
-  private final double share;
+  private final double clockFactor;
   private double untilMs = Double.NEGATIVE_INFINITY;
 
   /**
@@ -21,19 +21,19 @@
     if (!(drift >= 0 && drift < 1)) {
       throw new IllegalArgumentException("clocks wrong by " + drift + " (expected: from 0 to below 1)");
     }
-    share = (1 - drift) / (1 + drift);
+    clockFactor = (1 - drift) / (1 + drift);
   }
 
   /** A heartbeat that was sent at that time has been agreed on for so long, answers in any order. */
-  public void agreed(double sentMs, double leaseMs) {
-    untilMs = Math.max(untilMs, sentMs + leaseMs * share);
+  public void renew(double sentMs, double leaseMs) {
+    untilMs = Math.max(untilMs, sentMs + leaseMs * clockFactor);
   }
 
   /**
    * Whether it holds; to be asked with the clock read just now, before each thing that needs it, since the
    * process may have been stopped since it last looked.
    */
-  public boolean holds(double nowMs) {
+  public boolean isValid(double nowMs) {
     return nowMs < untilMs;
   }
 }
--- a/policy/src/main/java/willowdoor/agreement/View.java
+++ b/policy/src/main/java/willowdoor/agreement/DoorView.java
@@ -13,16 +13,17 @@
  * @param version that the door is to have by it; empty where there is none
  * @param tellList whether the door is to tell its list of backends, as the record has another
  */
-public record View(long index, List<Permit> permits, boolean known, double leaseMs, long attempt,
+public record DoorView(long index, List<Permit> permits, boolean known, double leaseMs, long attempt,
     String version, boolean tellList) {
 
   /** One that asks for no list. */
-  public View(long index, List<Permit> permits, boolean known, double leaseMs, long attempt, String version) {
+  public DoorView(long index, List<Permit> permits, boolean known, double leaseMs, long attempt,
+      String version) {
     this(index, permits, known, leaseMs, attempt, version, false);
   }
 
   /** Keeps a copy. */
-  public View {
+  public DoorView {
     permits = List.copyOf(permits);
   }
 }
--- a/policy/src/main/java/willowdoor/agreement/Outcome.java
+++ b/policy/src/main/java/willowdoor/agreement/Outcome.java
@@ -18,17 +18,17 @@
   record Granted(long permit) implements Outcome { }
 
   /** A release has begun, by this number. */
-  record Begun(long release) implements Outcome { }
+  record ReleaseStarted(long release) implements Outcome { }
 
   /**
    * Heartbeats were taken, but not of these processes, which have to join first.
    *
    * @param leaseMs for how long those that were taken count, by the terms that held then
    */
-  record Beaten(List<String> strangers, double leaseMs) implements Outcome {
+  record HeartbeatsRecorded(List<String> strangers, double leaseMs) implements Outcome {
 
     /** Keeps a copy. */
-    public Beaten {
+    public HeartbeatsRecorded {
       strangers = List.copyOf(strangers);
     }
   }
--- a/policy/src/main/java/willowdoor/agreement/Permit.java
+++ b/policy/src/main/java/willowdoor/agreement/Permit.java
@@ -31,15 +31,15 @@
     left = Set.copyOf(left);
   }
 
-  boolean holds() {
+  boolean countsAgainstBudget() {
     return stage != Stage.WAITING;
   }
 
-  Permit at(Stage other, long command) {
-    return new Permit(id, request, subject, by, reason, force, other, command, left);
+  Permit withStage(Stage newStage, long commandIndex) {
+    return new Permit(id, request, subject, by, reason, force, newStage, commandIndex, left);
   }
 
-  Permit with(Set<String> others) {
-    return new Permit(id, request, subject, by, reason, force, stage, since, others);
+  Permit withLeft(Set<String> newLeft) {
+    return new Permit(id, request, subject, by, reason, force, stage, since, newLeft);
   }
 }
--- a/policy/src/main/java/willowdoor/agreement/State.java
+++ b/policy/src/main/java/willowdoor/agreement/State.java
@@ -4,8 +4,8 @@
 import willowdoor.rollout.Release;
 
 /** All that a record knows, for a snapshot: a record that is made from it goes on as the first one would. */
-public record State(Terms terms, long index, double nowMs, double leaderMs, long lastPermit,
-    Command.Listed sight, double sightMs, List<Life> lives, List<Command.Backend> backends,
+public record State(FleetSettings terms, long index, double nowMs, double leaderMs, long lastPermit,
+    Command.BackendListId sight, double sightMs, List<DoorProcessState> lives, List<Command.Backend> backends,
     List<Permit> permits, List<Note> notes, List<String> over, List<Release> releases) {
 
   /** Keeps copies. */
--- a/policy/src/main/java/willowdoor/epoch/By.java
+++ b/policy/src/main/java/willowdoor/epoch/ActivePolicy.java
@@ -7,17 +7,17 @@
  * @param epoch that decides; below 0 nothing does, and requests are refused
  * @param also another that must let a request pass as well, as either may hold; below 0 for none
  */
-public record By(long epoch, long also, double untilMs) {
+public record ActivePolicy(long epoch, long also, double untilMs) {
 
   /** No epoch. */
   public static final long NONE = -1;
 
-  static By alone(long epoch, double untilMs) {
-    return new By(epoch, NONE, untilMs);
+  static ActivePolicy single(long epoch, double untilMs) {
+    return new ActivePolicy(epoch, NONE, untilMs);
   }
 
-  static By refusing() {
-    return new By(NONE, NONE, Double.POSITIVE_INFINITY);
+  static ActivePolicy refuseAll() {
+    return new ActivePolicy(NONE, NONE, Double.POSITIVE_INFINITY);
   }
 
   /** Whether requests are refused, as it isn't known what holds. */
--- a/policy/src/main/java/willowdoor/epoch/EpochAction.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochAction.java
@@ -9,13 +9,13 @@
   record Prepare(long epoch, String hash) implements EpochAction { }
 
   /** The door goes by this from here on; what was kept of others may go. */
-  record TakeHold(long epoch) implements EpochAction { }
+  record Adopt(long epoch) implements EpochAction { }
 
   /** A document that was prepared will not hold. */
   record Drop(long epoch) implements EpochAction { }
 
   /** Something else was said of policies: the next heartbeat shouldn't wait. */
-  record BeatSoon() implements EpochAction { }
+  record SendHeartbeatSoon() implements EpochAction { }
 
   /** Wake it then, by the door's clock. */
   record WakeAt(double atMs) implements EpochAction { }
--- a/policy/src/main/java/willowdoor/epoch/Epochs.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochCoordinator.java
@@ -17,26 +17,27 @@
  * wait on clocks which need not be set (Corbett et al., 2012).
  *
  * <p>The moment is by the clock of the leader under whom it was decided. If another leads before it is past,
- * doors that hear so go by both policies until a moment of that leader's clock: {@link Change.Stage#UNSURE}.
+ * doors that hear so go by both policies until a moment of that leader's clock: {@link
+ * PolicyChange.Stage#UNSURE}.
  */
-public final class Epochs {
+public final class EpochCoordinator {
 
   /** Changes that are remembered; the oldest goes first. */
-  static final int MOST_PAST = 100;
+  static final int MAX_PAST_CHANGES = 100;
   /** Names in a reason; the others are counted. */
-  private static final int MOST_NAMED = 5;
+  private static final int MAX_NAMED_MEMBERS = 5;
 
-  private EpochTerms terms;
-  private long last;
-  private Document current;
-  private Document previous;
-  private Change change;
-  private final List<Past> log;
+  private EpochSettings settings;
+  private long lastEpoch;
+  private PolicyDocument current;
+  private PolicyDocument previous;
+  private PolicyChange change;
+  private final List<PastChange> log;
 
   /** Goes on from there. */
-  public Epochs(EpochState state) {
-    terms = state.terms();
-    last = state.last();
+  public EpochCoordinator(EpochState state) {
+    settings = state.terms();
+    lastEpoch = state.last();
     current = state.current();
     previous = state.previous();
     change = state.change();
@@ -45,7 +46,7 @@
 
   /** How it stands. */
   public EpochState state() {
-    return new EpochState(terms, last, current, previous, change, log);
+    return new EpochState(settings, lastEpoch, current, previous, change, log);
   }
 
   /**
@@ -53,11 +54,11 @@
    *
    * @throws IllegalStateException while a change is under way: doors count by what they were told
    */
-  public void terms(EpochTerms other) {
+  public void updateSettings(EpochSettings newSettings) {
     if (change != null) {
       throw new IllegalStateException("epoch " + change.document().epoch() + " is under way");
     }
-    terms = other;
+    settings = newSettings;
   }
 
   /**
@@ -79,17 +80,18 @@
           + " by " + current.by() + " is in force (expected: one that was written for that)");
     }
     int bytes = text.getBytes(java.nio.charset.StandardCharsets.UTF_8).length;
-    if (bytes > Document.MOST_BYTES) {
-      throw new IllegalArgumentException("a document of " + bytes + " bytes (expected: " + Document.MOST_BYTES
+    if (bytes > PolicyDocument.MAX_BYTES) {
+      throw new IllegalArgumentException("a document of " + bytes + " bytes (expected: "
+          + PolicyDocument.MAX_BYTES
           + " at most)");
     }
-    Document document = new Document(last + 1, hash, text, by, reason, replaces);
-    if (!document.isWhole()) {
+    PolicyDocument document = new PolicyDocument(lastEpoch + 1, hash, text, by, reason, replaces);
+    if (!document.hashMatches()) {
       throw new IllegalArgumentException("the document is not whole: its hash is not " + hash);
     }
-    last++;
-    change = new Change(document, Change.Stage.PREPARING, nowMs, 0);
-    return last;
+    lastEpoch++;
+    change = new PolicyChange(document, PolicyChange.Stage.PREPARING, nowMs, 0);
+    return lastEpoch;
   }
 
   /**
@@ -103,67 +105,72 @@
           .filter(x -> x.epoch() == epoch).findFirst().map(x -> x.held() ? ": it came to hold"
               : ": " + x.why()).orElse(""));
     }
-    if (change.stage() != Change.Stage.PREPARING) {
+    if (change.stage() != PolicyChange.Stage.PREPARING) {
       throw new IllegalArgumentException("epoch " + epoch + " is decided; " + current.epoch()
           + " can be proposed again once it holds");
     }
-    end(nowMs, false, "aborted by " + by);
+    endChange(nowMs, false, "aborted by " + by);
   }
 
   /** Another steward leads: what its predecessor's clock says of a moment to come is not known. */
-  public void led(double nowMs) {
-    if (change != null && (change.stage() == Change.Stage.DECIDED || change.stage() == Change.Stage.UNSURE)) {
-      change = change.at(Change.Stage.UNSURE, nowMs, nowMs + terms.marginMs());
+  public void onLeaderElected(double nowMs) {
+    if (change != null
+        && (change.stage() == PolicyChange.Stage.DECIDED || change.stage() == PolicyChange.Stage.UNSURE)) {
+      change = change.withStage(PolicyChange.Stage.UNSURE, nowMs, nowMs + settings.marginMs());
     }
   }
 
   /** Goes on by what the processes have said until now. */
-  public void settle(double nowMs, List<Member> members) {
-    if (change != null && change.stage() == Change.Stage.PREPARING) {
-      prepare(nowMs, members);
+  public void advance(double nowMs, List<EpochMember> members) {
+    if (change != null && change.stage() == PolicyChange.Stage.PREPARING) {
+      advancePreparation(nowMs, members);
     }
-    if (change != null && (change.stage() == Change.Stage.DECIDED || change.stage() == Change.Stage.UNSURE)
+    if (change != null
+        && (change.stage() == PolicyChange.Stage.DECIDED || change.stage() == PolicyChange.Stage.UNSURE)
         && nowMs >= change.holdMs()) {
       previous = current;
       current = change.document();
-      change = change.at(Change.Stage.HOLDS, nowMs, change.holdMs());
+      change = change.withStage(PolicyChange.Stage.HOLDS, nowMs, change.holdMs());
     }
-    if (change != null && change.stage() == Change.Stage.HOLDS
-        && members.stream().allMatch(x -> x.goesBy(current.epoch(), nowMs))) {
-      end(nowMs, true, "");
+    if (change != null && change.stage() == PolicyChange.Stage.HOLDS
+        && members.stream().allMatch(x -> x.hasAdopted(current.epoch(), nowMs))) {
+      endChange(nowMs, true, "");
     }
   }
 
-  private void prepare(double nowMs, List<Member> members) {
+  private void advancePreparation(double nowMs, List<EpochMember> members) {
     long epoch = change.document().epoch();
-    List<Member> against = members.stream().filter(x -> x.word().refused() == epoch).toList();
-    if (!against.isEmpty()) {
-      end(nowMs, false, against.get(0).name() + " says no: " + against.get(0).word().why());
+    List<EpochMember> refusing = members.stream().filter(x -> x.word().refused() == epoch).toList();
+    if (!refusing.isEmpty()) {
+      endChange(nowMs, false, refusing.get(0).name() + " says no: " + refusing.get(0).word().why());
     } else if (members.stream().allMatch(x -> x.isReadyFor(epoch, nowMs))) {
-      change = change.at(Change.Stage.DECIDED, nowMs, nowMs + terms.marginMs());
-    } else if (nowMs - change.sinceMs() >= terms.prepareMs()) {
-      end(nowMs, false, "not prepared within " + Math.round(terms.prepareMs()) + " ms by " + holdUp(nowMs,
+      change = change.withStage(PolicyChange.Stage.DECIDED, nowMs, nowMs + settings.marginMs());
+    } else if (nowMs - change.sinceMs() >= settings.prepareMs()) {
+      endChange(nowMs, false,
+          "not prepared within " + Math.round(settings.prepareMs()) + " ms by " + describeBlockers(nowMs,
           members));
     }
   }
 
   /** Who holds the change up, in words; empty where nobody does. */
-  public String holdUp(double nowMs, List<Member> members) {
+  public String describeBlockers(double nowMs, List<EpochMember> members) {
     if (change == null) {
       return "";
     }
     long epoch = change.document().epoch();
-    List<String> names = members.stream().filter(x -> change.stage() == Change.Stage.PREPARING
-        ? !x.isReadyFor(epoch, nowMs) : !x.goesBy(epoch, nowMs))
-        .map(Member::name).toList();
-    return names.stream().limit(MOST_NAMED).collect(Collectors.joining(", ")) + (names.size() > MOST_NAMED
-        ? " and " + (names.size() - MOST_NAMED) + " others" : "");
+    List<String> names = members.stream().filter(x -> change.stage() == PolicyChange.Stage.PREPARING
+        ? !x.isReadyFor(epoch, nowMs) : !x.hasAdopted(epoch, nowMs))
+        .map(EpochMember::name).toList();
+    return names.stream().limit(MAX_NAMED_MEMBERS).collect(Collectors.joining(", "))
+        + (names.size() > MAX_NAMED_MEMBERS
+        ? " and " + (names.size() - MAX_NAMED_MEMBERS) + " others" : "");
   }
 
-  private void end(double nowMs, boolean held, String why) {
-    Document x = change.document();
-    log.add(new Past(x.epoch(), x.hash(), x.by(), x.reason(), held, why, nowMs));
-    if (log.size() > MOST_PAST) {
+  private void endChange(double nowMs, boolean held, String why) {
+    PolicyDocument document = change.document();
+    log.add(new PastChange(document.epoch(), document.hash(), document.by(), document.reason(), held, why,
+        nowMs));
+    if (log.size() > MAX_PAST_CHANGES) {
       log.remove(0);
     }
     change = null;
@@ -174,11 +181,11 @@
     return new EpochView(nowMs, current.epoch(), current.hash(), change == null ? 0
         : change.document().epoch(),
         change == null ? "" : change.document().hash(), change == null ? null : change.stage(),
-        change == null ? 0 : change.holdMs(), terms.fenceMs(), terms.marginMs());
+        change == null ? 0 : change.holdMs(), settings.fenceMs(), settings.marginMs());
   }
 
   /** The document of that epoch, as long as any door may need it; null for others. */
-  public Document document(long epoch) {
+  public PolicyDocument document(long epoch) {
     if (change != null && change.document().epoch() == epoch) {
       return change.document();
     }
--- a/policy/src/main/java/willowdoor/epoch/EpochEvent.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochEvent.java
@@ -9,14 +9,14 @@
    * @param number of the heartbeat, counted up
    * @param sentMs by the door's clock when it went
    */
-  record Answered(long number, double sentMs, EpochView view) implements EpochEvent { }
+  record HeartbeatAnswered(long number, double sentMs, EpochView view) implements EpochEvent { }
 
   /** A document that was asked for is here, checked, built and written down: it may hold at any moment. */
   record Ready(long epoch) implements EpochEvent { }
 
   /** A document that was asked for can't be had here. */
-  record Cannot(long epoch, String why) implements EpochEvent { }
+  record PrepareFailed(long epoch, String why) implements EpochEvent { }
 
   /** Time has passed. */
-  record Woken() implements EpochEvent { }
+  record TimerFired() implements EpochEvent { }
 }
--- a/policy/src/main/java/willowdoor/epoch/Member.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochMember.java
@@ -7,7 +7,7 @@
  * @param fencedMs by the record's time from when on it surely decides nothing, as it was not heard
  * @param word what it said last
  */
-public record Member(String name, double fencedMs, Word word) {
+public record EpochMember(String name, double fencedMs, Report word) {
 
   /**
    * What a process says of policies with its heartbeats.
@@ -17,21 +17,21 @@
    * @param refused the epoch that it can't have, or 0
    * @param why it can't, in words
    */
-  public record Word(long holds, long prepared, long refused, String why) {
+  public record Report(long holds, long prepared, long refused, String why) {
 
     /** Nothing yet. */
-    public static final Word NONE = new Word(0, 0, 0, "");
+    public static final Report NONE = new Report(0, 0, 0, "");
     /** Longer reasons are cut. */
-    static final int LONGEST_WHY = 500;
+    static final int MAX_WHY_CHARS = 500;
 
     /** Cut to its bound. */
-    public Word {
-      why = why.length() <= LONGEST_WHY ? why : why.substring(0, LONGEST_WHY);
+    public Report {
+      why = why.length() <= MAX_WHY_CHARS ? why : why.substring(0, MAX_WHY_CHARS);
     }
   }
 
   /** By that or a later one, or by nothing: it is fenced, or was while that was decided and can't have it. */
-  boolean goesBy(long epoch, double nowMs) {
+  boolean hasAdopted(long epoch, double nowMs) {
     return word.holds() >= epoch || word.refused() == epoch || nowMs >= fencedMs;
   }
 
--- a/policy/src/main/java/willowdoor/epoch/EpochTerms.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochSettings.java
@@ -9,13 +9,13 @@
  *     nothing for so long no longer decides by the old policy alone
  * @param prepareMs a change that is not prepared everywhere by then is aborted
  */
-public record EpochTerms(double fenceMs, double marginMs, double prepareMs) {
+public record EpochSettings(double fenceMs, double marginMs, double prepareMs) {
 
   /** A minute, three seconds, and five minutes. */
-  public static final EpochTerms USUAL = new EpochTerms(60_000, 3_000, 300_000);
+  public static final EpochSettings DEFAULTS = new EpochSettings(60_000, 3_000, 300_000);
 
   /** Checked. */
-  public EpochTerms {
+  public EpochSettings {
     if (!(marginMs > 0 && marginMs <= fenceMs && fenceMs <= prepareMs
         && prepareMs < Double.POSITIVE_INFINITY)) {
       throw new IllegalArgumentException("margin_ms " + marginMs + ", fence_ms " + fenceMs + ", prepare_ms "
--- a/policy/src/main/java/willowdoor/epoch/EpochState.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochState.java
@@ -7,15 +7,17 @@
  *
  * @param last the epoch that was given out last
  * @param current what is in force
- * @param previous what was in force before; {@link Document#NONE} where there was none
+ * @param previous what was in force before; {@link PolicyDocument#NONE} where there was none
  * @param change what is under way; null for nothing
  * @param log of changes that are over, the oldest first
  */
-public record EpochState(EpochTerms terms, long last, Document current, Document previous, Change change,
-    List<Past> log) {
+public record EpochState(EpochSettings terms, long last, PolicyDocument current, PolicyDocument previous,
+    PolicyChange change,
+    List<PastChange> log) {
 
   /** Before the first change. */
-  public static final EpochState FIRST = new EpochState(EpochTerms.USUAL, 0, Document.NONE, Document.NONE,
+  public static final EpochState INITIAL =
+      new EpochState(EpochSettings.DEFAULTS, 0, PolicyDocument.NONE, PolicyDocument.NONE,
       null,
       List.of());
 
--- a/policy/src/main/java/willowdoor/epoch/EpochView.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochView.java
@@ -11,5 +11,5 @@
  * @param holdMs by the record's time from when on it holds
  */
 public record EpochView(double nowMs, long current, String hash, long next, String nextHash,
-    Change.Stage stage,
+    PolicyChange.Stage stage,
     double holdMs, double fenceMs, double marginMs) { }
--- a/policy/src/main/java/willowdoor/epoch/Past.java
+++ b/policy/src/main/java/willowdoor/epoch/PastChange.java
@@ -6,5 +6,5 @@
  * @param held whether it came to hold; otherwise it was aborted
  * @param why it was aborted, in words; empty where it came to hold
  */
-public record Past(long epoch, String hash, String by, String reason, boolean held, String why,
+public record PastChange(long epoch, String hash, String by, String reason, boolean held, String why,
     double atMs) { }
--- a/policy/src/main/java/willowdoor/epoch/Change.java
+++ b/policy/src/main/java/willowdoor/epoch/PolicyChange.java
@@ -7,7 +7,7 @@
  * @param sinceMs when it came to its stage, by the record's time
  * @param holdMs by the record's time from when on it holds; meaningless while it is prepared
  */
-public record Change(Document document, Stage stage, double sinceMs, double holdMs) {
+public record PolicyChange(PolicyDocument document, Stage stage, double sinceMs, double holdMs) {
 
   /** How far it has come. It may be aborted in the first stage only. */
   public enum Stage {
@@ -25,7 +25,7 @@
     HOLDS
   }
 
-  Change at(Stage other, double nowMs, double from) {
-    return new Change(document, other, nowMs, from);
+  PolicyChange withStage(Stage newStage, double nowMs, double newHoldMs) {
+    return new PolicyChange(document, newStage, nowMs, newHoldMs);
   }
 }
--- a/policy/src/main/java/willowdoor/epoch/Document.java
+++ b/policy/src/main/java/willowdoor/epoch/PolicyDocument.java
@@ -12,12 +12,12 @@
  * @param hash of the text (SHA-256, in hexadecimal)
  * @param replaces the epoch that was in force when it was written
  */
-public record Document(long epoch, String hash, String text, String by, String reason, long replaces) {
+public record PolicyDocument(long epoch, String hash, String text, String by, String reason, long replaces) {
 
   /** Longer ones are refused, in UTF-8 bytes; so that one goes into a command. */
-  public static final int MOST_BYTES = 1_000_000;
+  public static final int MAX_BYTES = 1_000_000;
   /** Before the first change each door goes by its own file. */
-  public static final Document NONE = new Document(0, "", "", "", "", 0);
+  public static final PolicyDocument NONE = new PolicyDocument(0, "", "", "", "", 0);
 
   /** The hash of a text. */
   public static String hash(String text) {
@@ -30,7 +30,7 @@
   }
 
   /** Whether it is whole. */
-  public boolean isWhole() {
+  public boolean hashMatches() {
     return hash.equals(hash(text));
   }
 }
--- a/policy/src/test/java/willowdoor/agreement/FleetRecordTest.java
+++ b/policy/src/test/java/willowdoor/agreement/FleetRecordTest.java
@@ -14,22 +14,22 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import willowdoor.agreement.Command.Ask;
+import willowdoor.agreement.Command.RequestPermit;
 import willowdoor.agreement.Command.Backend;
-import willowdoor.agreement.Command.Beat;
-import willowdoor.agreement.Command.Beats;
+import willowdoor.agreement.Command.Heartbeat;
+import willowdoor.agreement.Command.Heartbeats;
 import willowdoor.agreement.Command.Configure;
-import willowdoor.agreement.Command.Doing;
+import willowdoor.agreement.Command.Activity;
 import willowdoor.agreement.Command.Forget;
 import willowdoor.agreement.Command.Join;
-import willowdoor.agreement.Command.Lead;
+import willowdoor.agreement.Command.LeaderElected;
 import willowdoor.agreement.Command.Leave;
-import willowdoor.agreement.Command.Listed;
+import willowdoor.agreement.Command.BackendListId;
 import willowdoor.agreement.Command.Report;
-import willowdoor.agreement.Command.Return;
-import willowdoor.agreement.Command.Sight;
+import willowdoor.agreement.Command.ReturnPermit;
+import willowdoor.agreement.Command.UpdateBackends;
 import willowdoor.agreement.Command.Tick;
-import willowdoor.agreement.Outcome.Beaten;
+import willowdoor.agreement.Outcome.HeartbeatsRecorded;
 import willowdoor.agreement.Outcome.Done;
 import willowdoor.agreement.Outcome.Granted;
 import willowdoor.agreement.Outcome.Refused;
@@ -41,14 +41,15 @@
 
   private static final double LEASE = 3_000;
 
-  private FleetRecord record = new FleetRecord(terms(Most.of(1), Most.ANY, 0));
+  private FleetStateMachine record =
+      new FleetStateMachine(terms(OutageLimit.of(1), OutageLimit.UNLIMITED, 0));
   private double at = 1_000;
   private long beat;
-  private final Map<String, Doing> doing = new HashMap<>();
+  private final Map<String, Activity> doing = new HashMap<>();
 
-  private static Terms terms(Most inAll, Most inZone, double least) {
+  private static FleetSettings terms(OutageLimit inAll, OutageLimit inZone, double least) {
     Budget budget = new Budget(inAll, inZone, least);
-    return new Terms(budget, budget, LEASE);
+    return new FleetSettings(budget, budget, LEASE);
   }
 
   private static Subject door(String name) {
@@ -59,17 +60,17 @@
     return new Subject(Kind.BACKEND, name);
   }
 
-  private FleetRecordTest with(Most inAll, Most inZone, double least) {
-    record = new FleetRecord(terms(inAll, inZone, least));
+  private FleetRecordTest with(OutageLimit inAll, OutageLimit inZone, double least) {
+    record = new FleetStateMachine(terms(inAll, inZone, least));
     return this;
   }
 
   /** Doors d1 to dN, each ready with one process, in zones a and b by turns. */
   private void doors(int n) {
-    record.on(new Lead(at));
+    record.apply(new LeaderElected(at));
     for (int i = 1; i <= n; i++) {
       join("d" + i, "x", i % 2 == 1 ? "a" : "b", 1);
-      says("d" + i, Doing.READY);
+      says("d" + i, Activity.READY);
     }
   }
 
@@ -78,29 +79,30 @@
     for (int i = 0; i < serving.length; i++) {
       all.add(new Backend("b" + (i + 1), i % 2 == 0 ? "a" : "b", 1, serving[i], 0));
     }
-    record.on(new Sight(at, 1, all));
+    record.apply(new UpdateBackends(at, 1, all));
   }
 
   private Outcome join(String door, String incarnation, String zone, long generation) {
-    return record.on(new Join(at, door, incarnation, zone, 1, generation, "1.0"));
+    return record.apply(new Join(at, door, incarnation, zone, 1, generation, "1.0"));
   }
 
-  private Outcome says(String door, Doing what, Long... left) {
+  private Outcome says(String door, Activity what, Long... left) {
     return says(door, "x", what, record.state().index(), left);
   }
 
-  private Outcome says(String door, String incarnation, Doing what, long seen, Long... left) {
+  private Outcome says(String door, String incarnation, Activity what, long seen, Long... left) {
     doing.put(door, what);
-    return record.on(new Beats(at, List.of(new Beat(door, incarnation, what, ++beat, seen, Set.of(left),
+    return record
+        .apply(new Heartbeats(at, List.of(new Heartbeat(door, incarnation, what, ++beat, seen, Set.of(left),
         Report.NONE))));
   }
 
   private Outcome ask(String request, Subject subject) {
-    return record.on(new Ask(at, request, subject, "ana", "disk", false));
+    return record.apply(new RequestPermit(at, request, subject, "ana", "disk", false));
   }
 
   private Outcome giveBack(Subject subject) {
-    return record.on(new Return(at, subject, permitOf(subject), "ana"));
+    return record.apply(new ReturnPermit(at, subject, permitOf(subject), "ana"));
   }
 
   private long permitOf(Subject subject) {
@@ -133,12 +135,12 @@
     assertEquals(1, second.place());
     assertEquals("1 of 4 are out, 1 may be: d1", second.why());
     assertEquals(2, waits(ask("r3", door("d3"))).place());
-    says("d1", Doing.EMPTY);
+    says("d1", Activity.EMPTY);
     assertEquals(Stage.OUT, stage(door("d1")));
     giveBack(door("d1"));
-    says("d1", Doing.READY);
-    id(record.told("r2"));
-    assertEquals(1, waits(record.told("r3")).place());
+    says("d1", Activity.READY);
+    id(record.requestStatus("r2"));
+    assertEquals(1, waits(record.requestStatus("r3")).place());
   }
 
   @Test
@@ -151,21 +153,21 @@
     assertEquals("permit 0 is over", refused(giveBack(door("d2"))));
     waits(ask("r4", door("d2")));
     assertInstanceOf(Done.class, giveBack(door("d2")));
-    assertEquals("no request is called r4", refused(record.told("r4")));
+    assertEquals("no request is called r4", refused(record.requestStatus("r4")));
   }
 
   /** A dead door, one that hasn't begun and one that ended by a signal. */
   @Test
   void whatIsOutByItselfCounts() {
-    with(Most.of(2), Most.ANY, 0).doors(4);
-    says("d1", Doing.STARTING);
-    record.on(new Leave(at, "d2", "x"));
+    with(OutageLimit.of(2), OutageLimit.UNLIMITED, 0).doors(4);
+    says("d1", Activity.STARTING);
+    record.apply(new Leave(at, "d2", "x"));
     waits(ask("r1", door("d3")));
-    says("d1", Doing.READY);
-    id(record.told("r1"));
+    says("d1", Activity.READY);
+    id(record.requestStatus("r1"));
     at += LEASE;
-    says("d1", Doing.READY);
-    says("d3", Doing.READY);
+    says("d1", Activity.READY);
+    says("d3", Activity.READY);
     waits(ask("r2", door("d1")));
     assertEquals(3, record.out(Kind.DOOR), "d2 ended, d3 has a permit, d4's lease is over");
   }
@@ -174,12 +176,12 @@
   @Test
   void whatIsOutAlreadyNeedsNoRoom() {
     doors(3);
-    record.on(new Leave(at, "d1", "x"));
+    record.apply(new Leave(at, "d1", "x"));
     id(ask("r1", door("d1")));
     waits(ask("r2", door("d2")));
     join("d1", "y", "a", 2);
-    says("d1", "y", Doing.READY, record.state().index());
-    waits(record.told("r2"));
+    says("d1", "y", Activity.READY, record.state().index());
+    waits(record.requestStatus("r2"));
   }
 
   @Test
@@ -187,15 +189,15 @@
     doors(3);
     id(ask("r1", door("d1")));
     at += 10 * LEASE;
-    says("d2", Doing.READY);
-    says("d3", Doing.READY);
+    says("d2", Activity.READY);
+    says("d3", Activity.READY);
     waits(ask("r2", door("d2")));
     giveBack(door("d1"));
-    waits(record.told("r2"));
+    waits(record.requestStatus("r2"));
     join("d1", "y", "a", 2);
-    waits(record.told("r2"));
-    says("d1", "y", Doing.READY, record.state().index());
-    id(record.told("r2"));
+    waits(record.requestStatus("r2"));
+    says("d1", "y", Activity.READY, record.state().index());
+    id(record.requestStatus("r2"));
   }
 
   /** It said so before it had heard that it may go out, so it may be going now. */
@@ -205,49 +207,51 @@
     id(ask("r1", door("d1")));
     long before = record.state().index();
     giveBack(door("d1"));
-    says("d1", "x", Doing.READY, before);
+    says("d1", "x", Activity.READY, before);
     assertEquals(Stage.RETURNING, stage(door("d1")));
     waits(ask("r2", door("d2")));
-    says("d1", Doing.READY);
-    id(record.told("r2"));
+    says("d1", Activity.READY);
+    id(record.requestStatus("r2"));
   }
 
   @Test
   void zoneAndWeightHaveBudgetsToo() {
-    with(Most.of(3), Most.of(1), 2).doors(6);
+    with(OutageLimit.of(3), OutageLimit.of(1), 2).doors(6);
     id(ask("r1", door("d1")));
     assertEquals("1 of 3 are out in zone a, 1 may be", waits(ask("r2", door("d3"))).why());
     id(ask("r3", door("d2")));
-    record.on(new Configure(at, terms(Most.of(6), Most.ANY, 3)));
-    id(record.told("r2"));
+    record.apply(new Configure(at, terms(OutageLimit.of(6), OutageLimit.UNLIMITED, 3)));
+    id(record.requestStatus("r2"));
     assertEquals("weight 3.0 serves, 3.0 must without it", waits(ask("r4", door("d4"))).why());
   }
 
   /** Smaller ones must not pass for ever. */
   @Test
   void nothingPassesOneThatTheWholeHoldsBack() {
-    with(Most.of(2), Most.of(1), 0).doors(6);
+    with(OutageLimit.of(2), OutageLimit.of(1), 0).doors(6);
     id(ask("r1", door("d1")));
     waits(ask("r2", door("d3")));
     id(ask("r3", door("d2")));
     waits(ask("r4", door("d4")));
     giveBack(door("d1"));
-    says("d1", Doing.READY);
-    id(record.told("r2"));
-    waits(record.told("r4"));
+    says("d1", Activity.READY);
+    id(record.requestStatus("r2"));
+    waits(record.requestStatus("r4"));
   }
 
   @Test
   void sharesAreRoundedDownButLeaveOne() {
-    assertEquals(List.of(1, 1, 2, 3, 0), List.of(Most.part(0.1).among(4), Most.part(0.3).among(4),
-        Most.part(0.5).among(5), Most.part(0.3).among(10), Most.part(0).among(9)));
+    assertEquals(List.of(1, 1, 2, 3, 0),
+        List.of(OutageLimit.ofShare(0.1).resolve(4), OutageLimit.ofShare(0.3).resolve(4),
+        OutageLimit.ofShare(0.5).resolve(5), OutageLimit.ofShare(0.3).resolve(10),
+        OutageLimit.ofShare(0).resolve(9)));
   }
 
   @Test
   void forceIsWrittenDown() {
     doors(3);
     id(ask("r1", door("d1")));
-    id(record.on(new Ask(at, "r2", door("d2"), "ben", "fire", true)));
+    id(record.apply(new RequestPermit(at, "r2", door("d2"), "ben", "fire", true)));
     assertEquals(List.of(new Note(0, "ben", "takes out door d2 by force: fire")), record.state().notes());
     assertEquals(2, record.out(Kind.DOOR));
   }
@@ -257,11 +261,11 @@
     doors(3);
     backends(true, true, true);
     long id = id(ask("r1", backend("b1")));
-    says("d1", Doing.READY, id);
-    says("d2", Doing.READY, id);
+    says("d1", Activity.READY, id);
+    says("d2", Activity.READY, id);
     assertEquals(Stage.GRANTED, stage(backend("b1")));
-    assertEquals(List.of("d3/x"), record.holdUp(backend("b1")));
-    says("d3", Doing.READY, id);
+    assertEquals(List.of("d3/x"), record.blockingProcesses(backend("b1")));
+    says("d3", Activity.READY, id);
     assertEquals(Stage.OUT, stage(backend("b1")));
   }
 
@@ -272,13 +276,14 @@
     backends(true, true);
     long id = id(ask("r1", backend("b1")));
     at += 10 * LEASE;
-    says("d1", Doing.READY, id);
-    assertEquals(List.of("d2/x"), record.holdUp(backend("b1")));
-    assertInstanceOf(Done.class, record.on(new Forget(at, "f" + ++beat, "d2", "ana")));
+    says("d1", Activity.READY, id);
+    assertEquals(List.of("d2/x"), record.blockingProcesses(backend("b1")));
+    assertInstanceOf(Done.class, record.apply(new Forget(at, "f" + ++beat, "d2", "ana")));
     assertEquals(Stage.OUT, stage(backend("b1")));
     assertEquals("no door or process is called d2",
-        refused(record.on(new Forget(at, "f" + ++beat, "d2", "ana"))));
-    assertEquals(List.of("d2/x"), assertInstanceOf(Beaten.class, says("d2", Doing.READY)).strangers());
+        refused(record.apply(new Forget(at, "f" + ++beat, "d2", "ana"))));
+    assertEquals(List.of("d2/x"),
+        assertInstanceOf(HeartbeatsRecorded.class, says("d2", Activity.READY)).strangers());
   }
 
   /** A process that joins after the grant sends too, and one that ended sends no more. */
@@ -288,9 +293,9 @@
     backends(true, true);
     long id = id(ask("r1", backend("b1")));
     join("d1", "y", "a", 0);
-    says("d1", Doing.READY, id);
-    assertEquals(List.of("d1/y"), record.holdUp(backend("b1")));
-    record.on(new Leave(at, "d1", "y"));
+    says("d1", Activity.READY, id);
+    assertEquals(List.of("d1/y"), record.blockingProcesses(backend("b1")));
+    record.apply(new Leave(at, "d1", "y"));
     assertEquals(Stage.OUT, stage(backend("b1")));
   }
 
@@ -299,14 +304,14 @@
     doors(2);
     backends(true, true);
     long id = id(ask("r1", backend("b1")));
-    says("d1", Doing.READY, id);
-    says("d2", Doing.READY, id);
+    says("d1", Activity.READY, id);
+    says("d2", Activity.READY, id);
     backends(false, true);
     giveBack(backend("b1"));
     backends(true, true);
-    says("d1", Doing.READY);
+    says("d1", Activity.READY);
     assertEquals(Stage.RETURNING, stage(backend("b1")));
-    says("d2", Doing.READY);
+    says("d2", Activity.READY);
     assertEquals(null, stage(backend("b1")));
   }
 
@@ -315,9 +320,10 @@
     doors(1);
     backends(false, true, true);
     waits(ask("r1", backend("b2")));
-    record.on(new Sight(at, 1, List.of(new Backend("b1", "a", 1, true, 0), new Backend("b3", "a", 1, true,
+    record.apply(
+        new UpdateBackends(at, 1, List.of(new Backend("b1", "a", 1, true, 0), new Backend("b3", "a", 1, true,
         0))));
-    assertEquals("others wait before it", waits(record.told("r1")).why());
+    assertEquals("others wait before it", waits(record.requestStatus("r1")).why());
     id(ask("r2", backend("b3")));
   }
 
@@ -326,52 +332,56 @@
   void aNewLeaderLetsLeasesRunAnew() {
     doors(2);
     at += LEASE - 1;
-    record.on(new Tick(at));
+    record.apply(new Tick(at));
     assertEquals(0, record.out(Kind.DOOR));
     at = 5;
-    record.on(new Lead(at));
+    record.apply(new LeaderElected(at));
     at += LEASE - 1;
-    record.on(new Tick(at));
+    record.apply(new Tick(at));
     assertEquals(0, record.out(Kind.DOOR));
     at += 1;
-    record.on(new Tick(at));
+    record.apply(new Tick(at));
     assertEquals(2, record.out(Kind.DOOR));
-    record.on(new Tick(at - 500));
+    record.apply(new Tick(at - 500));
     assertEquals(2, record.out(Kind.DOOR), "time does not go back");
   }
 
   @Test
   void overtakenHeartbeatsAndThoseOfTheEndedTellNothing() {
     doors(2);
-    Beat late = new Beat("d1", "x", Doing.READY, ++beat, record.state().index(), Set.of(), Report.NONE);
-    says("d1", Doing.DRAINING);
-    record.on(new Beats(at, List.of(late)));
+    Heartbeat late =
+        new Heartbeat("d1", "x", Activity.READY, ++beat, record.state().index(), Set.of(), Report.NONE);
+    says("d1", Activity.DRAINING);
+    record.apply(new Heartbeats(at, List.of(late)));
     assertEquals(1, record.out(Kind.DOOR));
-    record.on(new Leave(at, "d1", "x"));
-    assertEquals(List.of("d1/x"), assertInstanceOf(Beaten.class, says("d1", Doing.READY)).strangers());
+    record.apply(new Leave(at, "d1", "x"));
+    assertEquals(List.of("d1/x"),
+        assertInstanceOf(HeartbeatsRecorded.class, says("d1", Activity.READY)).strangers());
     assertEquals(1, record.out(Kind.DOOR));
   }
 
   @Test
   void everythingIsBounded() {
-    with(Most.of(0), Most.ANY, 0).record.on(new Lead(at));
-    IntStream.range(0, FleetRecord.MOST_LIVES).forEach(i -> join("d" + i, "x", "a", 0));
+    with(OutageLimit.of(0), OutageLimit.UNLIMITED, 0).record.apply(new LeaderElected(at));
+    IntStream.range(0, FleetStateMachine.MAX_PROCESSES).forEach(i -> join("d" + i, "x", "a", 0));
     assertTrue(refused(join("more", "x", "a", 0)).startsWith("1000 processes"));
     assertInstanceOf(Done.class, join("d1", "x", "a", 0));
-    record.on(new Sight(at, 1, IntStream.range(0, FleetRecord.MOST_BACKENDS + 5)
+    record.apply(new UpdateBackends(at, 1, IntStream.range(0, FleetStateMachine.MAX_BACKENDS + 5)
         .mapToObj(i -> new Backend("b" + i, "a", 1, true, 0)).toList()));
-    assertEquals(FleetRecord.MOST_BACKENDS, record.state().backends().size());
-    IntStream.range(0, FleetRecord.MOST_PERMITS).forEach(i -> ask("r" + i, backend("b" + i)));
+    assertEquals(FleetStateMachine.MAX_BACKENDS, record.state().backends().size());
+    IntStream.range(0, FleetStateMachine.MAX_PERMITS).forEach(i -> ask("r" + i, backend("b" + i)));
     assertTrue(refused(ask("more", backend("b5000"))).startsWith("1000 permits"));
-    IntStream.range(0, FleetRecord.MOST_NOTES + 1).forEach(i -> {
-      record.on(new Forget(at, "f" + i, "d" + (i + 1) % 1_000, "ana"));
+    IntStream.range(0, FleetStateMachine.MAX_NOTES + 1).forEach(i -> {
+      record.apply(new Forget(at, "f" + i, "d" + (i + 1) % 1_000, "ana"));
       join("d" + (i + 1) % 1_000, "x", "a", 0);
     });
-    assertEquals(FleetRecord.MOST_NOTES, record.state().notes().size());
+    assertEquals(FleetStateMachine.MAX_NOTES, record.state().notes().size());
   }
 
-  private void goesBy(String door, Listed list) {
-    record.on(new Beats(at, List.of(new Beat(door, "x", Doing.READY, ++beat, record.state().index(), Set.of(),
+  private void goesBy(String door, BackendListId list) {
+    record.apply(
+        new Heartbeats(at,
+        List.of(new Heartbeat(door, "x", Activity.READY, ++beat, record.state().index(), Set.of(),
         Report.NONE, list))));
   }
 
@@ -384,12 +394,12 @@
   void anOlderListOfBackendsIsPassedOverWhileADoorGoesByTheNewer() {
     doors(2);
     List<Backend> two = List.of(new Backend("b1", "a", 1, true, 0), new Backend("b2", "a", 1, false, 0));
-    goesBy("d1", Listed.of(7, two));
-    record.on(new Sight(at, 7, two));
-    assertTrue(refused(record.on(new Sight(at, 6, List.of()))).contains("version 6"));
+    goesBy("d1", BackendListId.of(7, two));
+    record.apply(new UpdateBackends(at, 7, two));
+    assertTrue(refused(record.apply(new UpdateBackends(at, 6, List.of()))).contains("version 6"));
     assertEquals(2, record.state().backends().size());
-    goesBy("d1", Listed.of(2, List.of()));
-    record.on(new Sight(at, 2, List.of()));
+    goesBy("d1", BackendListId.of(2, List.of()));
+    record.apply(new UpdateBackends(at, 2, List.of()));
     assertEquals(0, record.state().backends().size());
   }
 
@@ -398,21 +408,21 @@
   void aDoorWithAnotherListIsAskedToTellIt() {
     doors(2);
     List<Backend> two = List.of(new Backend("b1", "a", 1, true, 0), new Backend("b2", "a", 1, true, 0));
-    record.on(new Sight(at, 7, two.subList(0, 1)));
-    goesBy("d1", Listed.of(6, List.of()));
-    goesBy("d2", Listed.of(7, List.of(two.get(1), two.get(0))));
+    record.apply(new UpdateBackends(at, 7, two.subList(0, 1)));
+    goesBy("d1", BackendListId.of(6, List.of()));
+    goesBy("d2", BackendListId.of(7, List.of(two.get(1), two.get(0))));
     assertFalse(askedForItsList("d2"), "not more than once a lease");
     at += LEASE;
-    goesBy("d2", Listed.of(7, two));
+    goesBy("d2", BackendListId.of(7, two));
     assertTrue(askedForItsList("d2"));
-    goesBy("d1", Listed.of(6, List.of()));
+    goesBy("d1", BackendListId.of(6, List.of()));
     assertFalse(askedForItsList("d1"), "it is behind");
-    record.on(new Sight(at, 7, two));
+    record.apply(new UpdateBackends(at, 7, two));
     at += LEASE;
-    goesBy("d1", Listed.of(7, List.of(two.get(1), two.get(0))));
-    goesBy("d2", Listed.of(7, two));
+    goesBy("d1", BackendListId.of(7, List.of(two.get(1), two.get(0))));
+    goesBy("d2", BackendListId.of(7, two));
     assertFalse(askedForItsList("d1") || askedForItsList("d2"), "in another order it is the same list");
-    goesBy("d1", Listed.of(9, two));
+    goesBy("d1", BackendListId.of(9, two));
     assertTrue(askedForItsList("d1"));
   }
 
@@ -424,7 +434,8 @@
     join("d1", "z", "a", 0);
     assertEquals(3, record.state().lives().size());
     join("d1", "y", "a", 2);
-    assertEquals(List.of("y", "z"), record.state().lives().stream().map(Life::incarnation).toList());
+    assertEquals(List.of("y", "z"),
+        record.state().lives().stream().map(DoorProcessState::incarnation).toList());
     assertTrue(record.view("d1", "y", LEASE).known());
     assertFalse(record.view("d1", "x", LEASE).known());
   }
@@ -452,9 +463,9 @@
     doors(4);
     id(ask("r1", door("d1")));
     at += LEASE + 1;
-    says("d1", Doing.DRAINING);
-    says("d3", Doing.READY);
-    says("d4", Doing.READY);
+    says("d1", Activity.DRAINING);
+    says("d3", Activity.READY);
+    says("d4", Activity.READY);
     assertEquals("2 of 4 are out, 1 may be: d1, d2", waits(ask("r2", door("d2"))).why());
   }
 
@@ -463,24 +474,24 @@
   void aNewLeaderRevivesNoLeaseThatIsOver() {
     doors(3);
     at += LEASE - 1;
-    says("d1", Doing.READY);
+    says("d1", Activity.READY);
     at += 2;
-    says("d1", Doing.READY);
+    says("d1", Activity.READY);
     at = 50;
-    record.on(new Lead(at));
+    record.apply(new LeaderElected(at));
     assertEquals(2, record.out(Kind.DOOR));
     at += LEASE - 1;
-    record.on(new Command.Tick(at));
+    record.apply(new Command.Tick(at));
     assertEquals(2, record.out(Kind.DOOR));
   }
 
   /** Until it is told by what it decides. */
   @Test
   void aRecordWithoutTermsGrantsNothing() {
-    record = new FleetRecord(Terms.NONE);
+    record = new FleetStateMachine(FleetSettings.UNCONFIGURED);
     doors(2);
     waits(ask("r1", door("d1")));
-    record.on(new Command.Configure(at, terms(Most.of(1), Most.ANY, 0)));
+    record.apply(new Command.Configure(at, terms(OutageLimit.of(1), OutageLimit.UNLIMITED, 0)));
     assertEquals(Stage.GRANTED, stage(door("d1")));
   }
 
@@ -489,15 +500,15 @@
   void whatComesLateOnceMoreDoesNothing() {
     doors(2);
     long first = id(ask("r1", door("d1")));
-    says("d1", Doing.EMPTY);
+    says("d1", Activity.EMPTY);
     giveBack(door("d1"));
-    says("d1", Doing.READY);
+    says("d1", Activity.READY);
     assertEquals("request r1 is over", refused(ask("r1", door("d1"))));
     long second = id(ask("r2", door("d1")));
     assertEquals("permit " + first + " is over; door d1 is granted by permit " + second,
-        refused(record.on(new Return(at, door("d1"), first, "ana"))));
+        refused(record.apply(new ReturnPermit(at, door("d1"), first, "ana"))));
     assertEquals(Stage.GRANTED, stage(door("d1")));
-    record.on(new Command.Leave(at, "d2", "x"));
+    record.apply(new Command.Leave(at, "d2", "x"));
     join("d2", "y", "a", 0);
     assertEquals("process d2/x has ended", refused(join("d2", "x", "a", 0)));
     join("d2", "y", "a", 3);
@@ -505,19 +516,20 @@
     assertEquals("process d2/y has ended", refused(join("d2", "y", "a", 0)));
     assertEquals("process d2/v has ended", refused(join("d2", "v", "a", 2)), "held it before, heard late");
     Forget forget = new Forget(at, "f", "d2", "ana");
-    record.on(forget);
+    record.apply(forget);
     join("d2", "w", "a", 0);
-    record.on(forget);
+    record.apply(forget);
     assertTrue(record.view("d2", "w", LEASE).known());
-    record.on(new Forget(at, "g", "d2/w", "ana"));
+    record.apply(new Forget(at, "g", "d2/w", "ana"));
     assertFalse(record.view("d2", "w", LEASE).known());
   }
 
   @Test
   void nonsenseIsNamed() {
-    assertTrue(message(() -> Most.part(1.5)).contains("1.5 of 1 (expected: 0 or more, 1 at most)"));
-    assertTrue(message(() -> new Budget(Most.ANY, Most.ANY, Double.NaN)).contains("least weight is NaN"));
-    assertTrue(message(() -> new Terms(null, null, Double.NaN)).contains("the lease is NaN ms"));
+    assertTrue(message(() -> OutageLimit.ofShare(1.5)).contains("1.5 of 1 (expected: 0 or more, 1 at most)"));
+    assertTrue(message(() -> new Budget(OutageLimit.UNLIMITED, OutageLimit.UNLIMITED, Double.NaN))
+        .contains("least weight is NaN"));
+    assertTrue(message(() -> new FleetSettings(null, null, Double.NaN)).contains("the lease is NaN ms"));
     assertTrue(message(() -> new DoorLease(1)).contains("clocks wrong by 1.0"));
   }
 
@@ -537,11 +549,11 @@
     for (double door : new double[] {1 - drift, 1, 1 + drift}) {
       for (double steward : new double[] {1 - drift, 1, 1 + drift}) {
         DoorLease lease = new DoorLease(drift);
-        lease.agreed(700 * door, LEASE);
-        lease.agreed(100 * door, LEASE);
+        lease.renew(700 * door, LEASE);
+        lease.renew(100 * door, LEASE);
         double overAtStewards = 700 + LEASE / steward;
-        assertTrue(!lease.holds(overAtStewards * door + 1e-6), door + " beside " + steward);
-        assertTrue(lease.holds(700 * door + LEASE * 0.85));
+        assertTrue(!lease.isValid(overAtStewards * door + 1e-6), door + " beside " + steward);
+        assertTrue(lease.isValid(700 * door + LEASE * 0.85));
       }
     }
   }
@@ -551,20 +563,20 @@
   void budgetsHoldUnderAnyCommands() {
     for (long seed = 1; seed <= 300; seed++) {
       Random random = new Random(seed);
-      with(Most.of(2), Most.of(1), 0).doors(5);
+      with(OutageLimit.of(2), OutageLimit.of(1), 0).doors(5);
       backends(true, true, true, true, true);
-      FleetRecord copy = new FleetRecord(record.state());
+      FleetStateMachine copy = new FleetStateMachine(record.state());
       for (int step = 0; step < 120; step++) {
         Set<String> outBefore = holders();
         Command command = any(random);
-        Outcome outcome = record.on(command);
+        Outcome outcome = record.apply(command);
         String what = "seed " + seed + " step " + step + " " + command;
-        assertEquals(outcome, copy.on(command), what);
+        assertEquals(outcome, copy.apply(command), what);
         assertEquals(record.state(), copy.state(), what);
         holders().stream().filter(x -> !outBefore.contains(x) && serves(x)).forEach(x ->
             assertTrue(record.out(x.startsWith("door") ? Kind.DOOR : Kind.BACKEND) <= 2, what));
         if (step % 40 == 0) {
-          copy = new FleetRecord(record.state());
+          copy = new FleetStateMachine(record.state());
         }
       }
     }
@@ -574,13 +586,14 @@
   private boolean serves(String subject) {
     State state = record.state();
     return state.lives().stream().anyMatch(x -> subject.equals("door " + x.door())
-        && x.doing() == Doing.READY && state.nowMs() < x.untilMs())
+        && x.doing() == Activity.READY && state.nowMs() < x.untilMs())
         || state.backends().stream().anyMatch(x -> subject.equals("backend " + x.name()) && x.serving());
   }
 
   private Set<String> holders() {
     Set<String> names = new HashSet<>();
-    record.state().permits().stream().filter(Permit::holds).forEach(x -> names.add(x.subject().toString()));
+    record.state().permits().stream().filter(Permit::countsAgainstBudget)
+        .forEach(x -> names.add(x.subject().toString()));
     return names;
   }
 
@@ -590,22 +603,23 @@
     Subject subject = random.nextBoolean() ? door(door) : backend("b" + (1 + random.nextInt(5)));
     switch (random.nextInt(8)) {
       case 0:
-        return new Ask(at, "r" + random.nextInt(50), subject, "ana", "any", false);
+        return new RequestPermit(at, "r" + random.nextInt(50), subject, "ana", "any", false);
       case 1:
-        return new Return(at, subject, permitOf(subject), "ana");
+        return new ReturnPermit(at, subject, permitOf(subject), "ana");
       case 2:
         return new Leave(at, door, "x");
       case 3:
         return new Join(at, door, random.nextBoolean() ? "x" : "y", "a", 1, random.nextInt(3), "1.0");
       case 4:
         at = random.nextInt(5_000);
-        return new Lead(at);
+        return new LeaderElected(at);
       case 5:
-        return new Sight(at, 1, IntStream.rangeClosed(1, 5).mapToObj(i -> new Backend("b" + i,
+        return new UpdateBackends(at, 1, IntStream.rangeClosed(1, 5).mapToObj(i -> new Backend("b" + i,
             i % 2 == 0 ? "a" : "b", 1, random.nextInt(4) > 0, 0)).toList());
       default:
-        Doing what = Doing.values()[random.nextInt(4)];
-        return new Beats(at, List.of(new Beat(door, random.nextInt(4) == 0 ? "y" : "x", what, ++beat,
+        Activity what = Activity.values()[random.nextInt(4)];
+        return new Heartbeats(at,
+            List.of(new Heartbeat(door, random.nextInt(4) == 0 ? "y" : "x", what, ++beat,
             record.state().index() - random.nextInt(3), Set.of(1L + random.nextInt(20)), Report.NONE)));
     }
   }
--- a/policy/src/test/java/willowdoor/epoch/EpochSideTest.java
+++ b/policy/src/test/java/willowdoor/epoch/EpochSideTest.java
@@ -7,11 +7,11 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import willowdoor.epoch.Change.Stage;
-import willowdoor.epoch.EpochAction.BeatSoon;
+import willowdoor.epoch.PolicyChange.Stage;
+import willowdoor.epoch.EpochAction.SendHeartbeatSoon;
 import willowdoor.epoch.EpochAction.Drop;
 import willowdoor.epoch.EpochAction.Prepare;
-import willowdoor.epoch.EpochAction.TakeHold;
+import willowdoor.epoch.EpochAction.Adopt;
 import willowdoor.epoch.EpochAction.WakeAt;
 
 /** Its clock is 100 s ahead of the record's time; heartbeats take 20 ms there and 20 ms back. */
@@ -21,7 +21,7 @@
   private static final double MARGIN = 1_000;
   private static final double AHEAD = 100_000;
 
-  private EpochSide side = new EpochSide(0, false, 0);
+  private EpochParticipant side = new EpochParticipant(0, false, 0);
   private long number;
 
   private List<EpochAction> heard(double recordMs, long current, long next, Stage stage, double holdMs) {
@@ -30,25 +30,25 @@
 
   private List<EpochAction> heard(long ofBeat, double recordMs, long current, long next, Stage stage,
       double holdMs) {
-    return side.on(AHEAD + recordMs + 20, new EpochEvent.Answered(ofBeat, AHEAD + recordMs - 20,
+    return side.handle(AHEAD + recordMs + 20, new EpochEvent.HeartbeatAnswered(ofBeat, AHEAD + recordMs - 20,
         new EpochView(recordMs, current, "h" + current, next, "h" + next, stage, holdMs, FENCE, MARGIN)));
   }
 
   private List<EpochAction> ready(double recordMs, long epoch) {
-    return side.on(AHEAD + recordMs, new EpochEvent.Ready(epoch));
+    return side.handle(AHEAD + recordMs, new EpochEvent.Ready(epoch));
   }
 
   private List<EpochAction> woken(double recordMs) {
-    return side.on(AHEAD + recordMs, new EpochEvent.Woken());
+    return side.handle(AHEAD + recordMs, new EpochEvent.TimerFired());
   }
 
   private void by(double recordMs, long epoch, long also) {
-    By by = side.by(AHEAD + recordMs);
+    ActivePolicy by = side.policyAt(AHEAD + recordMs);
     assertEquals(List.of(epoch, also), List.of(by.epoch(), by.also()), "at " + recordMs);
   }
 
   private void refuses(double recordMs) {
-    assertTrue(side.by(AHEAD + recordMs).refuses(), "at " + recordMs);
+    assertTrue(side.policyAt(AHEAD + recordMs).refuses(), "at " + recordMs);
   }
 
   private static boolean has(List<EpochAction> actions, EpochAction action) {
@@ -58,7 +58,7 @@
   @Test
   void refusesUntilItIsToldWhatHolds() {
     refuses(0);
-    assertTrue(side.on(AHEAD, new EpochEvent.Woken()).isEmpty());
+    assertTrue(side.handle(AHEAD, new EpochEvent.TimerFired()).isEmpty());
     heard(1_000, 0, 0, null, 0);
     by(1_020, 0, -1);
   }
@@ -75,12 +75,12 @@
 
   @Test
   void aClockThatMayRunWrongMakesItSooner() {
-    side = new EpochSide(0.1, false, 0);
+    side = new EpochParticipant(0.1, false, 0);
     heard(1_000, 0, 0, null, 0);
     by(980 + FENCE * 0.9 / 1.1 - 1, 0, -1);
     refuses(980 + FENCE * 0.9 / 1.1 + 1);
-    assertThrows(IllegalArgumentException.class, () -> new EpochSide(0.5, false, 0));
-    assertThrows(IllegalArgumentException.class, () -> new EpochSide(Double.NaN, false, 0));
+    assertThrows(IllegalArgumentException.class, () -> new EpochParticipant(0.5, false, 0));
+    assertThrows(IllegalArgumentException.class, () -> new EpochParticipant(Double.NaN, false, 0));
   }
 
   @Test
@@ -88,8 +88,8 @@
     assertTrue(has(heard(1_000, 0, 1, Stage.PREPARING, 0), new Prepare(1, "h1")));
     assertFalse(has(heard(1_100, 0, 1, Stage.PREPARING, 0), new Prepare(1, "h1")), "once");
     List<EpochAction> yes = ready(1_200, 1);
-    assertTrue(has(yes, new BeatSoon()));
-    assertEquals(1, side.word().prepared());
+    assertTrue(has(yes, new SendHeartbeatSoon()));
+    assertEquals(1, side.report().prepared());
     by(1_200, 0, -1);
     assertTrue(has(heard(1_300, 0, 1, Stage.DECIDED, 2_300), new WakeAt(AHEAD + 2_280)));
     by(2_279, 0, -1);
@@ -97,9 +97,9 @@
     by(2_280, 0, 1);
     by(2_319, 0, 1);
     by(2_320, 1, -1);
-    assertEquals(0, side.word().holds());
-    assertTrue(has(woken(2_321), new TakeHold(1)));
-    assertEquals(1, side.word().holds());
+    assertEquals(0, side.report().holds());
+    assertTrue(has(woken(2_321), new Adopt(1)));
+    assertEquals(1, side.report().holds());
     by(2_400, 1, -1);
     heard(2_500, 1, 1, Stage.HOLDS, 2_300);
     by(2_520, 1, -1);
@@ -120,7 +120,7 @@
 
   @Test
   void orServesWhatPassesUnderBothUntilItsFence() {
-    side = new EpochSide(0, true, 0);
+    side = new EpochParticipant(0, true, 0);
     heard(1_000, 0, 1, Stage.PREPARING, 0);
     ready(1_100, 1);
     by(980 + MARGIN, 0, 1);
@@ -140,7 +140,7 @@
     heard(1_000, 0, 1, Stage.PREPARING, 0);
     ready(1_100, 1);
     assertTrue(has(heard(1_200, 0, 0, null, 0), new Drop(1)));
-    assertEquals(0, side.word().prepared());
+    assertEquals(0, side.report().prepared());
     by(1_200 + MARGIN + 1_000, 0, -1);
     assertTrue(has(heard(4_000, 0, 2, Stage.PREPARING, 0), new Prepare(2, "h2")));
   }
@@ -148,11 +148,13 @@
   @Test
   void saysNoWithItsReason() {
     heard(1_000, 0, 1, Stage.PREPARING, 0);
-    assertTrue(has(side.on(AHEAD + 1_100, new EpochEvent.Cannot(1, "plans: 10000 of 1000")), new BeatSoon()));
-    assertEquals(new Member.Word(0, 0, 1, "plans: 10000 of 1000"), side.word());
-    assertTrue(side.on(AHEAD + 1_100, new EpochEvent.Cannot(7, "not asked")).size() == 1);
+    assertTrue(
+        has(side.handle(AHEAD + 1_100, new EpochEvent.PrepareFailed(1, "plans: 10000 of 1000")),
+        new SendHeartbeatSoon()));
+    assertEquals(new EpochMember.Report(0, 0, 1, "plans: 10000 of 1000"), side.report());
+    assertTrue(side.handle(AHEAD + 1_100, new EpochEvent.PrepareFailed(7, "not asked")).size() == 1);
     ready(1_200, 7);
-    assertEquals(0, side.word().prepared(), "nobody asked for that");
+    assertEquals(0, side.report().prepared(), "nobody asked for that");
   }
 
   /** It was fenced while others decided: it refuses from the moment on until it has the document. */
@@ -171,18 +173,18 @@
     assertTrue(has(heard(50_000, 3, 4, Stage.PREPARING, 0), new Prepare(3, "h3")));
     refuses(50_020);
     List<EpochAction> then = ready(50_100, 3);
-    assertTrue(has(then, new TakeHold(3)) && has(then, new Prepare(4, "h4")), then::toString);
+    assertTrue(has(then, new Adopt(3)) && has(then, new Prepare(4, "h4")), then::toString);
     by(50_100, 3, -1);
   }
 
   /** By its file it goes only if the record says that this is still in force. */
   @Test
   void aFileFromBeforeIsGoneByOnlyOnTheRecordsWord() {
-    side = new EpochSide(0, false, 3);
+    side = new EpochParticipant(0, false, 3);
     refuses(0);
     heard(1_000, 3, 0, null, 0);
     by(1_020, 3, -1);
-    side = new EpochSide(0, false, 2);
+    side = new EpochParticipant(0, false, 2);
     heard(2_000, 3, 0, null, 0);
     refuses(2_020);
   }
--- a/policy/src/test/java/willowdoor/epoch/EpochsTest.java
+++ b/policy/src/test/java/willowdoor/epoch/EpochsTest.java
@@ -10,37 +10,39 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import willowdoor.epoch.Change.Stage;
-import willowdoor.epoch.Member.Word;
+import willowdoor.epoch.PolicyChange.Stage;
+import willowdoor.epoch.EpochMember.Report;
 
 class EpochsTest {
 
-  private static final EpochTerms TERMS = new EpochTerms(10_000, 1_000, 30_000);
+  private static final EpochSettings TERMS = new EpochSettings(10_000, 1_000, 30_000);
 
-  private Epochs epochs = new Epochs(new EpochState(TERMS, 0, Document.NONE, Document.NONE, null, List.of()));
-  private final Map<String, Member> members = new LinkedHashMap<>();
+  private EpochCoordinator epochs =
+      new EpochCoordinator(
+      new EpochState(TERMS, 0, PolicyDocument.NONE, PolicyDocument.NONE, null, List.of()));
+  private final Map<String, EpochMember> members = new LinkedHashMap<>();
   private double now = 5_000;
 
   private void says(String name, long holds, long prepared, long refused) {
-    members.put(name, new Member(name, now + TERMS.fenceMs(),
-        new Word(holds, prepared, refused, "too large")));
+    members.put(name, new EpochMember(name, now + TERMS.fenceMs(),
+        new Report(holds, prepared, refused, "too large")));
     settle();
   }
 
   private void settle() {
-    epochs.settle(now, new ArrayList<>(members.values()));
+    epochs.advance(now, new ArrayList<>(members.values()));
   }
 
   private long propose(String text, long replaces) {
-    return epochs.propose(now, text, Document.hash(text), replaces, "ana", "more for all");
+    return epochs.propose(now, text, PolicyDocument.hash(text), replaces, "ana", "more for all");
   }
 
   private Stage stage() {
     return epochs.state().change() == null ? null : epochs.state().change().stage();
   }
 
-  private Past last() {
-    List<Past> log = epochs.state().log();
+  private PastChange last() {
+    List<PastChange> log = epochs.state().log();
     return log.get(log.size() - 1);
   }
 
@@ -59,7 +61,7 @@
     assertEquals(1, propose("a", 0));
     says("d1/a", 0, 1, 0);
     assertEquals(Stage.PREPARING, stage());
-    assertEquals("d2/a", epochs.holdUp(now, new ArrayList<>(members.values())));
+    assertEquals("d2/a", epochs.describeBlockers(now, new ArrayList<>(members.values())));
     says("d2/a", 0, 1, 0);
     assertEquals(Stage.DECIDED, stage());
     assertEquals(now + TERMS.marginMs(), epochs.view(now).holdMs());
@@ -71,11 +73,11 @@
     assertEquals(Stage.HOLDS, stage());
     assertEquals(1, epochs.view(now).current());
     says("d1/a", 1, 0, 0);
-    assertEquals("d2/a", epochs.holdUp(now, new ArrayList<>(members.values())));
+    assertEquals("d2/a", epochs.describeBlockers(now, new ArrayList<>(members.values())));
     says("d2/a", 1, 0, 0);
     assertNull(stage());
     assertTrue(last().held());
-    assertEquals("", epochs.holdUp(now, new ArrayList<>(members.values())));
+    assertEquals("", epochs.describeBlockers(now, new ArrayList<>(members.values())));
     assertEquals("a", epochs.document(1).text());
   }
 
@@ -120,7 +122,7 @@
     }
     propose("a", 0);
     now += TERMS.prepareMs();
-    members.replaceAll((name, x) -> new Member(name, now + 1, x.word()));
+    members.replaceAll((name, x) -> new EpochMember(name, now + 1, x.word()));
     settle();
     assertEquals("not prepared within 30000 ms by d1/a, d2/a, d3/a, d4/a, d5/a and 6 others", last().why());
   }
@@ -146,13 +148,14 @@
     both(0, 0);
     assertTrue(refused(() -> propose("a", 7)).startsWith("it replaces epoch 7, and epoch 0"));
     assertTrue(refused(() -> epochs.propose(now, "a", "wrong", 0, "ana", "")).contains("not whole"));
-    assertTrue(refused(() -> propose("ä".repeat(Document.MOST_BYTES / 2 + 1), 0)).contains("1000002 bytes"));
+    assertTrue(refused(() -> propose("ä".repeat(PolicyDocument.MAX_BYTES / 2 + 1), 0))
+        .contains("1000002 bytes"));
     propose("a", 0);
     assertEquals("epoch 1 by ana is under way: preparing", refused(() -> propose("b", 0)));
-    assertThrows(IllegalStateException.class, () -> epochs.terms(TERMS));
-    assertThrows(IllegalArgumentException.class, () -> new EpochTerms(10, 20, 30));
-    assertThrows(IllegalArgumentException.class, () -> new EpochTerms(10, 0, 30));
-    assertThrows(IllegalArgumentException.class, () -> new EpochTerms(10, 5, 9));
+    assertThrows(IllegalStateException.class, () -> epochs.updateSettings(TERMS));
+    assertThrows(IllegalArgumentException.class, () -> new EpochSettings(10, 20, 30));
+    assertThrows(IllegalArgumentException.class, () -> new EpochSettings(10, 0, 30));
+    assertThrows(IllegalArgumentException.class, () -> new EpochSettings(10, 5, 9));
   }
 
   /** The moment was by the clock of a leader who is gone. */
@@ -160,20 +163,20 @@
   void anotherLeaderMakesTheMomentUnsureAndLater() {
     both(0, 0);
     propose("a", 0);
-    epochs.led(now);
+    epochs.onLeaderElected(now);
     assertEquals(Stage.PREPARING, stage());
     both(0, 1);
     now += 600;
-    epochs.led(now);
+    epochs.onLeaderElected(now);
     assertEquals(Stage.UNSURE, stage());
     now += 600;
     settle();
     assertEquals(Stage.UNSURE, stage());
-    epochs.led(now);
+    epochs.onLeaderElected(now);
     now += TERMS.marginMs();
     settle();
     assertEquals(Stage.HOLDS, stage());
-    epochs.led(now);
+    epochs.onLeaderElected(now);
     assertEquals(Stage.HOLDS, stage());
   }
 
@@ -182,26 +185,26 @@
     both(0, 0);
     propose("a", 0);
     both(0, 1);
-    epochs = new Epochs(epochs.state());
+    epochs = new EpochCoordinator(epochs.state());
     assertEquals(Stage.DECIDED, stage());
     now += TERMS.marginMs();
     both(1, 0);
-    epochs = new Epochs(epochs.state());
+    epochs = new EpochCoordinator(epochs.state());
     assertEquals(1, epochs.view(now).current());
     assertTrue(last().held());
   }
 
   @Test
   void keepsTheLastChangesOnlyAndTheDocumentBefore() {
-    for (int i = 1; i <= Epochs.MOST_PAST + 5; i++) {
+    for (int i = 1; i <= EpochCoordinator.MAX_PAST_CHANGES + 5; i++) {
       both(i - 1, 0);
       assertEquals(i, propose("text " + i, i - 1));
       both(i - 1, i);
       now += TERMS.marginMs();
       both(i, 0);
     }
-    assertEquals(Epochs.MOST_PAST, epochs.state().log().size());
-    int last = Epochs.MOST_PAST + 5;
+    assertEquals(EpochCoordinator.MAX_PAST_CHANGES, epochs.state().log().size());
+    int last = EpochCoordinator.MAX_PAST_CHANGES + 5;
     assertEquals("text " + last, epochs.document(last).text());
     assertEquals("text " + (last - 1), epochs.document(last - 1).text());
     assertNull(epochs.document(last - 2));
@@ -209,6 +212,6 @@
 
   @Test
   void aReasonIsCutToItsBound() {
-    assertEquals(Word.LONGEST_WHY, new Word(0, 0, 1, "x".repeat(10_000)).why().length());
+    assertEquals(Report.MAX_WHY_CHARS, new Report(0, 0, 1, "x".repeat(10_000)).why().length());
   }
 }
--- a/steward/src/main/java/willowdoor/steward/Codec.java
+++ b/steward/src/main/java/willowdoor/steward/Codec.java
@@ -16,7 +16,7 @@
 public final class Codec {
 
   /** No command may be longer, in bytes: some 1,000 heartbeats, or 10,000 backends. */
-  static final int MOST_BYTES = 1 << 20;
+  static final int MAX_COMMAND_BYTES = 1 << 20;
 
   private static final ObjectMapper JSON = mapper();
 
@@ -24,21 +24,21 @@
   }
 
   @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
-  private interface ByName { }
+  private interface TypeInProperty { }
 
   /** The same for further families of messages, each sealed. */
-  public static ObjectMapper json(Class<?>... roots) {
+  public static ObjectMapper mapperFor(Class<?>... roots) {
     ObjectMapper mapper = mapper();
     for (Class<?> root : roots) {
-      byName(mapper, root);
+      registerSubtypes(mapper, root);
     }
     return mapper;
   }
 
-  private static void byName(ObjectMapper mapper, Class<?> root) {
-    mapper.addMixIn(root, ByName.class);
-    for (Class<?> one : root.getPermittedSubclasses()) {
-      mapper.registerSubtypes(new NamedType(one, one.getSimpleName()));
+  private static void registerSubtypes(ObjectMapper mapper, Class<?> root) {
+    mapper.addMixIn(root, TypeInProperty.class);
+    for (Class<?> subtype : root.getPermittedSubclasses()) {
+      mapper.registerSubtypes(new NamedType(subtype, subtype.getSimpleName()));
     }
   }
 
@@ -47,8 +47,8 @@
         .enable(DeserializationFeature.FAIL_ON_NULL_CREATOR_PROPERTIES,
             DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES).build();
     mapper.getFactory().setStreamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(20).build());
-    byName(mapper, Command.class);
-    byName(mapper, Outcome.class);
+    registerSubtypes(mapper, Command.class);
+    registerSubtypes(mapper, Outcome.class);
     return mapper;
   }
 
@@ -59,9 +59,9 @@
    */
   public static byte[] bytes(Command command) {
     byte[] bytes = write(command, Command.class);
-    if (bytes.length > MOST_BYTES) {
+    if (bytes.length > MAX_COMMAND_BYTES) {
       throw new IllegalArgumentException("a " + command.getClass().getSimpleName() + " of " + bytes.length
-          + " bytes (expected: " + MOST_BYTES + " at most)");
+          + " bytes (expected: " + MAX_COMMAND_BYTES + " at most)");
     }
     return bytes;
   }
@@ -71,28 +71,28 @@
     return write(state, State.class);
   }
 
-  private static byte[] write(Object value, Class<?> as) {
+  private static byte[] write(Object value, Class<?> type) {
     try {
-      return JSON.writerFor(as).writeValueAsBytes(value);
+      return JSON.writerFor(type).writeValueAsBytes(value);
     } catch (JsonProcessingException e) {
       throw new IllegalArgumentException("cannot write " + value, e);
     }
   }
 
-  static Command command(byte[] bytes) {
+  static Command readCommand(byte[] bytes) {
     return read(bytes, Command.class);
   }
 
-  static State state(byte[] bytes) {
+  static State readState(byte[] bytes) {
     return read(bytes, State.class);
   }
 
   /** What cannot be read is named, with where. */
-  private static <T> T read(byte[] bytes, Class<T> as) {
+  private static <T> T read(byte[] bytes, Class<T> type) {
     try {
-      return JSON.readValue(bytes, as);
+      return JSON.readValue(bytes, type);
     } catch (IOException e) {
-      throw new IllegalArgumentException("no " + as.getSimpleName().toLowerCase(java.util.Locale.ROOT)
+      throw new IllegalArgumentException("no " + type.getSimpleName().toLowerCase(java.util.Locale.ROOT)
           + " is in these " + bytes.length + " bytes: " + e.getMessage(), e);
     }
   }
--- a/steward/src/main/java/willowdoor/steward/Machine.java
+++ b/steward/src/main/java/willowdoor/steward/Machine.java
@@ -7,10 +7,10 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 import willowdoor.agreement.Command;
-import willowdoor.agreement.Command.Lead;
-import willowdoor.agreement.FleetRecord;
+import willowdoor.agreement.Command.LeaderElected;
+import willowdoor.agreement.FleetStateMachine;
 import willowdoor.agreement.Outcome;
-import willowdoor.agreement.Terms;
+import willowdoor.agreement.FleetSettings;
 
 /** The record as the library's state machine: bytes of commands in, outcomes out, snapshots in pieces. */
 final class Machine implements StateMachine {
@@ -20,7 +20,7 @@
 
   private final DoubleSupplier now;
   private final Runnable led;
-  private FleetRecord record = new FleetRecord(Terms.NONE);
+  private FleetStateMachine record = new FleetStateMachine(FleetSettings.UNCONFIGURED);
 
   /**
    * For one steward.
@@ -32,15 +32,15 @@
     this.led = led;
   }
 
-  FleetRecord record() {
+  FleetStateMachine record() {
     return record;
   }
 
   @Override
   public Object runOperation(long commitIndex, Object operation) {
-    Command command = Codec.command((byte[]) operation);
-    Outcome outcome = record.on(command);
-    if (command instanceof Lead) {
+    Command command = Codec.readCommand((byte[]) operation);
+    Outcome outcome = record.apply(command);
+    if (command instanceof LeaderElected) {
       led.run();
     }
     return outcome;
@@ -58,12 +58,12 @@
   public void installSnapshot(long commitIndex, List<Object> pieces) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     pieces.forEach(piece -> all.writeBytes((byte[]) piece));
-    record = new FleetRecord(Codec.state(all.toByteArray()));
+    record = new FleetStateMachine(Codec.readState(all.toByteArray()));
   }
 
   /** The first entry of each term: from here on this leader's clock counts, and every lease anew. */
   @Override
   public Object getNewTermOperation() {
-    return Codec.bytes(new Lead(now.getAsDouble()));
+    return Codec.bytes(new LeaderElected(now.getAsDouble()));
   }
 }
--- a/steward/src/main/java/willowdoor/steward/Steward.java
+++ b/steward/src/main/java/willowdoor/steward/Steward.java
@@ -24,12 +24,13 @@
 import java.util.logging.Logger;
 import willowdoor.agreement.Command;
 import willowdoor.agreement.Command.Configure;
-import willowdoor.agreement.FleetRecord;
+import willowdoor.agreement.FleetStateMachine;
 import willowdoor.agreement.Outcome;
-import willowdoor.agreement.Terms;
+import willowdoor.agreement.FleetSettings;
 
 /**
- * One of those who keep the fleet's record: the consensus is MicroRaft's, the record {@link FleetRecord}. It
+ * One of those who keep the fleet's record: the consensus is MicroRaft's, the record {@link
+ * FleetStateMachine}. It
  * has no thread, clock, link or chance of its own; everything runs on the thread of its surroundings.
  */
 public final class Steward {
@@ -50,7 +51,7 @@
   private final Surroundings around;
   private final Collection<StewardId> members;
   private final StewardId self;
-  private final Terms first;
+  private final FleetSettings first;
   private final BiConsumer<StewardId, byte[]> send;
   private final Predicate<StewardId> reachable;
   private final int snapshotAfter;
@@ -75,7 +76,7 @@
    * @param store its disk; what is on it goes before the members given here
    * @throws IOException if the disk can't be read
    */
-  public Steward(StewardId self, Collection<StewardId> members, Terms first, Surroundings around,
+  public Steward(StewardId self, Collection<StewardId> members, FleetSettings first, Surroundings around,
       BiConsumer<StewardId, byte[]> send, Predicate<StewardId> reachable, int snapshotAfter, DiskStore store)
       throws IOException {
     this.self = self;
@@ -180,7 +181,7 @@
   }
 
   private void configure() {
-    if (leads() && record().state().terms().equals(Terms.NONE)) {
+    if (leads() && record().state().terms().equals(FleetSettings.UNCONFIGURED)) {
       propose(at -> new Configure(at, first)).whenComplete((done, failure) -> {
         if (failure != null) {
           around.later(AGAIN_MS, this::configure);
@@ -284,7 +285,7 @@
   }
 
   /** What this steward has heard as agreed, which may be behind. For its own thread. */
-  public FleetRecord record() {
+  public FleetStateMachine record() {
     return machine.record();
   }
 }
--- a/steward/src/main/java/willowdoor/steward/link/Answer.java
+++ b/steward/src/main/java/willowdoor/steward/link/Answer.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import willowdoor.agreement.Outcome;
-import willowdoor.agreement.View;
+import willowdoor.agreement.DoorView;
 import willowdoor.steward.StewardId;
 
 /** What a {@link Call} came to. */
@@ -12,7 +12,7 @@
   record Came(Outcome outcome) implements Answer { }
 
   /** The heartbeat was agreed on. */
-  record Seen(View view) implements Answer { }
+  record Seen(DoorView view) implements Answer { }
 
   /** The part was changed; these vote now. */
   record Votes(List<StewardId> voting) implements Answer {
--- a/steward/src/main/java/willowdoor/steward/link/Call.java
+++ b/steward/src/main/java/willowdoor/steward/link/Call.java
@@ -11,7 +11,7 @@
   record Put(Command command) implements Call { }
 
   /** Take a heartbeat, and tell what the record knows for this door. */
-  record Beat(Command.Beat beat) implements Call { }
+  record Beat(Command.Heartbeat beat) implements Call { }
 
   /** Have a steward's part changed. */
   record Part(StewardId who, Steward.Change change) implements Call { }
--- a/steward/src/main/java/willowdoor/steward/link/DoorLink.java
+++ b/steward/src/main/java/willowdoor/steward/link/DoorLink.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Logger;
 import willowdoor.agreement.Command;
-import willowdoor.agreement.Command.Doing;
+import willowdoor.agreement.Command.Activity;
 import willowdoor.agreement.DoorAction;
 import willowdoor.agreement.DoorEvent;
-import willowdoor.agreement.DoorSide;
+import willowdoor.agreement.DoorParticipant;
 import willowdoor.agreement.Outcome;
 import willowdoor.agreement.Subject;
 import willowdoor.rollout.Tally;
@@ -27,7 +27,8 @@
 import willowdoor.steward.link.LinkMessage.Role;
 
 /**
- * Drives one door's {@link DoorSide} over a link to the stewards, on a thread of its own: nothing of it is on
+ * Drives one door's {@link DoorParticipant} over a link to the stewards, on a thread of its own: nothing of
+ * it is on
  * the thread of requests. It decides nothing.
  */
 public final class DoorLink implements AutoCloseable {
@@ -73,7 +74,7 @@
   private final Hands hands;
   private final EventLoopGroup group = OneThread.named("agreement");
   private final EventLoop loop = group.next();
-  private final DoorSide side;
+  private final DoorParticipant side;
   private final LinkClient link;
   private final Map<String, CompletableFuture<Outcome>> asked = new HashMap<>();
   private final Remembered remembered;
@@ -111,34 +112,34 @@
     if (before != null) {
       told.complete(null);
     }
-    side = new DoorSide(self.door(), self.incarnation(), drift, before == null ? Map.of() : before,
+    side = new DoorParticipant(self.door(), self.incarnation(), drift, before == null ? Map.of() : before,
         self.version(), before == null ? self.successorOf() : 0);
     link = new LinkClient(loop, stewards, new Hello(LinkMessage.OLDEST, LinkMessage.VERSION, self.group(),
         Role.DOOR,
         self.door(), ""));
     link.whenConnected(() -> {
       tellSight();
-      on(new DoorEvent.Woken());
+      on(new DoorEvent.TimerFired());
     });
     loop.execute(() -> {
       link.start();
       if (before != null) {
         before.keySet().forEach(hands::takeOut);
       }
-      on(new DoorEvent.Woken());
+      on(new DoorEvent.TimerFired());
     });
   }
 
   /** What the instance does from here on. */
-  public void does(Doing doing) {
-    loop.execute(() -> on(new DoorEvent.Does(doing)));
+  public void does(Activity doing) {
+    loop.execute(() -> on(new DoorEvent.ActivityChanged(doing)));
   }
 
   /** No attempt is out at the backend any more. */
   public void letGo(String backend) {
     loop.execute(() -> {
       if (unsaved == null) {
-        on(new DoorEvent.LetGo(backend));
+        on(new DoorEvent.BackendVacated(backend));
       } else {
         unsaid.add(backend);
       }
@@ -147,12 +148,12 @@
 
   /** So the instance has answered since it began. */
   public void counted(Tally tally) {
-    loop.execute(() -> on(new DoorEvent.Counted(tally)));
+    loop.execute(() -> on(new DoorEvent.TallyUpdated(tally)));
   }
 
   /** What was started for an attempt has ended, and this process serves on. */
   public void cameToNothing(long attempt) {
-    loop.execute(() -> on(new DoorEvent.CameToNothing(attempt)));
+    loop.execute(() -> on(new DoorEvent.SuccessorFailed(attempt)));
   }
 
   /** This process holds what only one process of the door can hold, by this number. */
@@ -193,7 +194,7 @@
       sightVersion = version;
       sight = List.copyOf(backends);
       seen = sight;
-      on(new DoorEvent.Sees(Command.Listed.of(version, sight)));
+      on(new DoorEvent.BackendListChanged(Command.BackendListId.of(version, sight)));
       tellSight();
     });
   }
@@ -207,7 +208,7 @@
       if (before != null) {
         before.whenComplete((outcome, failure) -> answer.complete(outcome));
       }
-      on(new DoorEvent.Asked(request, subject, by, reason, force));
+      on(new DoorEvent.PermitRequested(request, subject, by, reason, force));
     });
     return answer;
   }
@@ -223,7 +224,7 @@
   /** Gives a permit back; null where nobody says what came of it in time. */
   public CompletableFuture<Outcome> giveBack(Subject subject, long permit, String by) {
     CompletableFuture<Outcome> answer = new CompletableFuture<>();
-    loop.execute(() -> link.ask(new Call.Put(new Command.Return(0, subject, permit, by)), false,
+    loop.execute(() -> link.ask(new Call.Put(new Command.ReturnPermit(0, subject, permit, by)), false,
         LOOK_LIMIT_MS,
         x -> answer.complete(x instanceof Came e ? e.outcome() : null)));
     return answer;
@@ -239,7 +240,7 @@
 
   /** Whether what needs agreement may begin now. */
   public boolean inContact() throws InterruptedException {
-    return loop.submit(() -> side.inContact(now())).sync().getNow();
+    return loop.submit(() -> side.hasLease(now())).sync().getNow();
   }
 
   /**
@@ -271,35 +272,35 @@
 
   private void on(DoorEvent event) {
     if (!closed) {
-      side.on(now(), event).forEach(this::execute);
+      side.handle(now(), event).forEach(this::execute);
     }
   }
 
   private void execute(DoorAction action) {
-    if (action instanceof DoorAction.SendBeat e) {
-      link.ask(new Call.Beat(e.beat()), false, LIMIT_MS, answer -> {
+    if (action instanceof DoorAction.SendHeartbeat e) {
+      link.ask(new Call.Beat(e.heartbeat()), false, LIMIT_MS, answer -> {
         if (answer instanceof Seen seen) {
-          on(new DoorEvent.Answered(e.beat().number(), seen.view()));
+          on(new DoorEvent.HeartbeatAnswered(e.heartbeat().number(), seen.view()));
         }
       });
     } else if (action instanceof DoorAction.SendJoin) {
       join();
-    } else if (action instanceof DoorAction.TellList) {
+    } else if (action instanceof DoorAction.SendBackendList) {
       sight = seen;
       tellSight();
-    } else if (action instanceof DoorAction.SendAsk e) {
-      ask(e.asked());
-    } else if (action instanceof DoorAction.Tell e) {
+    } else if (action instanceof DoorAction.SendPermitRequest e) {
+      ask(e.request());
+    } else if (action instanceof DoorAction.AnswerOperator e) {
       CompletableFuture<Outcome> waiting = asked.remove(e.request());
       if (waiting != null) {
         waiting.complete(e.outcome());
       }
     } else if (action instanceof DoorAction.WakeAt e) {
       wake(e.atMs());
-    } else if (action instanceof DoorAction.Remember e) {
+    } else if (action instanceof DoorAction.PersistOutBackends e) {
       unsaved = e.out();
       save();
-    } else if (action instanceof DoorAction.Told) {
+    } else if (action instanceof DoorAction.AllowServing) {
       told.complete(null);
     } else if (action instanceof DoorAction.TakeOut e) {
       hands.takeOut(e.backend());
@@ -309,7 +310,7 @@
       hands.drain();
     } else if (action instanceof DoorAction.Undrain) {
       hands.undrain();
-    } else if (action instanceof DoorAction.Replace e) {
+    } else if (action instanceof DoorAction.StartSuccessor e) {
       hands.replace(e.attempt(), e.version());
     }
   }
@@ -326,7 +327,7 @@
       }
       List<String> ready = List.copyOf(unsaid);
       unsaid.clear();
-      ready.forEach(x -> on(new DoorEvent.LetGo(x)));
+      ready.forEach(x -> on(new DoorEvent.BackendVacated(x)));
     } catch (IOException e) {
       LOG.warning("what is out can't be kept, so no backend is said to be let go: " + e.getMessage());
       loop.schedule(this::save, AGAIN_MS, TimeUnit.MILLISECONDS);
@@ -355,12 +356,13 @@
         });
   }
 
-  private void ask(DoorEvent.Asked e) {
-    link.ask(new Call.Put(new Command.Ask(0, e.request(), e.subject(), e.by(), e.reason(), e.force())), false,
+  private void ask(DoorEvent.PermitRequested e) {
+    link.ask(new Call
+        .Put(new Command.RequestPermit(0, e.request(), e.subject(), e.by(), e.reason(), e.force())), false,
         LIMIT_MS, answer -> {
           // Another answer leaves open what became of it: the door's side says so in its time.
           if (answer instanceof Came came) {
-            on(new DoorEvent.Said(e.request(), came.outcome()));
+            on(new DoorEvent.PermitAnswered(e.request(), came.outcome()));
           } else if (answer instanceof Failed failed) {
             LOG.info(e.request() + ": " + failed.why());
           }
@@ -373,7 +375,7 @@
     }
     List<Command.Backend> told = sight;
     sightUnderWay = true;
-    link.ask(new Call.Put(new Command.Sight(0, sightVersion, told)), false, LIMIT_MS, answer -> {
+    link.ask(new Call.Put(new Command.UpdateBackends(0, sightVersion, told)), false, LIMIT_MS, answer -> {
       sightUnderWay = false;
       if (answer instanceof Came && sight == told) {
         sight = null;
@@ -387,7 +389,7 @@
     wakeAt = atMs;
     loop.schedule(() -> {
       if (wakeAt == atMs) {
-        on(new DoorEvent.Woken());
+        on(new DoorEvent.TimerFired());
       }
     }, (long) Math.ceil(Math.max(0, atMs - now()) * 1_000) + 1, TimeUnit.MICROSECONDS);
   }
--- a/steward/src/main/java/willowdoor/steward/link/Frames.java
+++ b/steward/src/main/java/willowdoor/steward/link/Frames.java
@@ -29,7 +29,7 @@
   private static final String LENGTHS = "lengths";
   private static final byte LINK = 0;
   private static final byte STEWARDS = 1;
-  private static final ObjectMapper JSON = Codec.json(LinkMessage.class, Call.class, Answer.class);
+  private static final ObjectMapper JSON = Codec.mapperFor(LinkMessage.class, Call.class, Answer.class);
 
   /** Puts them at the end of a pipeline. */
   static void add(ChannelPipeline pipeline) {
--- a/steward/src/main/java/willowdoor/steward/link/Remembered.java
+++ b/steward/src/main/java/willowdoor/steward/link/Remembered.java
@@ -53,7 +53,7 @@
           if (Files.size(file) > MOST_BYTES) {
             throw new IOException("it is longer than " + MOST_BYTES + " bytes");
           }
-          Map<String, Long> some = Codec.json().readValue(Files.readAllBytes(file),
+          Map<String, Long> some = Codec.mapperFor().readValue(Files.readAllBytes(file),
               new TypeReference<>() { });
           all = all == null ? new HashMap<>() : all;
           for (Map.Entry<String, Long> e : some.entrySet()) {
@@ -74,7 +74,7 @@
     Path fresh = Path.of(own + ".new");
     try (FileChannel file = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
         StandardOpenOption.TRUNCATE_EXISTING)) {
-      file.write(java.nio.ByteBuffer.wrap(Codec.json().writeValueAsBytes(out)));
+      file.write(java.nio.ByteBuffer.wrap(Codec.mapperFor().writeValueAsBytes(out)));
       file.force(true);
     }
     Files.move(fresh, own, StandardCopyOption.ATOMIC_MOVE);
--- a/steward/src/main/java/willowdoor/steward/link/Standing.java
+++ b/steward/src/main/java/willowdoor/steward/link/Standing.java
@@ -1,10 +1,10 @@
 package willowdoor.steward.link;
 
 import java.util.List;
-import willowdoor.agreement.Life;
+import willowdoor.agreement.DoorProcessState;
 import willowdoor.agreement.Note;
 import willowdoor.agreement.Permit;
-import willowdoor.agreement.Terms;
+import willowdoor.agreement.FleetSettings;
 import willowdoor.rollout.Release;
 
 /**
@@ -21,8 +21,9 @@
  * @param notes what was written down, the oldest first
  * @param releases the last ones, the one under way last
  */
-public record Standing(String leader, long index, Terms terms, int doors, int doorsOut, int backends,
-    int backendsOut, List<Life> lives, List<Permit> permits, List<List<String>> held, List<Note> notes,
+public record Standing(String leader, long index, FleetSettings terms, int doors, int doorsOut, int backends,
+    int backendsOut, List<DoorProcessState> lives, List<Permit> permits, List<List<String>> held,
+    List<Note> notes,
     List<Release> releases) {
 
   /** Keeps copies. */
--- a/steward/src/main/java/willowdoor/steward/link/StewardProcess.java
+++ b/steward/src/main/java/willowdoor/steward/link/StewardProcess.java
@@ -20,12 +20,12 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import willowdoor.agreement.Command;
-import willowdoor.agreement.FleetRecord;
+import willowdoor.agreement.FleetStateMachine;
 import willowdoor.agreement.Outcome;
 import willowdoor.agreement.Permit;
 import willowdoor.agreement.State;
 import willowdoor.agreement.Subject.Kind;
-import willowdoor.agreement.Terms;
+import willowdoor.agreement.FleetSettings;
 import willowdoor.steward.DiskStore;
 import willowdoor.steward.Steward;
 import willowdoor.steward.StewardId;
@@ -57,7 +57,7 @@
    * @param start what is known of its disk
    */
   public record Settings(String group, StewardId self, InetSocketAddress listen, Path store,
-      Map<StewardId, InetSocketAddress> members, Terms first, Start start) {
+      Map<StewardId, InetSocketAddress> members, FleetSettings first, Start start) {
 
     /** Keeps a copy. */
     public Settings {
@@ -90,7 +90,7 @@
   private static final long RECALL_MS = 2_000;
   private static final long RECALL_AGAIN_MS = 50;
 
-  private record Gathered(Command.Beat beat, Consumer<Answer> answer) { }
+  private record Gathered(Command.Heartbeat beat, Consumer<Answer> answer) { }
 
   private final Settings settings;
   private final EventLoopGroup group = OneThread.named("steward");
@@ -354,10 +354,10 @@
     Command c = put.command();
     boolean allowed = c instanceof Command.Join e ? door && e.door().equals(by.name())
         : c instanceof Command.Leave e ? door && e.door().equals(by.name())
-        : c instanceof Command.Sight ? door
+        : c instanceof Command.UpdateBackends ? door
         : c instanceof Command.Forget || c instanceof Command.Configure || c instanceof Command.StartRelease
             || c instanceof Command.SteerRelease ? !door
-        : c instanceof Command.Ask || c instanceof Command.Return;
+        : c instanceof Command.RequestPermit || c instanceof Command.ReturnPermit;
     return allowed ? null : "a " + c.getClass().getSimpleName() + " is not for " + by.name() + " to ask for";
   }
 
@@ -375,7 +375,7 @@
     if (call instanceof Call.Beat e) {
       gather(new Gathered(e.beat(), answer));
     } else if (call instanceof Call.Put e) {
-      propose(e.command()::at, outcome -> answer.accept(new Came(outcome)), answer);
+      propose(e.command()::withLeaderTime, outcome -> answer.accept(new Came(outcome)), answer);
     } else if (call instanceof Call.Part e) {
       answered(steward.change(e.who(), e.change()), voting -> answer.accept(new Votes(voting)), answer);
     } else {
@@ -421,9 +421,9 @@
     for (int from = 0; from < gathered.size(); from += MOST_TOGETHER) {
       List<Gathered> some = List.copyOf(gathered.subList(from, Math.min(gathered.size(), from
           + MOST_TOGETHER)));
-      List<Command.Beat> beats = some.stream().map(Gathered::beat).toList();
-      propose(at -> new Command.Beats(at, beats), outcome -> {
-        double leaseMs = outcome instanceof Outcome.Beaten e ? e.leaseMs() : 0;
+      List<Command.Heartbeat> beats = some.stream().map(Gathered::beat).toList();
+      propose(at -> new Command.Heartbeats(at, beats), outcome -> {
+        double leaseMs = outcome instanceof Outcome.HeartbeatsRecorded e ? e.leaseMs() : 0;
         for (Gathered g : some) {
           g.answer().accept(new Seen(steward.record().view(g.beat().door(), g.beat().incarnation(),
               leaseMs)));
@@ -434,12 +434,13 @@
   }
 
   private Standing standing() {
-    FleetRecord record = steward.record();
+    FleetStateMachine record = steward.record();
     State state = record.state();
     Set<String> doors = new HashSet<>();
     state.lives().forEach(x -> doors.add(x.door()));
     Map<Permit, List<String>> held = new LinkedHashMap<>();
-    state.permits().forEach(x -> held.put(x, x.subject().kind() == Kind.BACKEND ? record.holdUp(x.subject())
+    state.permits()
+        .forEach(x -> held.put(x, x.subject().kind() == Kind.BACKEND ? record.blockingProcesses(x.subject())
         : List.of()));
     return new Standing(settings.self().name(), state.index(), state.terms(), doors.size(),
         record.out(Kind.DOOR), state.backends().size(), record.out(Kind.BACKEND), state.lives(),
--- a/steward/src/test/java/willowdoor/steward/FromOutsideTest.java
+++ b/steward/src/test/java/willowdoor/steward/FromOutsideTest.java
@@ -36,7 +36,7 @@
     for (String bytes : new String[] {"{", "{\"is\":\"Nothing\"}", "{\"is\":\"Tick\",\"atMs\":1,\"more\":2}",
         "{\"is\":\"Tick\"}"}) {
       String message = assertThrows(IllegalArgumentException.class,
-          () -> Codec.command(bytes.getBytes(StandardCharsets.UTF_8))).getMessage();
+          () -> Codec.readCommand(bytes.getBytes(StandardCharsets.UTF_8))).getMessage();
       assertTrue(message.startsWith("no command is in these " + bytes.length() + " bytes"), message);
     }
     for (String bytes : new String[] {"", "7", "{", "{\"from\":{\"name\":\"a\"}}",
@@ -44,7 +44,7 @@
       assertThrows(IllegalArgumentException.class,
           () -> Wire.message(bytes.getBytes(StandardCharsets.UTF_8)), bytes);
     }
-    String endless = "x".repeat(Codec.MOST_BYTES);
+    String endless = "x".repeat(Codec.MAX_COMMAND_BYTES);
     assertTrue(assertThrows(IllegalArgumentException.class,
         () -> Codec.bytes(new Command.Forget(1, "f", endless, "a"))).getMessage().contains("a Forget of"));
   }
--- a/steward/src/test/java/willowdoor/steward/PinnedConsensusFormsTest.java
+++ b/steward/src/test/java/willowdoor/steward/PinnedConsensusFormsTest.java
@@ -66,7 +66,7 @@
       assertEquals(4, state.getSnapshotEntry().getIndex());
       assertEquals(2, state.getLogEntries().size());
       byte[] operation = (byte[]) state.getLogEntries().get(0).getOperation();
-      assertEquals(new Command.Tick(7.5), Codec.command(operation));
+      assertEquals(new Command.Tick(7.5), Codec.readCommand(operation));
       assertEquals(new DiskStore.Progress(2, 9), store.heard(new StewardId("c", "s3")));
       assertEquals(new DiskStore.Progress(2, 6), store.own());
     }
--- a/steward/src/test/java/willowdoor/steward/link/LinkTest.java
+++ b/steward/src/test/java/willowdoor/steward/link/LinkTest.java
@@ -27,12 +27,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import willowdoor.agreement.Budget;
 import willowdoor.agreement.Command;
-import willowdoor.agreement.Command.Doing;
-import willowdoor.agreement.Most;
+import willowdoor.agreement.Command.Activity;
+import willowdoor.agreement.OutageLimit;
 import willowdoor.agreement.Outcome;
 import willowdoor.agreement.Subject;
 import willowdoor.agreement.Subject.Kind;
-import willowdoor.agreement.Terms;
+import willowdoor.agreement.FleetSettings;
 import willowdoor.steward.StewardId;
 
 /** One steward, and what comes to its address. */
@@ -57,9 +57,9 @@
   private StewardProcess.Settings settings(boolean begin) {
     StewardId self = new StewardId("a", "1");
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
-    Budget one = new Budget(Most.of(1), Most.ANY, 0);
+    Budget one = new Budget(OutageLimit.of(1), OutageLimit.UNLIMITED, 0);
     return new StewardProcess.Settings("f", self, any, folder.resolve("a.db"), Map.of(self, any),
-        new Terms(one, one, 1_500), begin ? StewardProcess.Start.BEGIN : StewardProcess.Start.GO_ON);
+        new FleetSettings(one, one, 1_500), begin ? StewardProcess.Start.BEGIN : StewardProcess.Start.GO_ON);
   }
 
   private Operator operator(String fleet) {
@@ -142,7 +142,7 @@
     try (Operator ana = operator("f")) {
       Answer answer = ana.put(new Command.Join(0, "d1", "x", "a", 1, 0, "1.0"), LIMIT_MS);
       assertTrue(assertInstanceOf(Answer.Failed.class, answer).why().contains("a Join is not for ana"));
-      answer = ana.put(new Command.Lead(0), LIMIT_MS);
+      answer = ana.put(new Command.LeaderElected(0), LIMIT_MS);
       assertTrue(assertInstanceOf(Answer.Failed.class, answer).why().contains("a Lead is not for ana"));
     }
     try (Operator stranger = operator("g")) {
@@ -199,7 +199,7 @@
         });
     Subject d1 = new Subject(Kind.DOOR, "d1");
     try (Operator ana = operator("f")) {
-      door.does(Doing.READY);
+      door.does(Activity.READY);
       while (!(ana.look(LIMIT_MS) instanceof Answer.Stands s && s.standing().lives().size() == 1
           && s.standing().doorsOut() == 0)) {
         Thread.sleep(10);
@@ -208,13 +208,13 @@
       Outcome.Granted granted = assertInstanceOf(Outcome.Granted.class,
           door.ask("r1", d1, "ana", "disk", false).get(LIMIT_MS, TimeUnit.MILLISECONDS));
       drained.get(LIMIT_MS, TimeUnit.MILLISECONDS);
-      door.does(Doing.EMPTY);
-      ana.put(new Command.Return(0, d1, granted.permit(), "ana"), LIMIT_MS);
+      door.does(Activity.EMPTY);
+      ana.put(new Command.ReturnPermit(0, d1, granted.permit(), "ana"), LIMIT_MS);
       back.get(LIMIT_MS, TimeUnit.MILLISECONDS);
-      door.does(Doing.READY);
+      door.does(Activity.READY);
       door.close();
       Standing after = assertInstanceOf(Answer.Stands.class, ana.look(LIMIT_MS)).standing();
-      assertEquals(Doing.ENDED, after.lives().get(0).doing());
+      assertEquals(Activity.ENDED, after.lives().get(0).doing());
     }
   }
 }
--- a/steward/src/test/java/willowdoor/steward/link/PinnedFormsTest.java
+++ b/steward/src/test/java/willowdoor/steward/link/PinnedFormsTest.java
@@ -28,7 +28,7 @@
 
   @Test
   void everyKindIsReadAndWrittenAsBefore() throws IOException {
-    ObjectMapper json = Codec.json(LinkMessage.class, Call.class, Answer.class);
+    ObjectMapper json = Codec.mapperFor(LinkMessage.class, Call.class, Answer.class);
     Set<Class<?>> seen = new HashSet<>();
     for (String line : forms().lines().toList()) {
       String root = line.substring(0, line.indexOf(' '));
