--- a/policy/src/main/java/willowdoor/agreement/Budget.java
+++ b/policy/src/main/java/willowdoor/agreement/Budget.java
@@ -1,15 +1,16 @@
 package willowdoor.agreement;
 
 /**
- * What may be out at once of one kind, on purpose and by itself together.
+ * Limits how many subjects of one kind may be out of service at once. Subjects that were taken out on purpose
+ * and subjects that failed count alike.
  *
- * @param inAll of all that are known
- * @param inZone of those of one zone
- * @param leastWeight the sum of the weights that must go on serving
+ * @param inAll the limit over all known subjects of the kind
+ * @param inZone the limit within each zone
+ * @param leastWeight the minimum sum of the weights of the subjects that keep serving
  */
 public record Budget(OutageLimit inAll, OutageLimit inZone, double leastWeight) {
 
-  /** Refuses a weight below none. */
+  /** Rejects a minimum weight that is negative or NaN. */
   public Budget {
     if (!(leastWeight >= 0)) {
       throw new IllegalArgumentException("the least weight is " + leastWeight + " (expected: 0 or more)");
--- a/policy/src/main/java/willowdoor/agreement/BudgetUsage.java
+++ b/policy/src/main/java/willowdoor/agreement/BudgetUsage.java
@@ -5,10 +5,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What of one kind is out, whatever took it out, and whether one more fits. */
+/** Tracks which subjects of one kind are out, for any reason, and whether the budget allows another. */
 final class BudgetUsage {
 
-  /** Why one more does not fit. */
+  /**
+   * Why the budget does not allow a subject to go out; {@code byZone} if only the limit of its zone prevents
+   * it.
+   */
   record Denial(boolean zoneOnly, String why) { }
 
   private record Entry(String zone, double weight) { }
@@ -43,7 +46,7 @@
     return outNames.size();
   }
 
-  /** One more goes out. */
+  /** Marks a subject as out. */
   void takeOut(String name) {
     if (outNames.add(name)) {
       servingWeight -= entries.get(name).weight;
@@ -51,8 +54,9 @@
   }
 
   /**
-   * Null where it fits. One that is out by itself is not let go for nothing: it may only be out of reach, and
-   * would then go on purpose where it would have come back.
+   * Why the subject may not go out now, or null if the budget allows it. A subject that is already out by
+   * itself adds nothing to the count, but the limits must still hold: the subject may only be unreachable,
+   * and a permit would keep it out when it would otherwise come back.
    */
   Denial denialFor(String name) {
     int additional = isOut(name) ? 0 : 1;
--- a/policy/src/main/java/willowdoor/agreement/Command.java
+++ b/policy/src/main/java/willowdoor/agreement/Command.java
@@ -6,23 +6,30 @@
 import willowdoor.rollout.Tally;
 
 /**
- * An entry of the agreed log. Each carries the leader's monotonic time in milliseconds, which means something
- * within the leader's own term only; the first of a term is a {@link LeaderElected}.
+ * A log entry of the replicated state machine. Each command carries the leader's monotonic time in
+ * milliseconds, which is comparable only within that leader's term; the first command of a term is a
+ * {@link LeaderElected}.
  */
 public sealed interface Command {
 
-  /** The leader's time when it took the command. */
+  /** The leader's monotonic time in milliseconds when it accepted the command. */
   double atMs();
 
-  /** The same, taken by a leader at that time; what only leaders make stays as it is. */
+  /**
+   * This command with the time at which the leader accepted it. Commands that only leaders create keep their
+   * time.
+   */
   default Command withLeaderTime(double leaderMs) {
     return this;
   }
 
-  /** The first of a term, as the leader changed: its clock counts from here, and every lease anew. */
+  /**
+   * The first command of a term: the new leader's clock counts from here, and every lease that has not
+   * expired starts again with its full length.
+   */
   record LeaderElected(double atMs) implements Command { }
 
-  /** Other terms; what is out already stays out. */
+  /** Replaces the settings. Subjects that are out already stay out. */
   record Configure(double atMs, FleetSettings terms) implements Command {
     @Override
     public Command withLeaderTime(double leaderMs) {
@@ -31,14 +38,15 @@
   }
 
   /**
-   * A process of a door begins.
+   * A process of a door announces itself.
    *
-   * @param door the name that all processes of this door have
-   * @param incarnation which process it is, unlike any other
-   * @param weight its part of the traffic, beside the other doors'
-   * @param generation 0, or how many processes have held what only one process of the door can hold, this one
-   *     the last: those that held it before have ended. Told again once it holds it
-   * @param version of the program, as releases name it
+   * @param door the name that all processes of the door share
+   * @param incarnation the unique name of this process
+   * @param weight the door's share of the traffic, relative to the weights of the other doors
+   * @param generation the generation of the door's exclusive lock that this process holds, counting the
+   *     processes that have held the lock; 0 if it does not hold the lock. Processes of lower generations
+   *     above 0 have ended. A process announces itself again once it holds the lock
+   * @param version the version of the program, as releases name it
    */
   record Join(double atMs, String door, String incarnation, String zone, double weight, long generation,
       String version) implements Command {
@@ -48,10 +56,10 @@
     }
   }
 
-  /** Heartbeats that came together. */
+  /** A batch of heartbeats. */
   record Heartbeats(double atMs, List<Heartbeat> beats) implements Command {
 
-    /** Keeps a copy. */
+    /** Makes a defensive copy. */
     public Heartbeats {
       beats = List.copyOf(beats);
     }
@@ -63,45 +71,46 @@
   }
 
   /**
-   * A heartbeat.
+   * A heartbeat of one process of a door.
    *
-   * @param number counted up by the process, from 1
-   * @param seen up to which command this process knew the record when it said this
-   * @param left permits of backends to which this process sends nothing more
-   * @param report what it has done by itself
-   * @param listed which list of backends it goes by
+   * @param number assigned by the process in ascending order from 1
+   * @param seen the index of the last command that the process knew of when it sent the heartbeat
+   * @param left the ids of the permits of backends to which this process no longer sends
+   * @param report the progress and the request counts of the process
+   * @param listed the list of backends that the process uses
    */
   record Heartbeat(String door, String incarnation, Activity doing, long number, long seen,
       Set<Long> left, Report report, BackendListId listed) {
 
-    /** One that has heard no list. */
+    /** A heartbeat of a process that has received no list of backends. */
     public Heartbeat(String door, String incarnation, Activity doing, long number, long seen, Set<Long> left,
         Report report) {
       this(door, incarnation, doing, number, seen, left, report, BackendListId.NONE);
     }
 
-    /** Keeps a copy. */
+    /** Makes a defensive copy. */
     public Heartbeat {
       left = Set.copyOf(left);
     }
   }
 
   /**
-   * What a process of a door says of its work.
+   * The progress and the request counts that a process of a door reports.
    *
-   * @param trying the last attempt of a release that it began to follow, 0 for none
-   * @param failed the last of these that came to nothing, 0 for none
+   * @param trying the last attempt of a release that the process began to carry out, or 0
+   * @param failed the last of these attempts that failed, or 0
+   * @param tally the counts of the answers that the process has given since it started
    */
   record Report(long trying, long failed, Tally tally) {
 
-    /** Nothing done yet. */
+    /** The report of a process that has just started. */
     public static final Report NONE = new Report(0, 0, Tally.NONE);
   }
 
-  /** What a process of a door does. */
+  /** The activity of a process of a door. */
   enum Activity { STARTING, READY, DRAINING, EMPTY, ENDED }
 
-  /** A process has ended, and says so itself. */
+  /** A process of a door reports that it has ended. */
   record Leave(double atMs, String door, String incarnation) implements Command {
     @Override
     public Command withLeaderTime(double leaderMs) {
@@ -110,10 +119,11 @@
   }
 
   /**
-   * An operator vouches that a door, or one process of it as door/incarnation, is no more: it sends nothing.
-   * Of a backend that went out and is listed no more, as backend/name: it is not expected back.
+   * An operator confirms that a door, or one of its processes given as door/incarnation, no longer runs and
+   * sends no requests. For a backend that went out and is no longer listed, given as backend/name, the
+   * operator confirms that it is not expected back.
    *
-   * @param request the asker's own name of this request: heard twice, it is done once
+   * @param request the requester's own name of the request; a request that arrives twice is carried out once
    */
   record Forget(double atMs, String request, String door, String by) implements Command {
 
@@ -126,13 +136,14 @@
   }
 
   /**
-   * The list of backends, whole, as some door has heard it.
+   * The complete list of backends, as a door has received it from service discovery.
    *
-   * @param version the list's own; an older one than a door goes by that is reached is of one that is behind
+   * @param version the version of the list; a list that is older than the one of a reachable door comes from
+   *     a door that lags behind
    */
   record UpdateBackends(double atMs, long version, List<Backend> backends) implements Command {
 
-    /** Keeps a copy. */
+    /** Makes a defensive copy. */
     public UpdateBackends {
       backends = List.copyOf(backends);
     }
@@ -144,17 +155,17 @@
   }
 
   /**
-   * Which list of backends: by its version, and by what it says, as doors may come to see one list
-   * differently.
+   * Identifies a list of backends by its version and its contents, because doors may see different contents
+   * under the same version.
    *
-   * @param hash of its backends, the same for the same ones in any order
+   * @param hash the hash of the backends, independent of their order
    */
   record BackendListId(long version, int hash) {
 
-    /** None was heard. */
+    /** No list has been received. */
     public static final BackendListId NONE = new BackendListId(-1, 0);
 
-    /** That list. */
+    /** The identity of a list. */
     public static BackendListId of(long version, List<Backend> backends) {
       int hash = 0;
       for (Backend x : backends) {
@@ -165,11 +176,12 @@
   }
 
   /**
-   * A backend as listed.
+   * A backend of the list.
    *
-   * @param serving whether it is neither told as draining nor cold after a start
-   * @param startedMs by discovery's clock when it started; 0 for long ago; below 0 it is listed no more,
-   *     since that time of the record's
+   * @param serving whether the backend is neither draining nor in its slow start
+   * @param startedMs when the backend started, in milliseconds of service discovery's clock; 0 if that was
+   *     long ago. A negative value means that the backend is no longer listed: its amount is the replicated
+   *     time in milliseconds, at least 1, at which the backend disappeared from the list
    */
   record Backend(String name, String zone, double weight, boolean serving, double startedMs) {
 
@@ -181,7 +193,7 @@
       return startedMs >= 0;
     }
 
-    /** The hash of a record is left open by the language; this one is the same everywhere. */
+    /** A hash that is the same in every process; the language does not specify the hash code of a record. */
     int stableHash() {
       return (((name.hashCode() * 31 + zone.hashCode()) * 31 + Double.hashCode(weight)) * 31
           + Boolean.hashCode(serving)) * 31 + Double.hashCode(startedMs);
@@ -191,9 +203,10 @@
   /**
    * Asks for a permit.
    *
-   * @param request the asker's own name of this request: asked twice, it is one
+   * @param request the requester's own name of the request; a repeated request does not ask for a second
+   *     permit
    * @param by who asks
-   * @param force whether it is given over the budget
+   * @param force whether the permit is granted even beyond the budget
    */
   record RequestPermit(double atMs, String request, Subject subject, String by, String reason, boolean force)
       implements Command {
@@ -204,9 +217,10 @@
   }
 
   /**
-   * What was taken out goes back, or is not wanted out any more.
+   * Returns a permit: the subject comes back into service, or no longer has to go out.
    *
-   * @param permit the one that is given back: heard late once more, it ends no other
+   * @param permit the id of the returned permit, so that a late repeat of the command does not end a later
+   *     permit
    */
   record ReturnPermit(double atMs, Subject subject, long permit, String by) implements Command {
     @Override
@@ -216,9 +230,10 @@
   }
 
   /**
-   * Begins a release of another version; one at a time.
+   * Begins a release of another version. Only one release runs at a time.
    *
-   * @param request the asker's own name of this request: heard twice, it is one
+   * @param request the requester's own name of the request; a repeated request does not begin a second
+   *     release
    */
   record StartRelease(double atMs, String request, Plan plan, String by) implements Command {
     @Override
@@ -227,13 +242,13 @@
     }
   }
 
-  /** What an operator does with a release. */
+  /** An operator's control over a release. */
   enum Steering { PAUSE, RESUME, HALT, BACK }
 
   /**
-   * Has a release stop, go on or go back.
+   * Pauses, resumes, halts or rolls back a release.
    *
-   * @param request the asker's own name of this request: heard twice, it is done once
+   * @param request the requester's own name of the request; a request that arrives twice is carried out once
    */
   record SteerRelease(double atMs, String request, long release, Steering steering, String by)
       implements Command {
@@ -243,6 +258,6 @@
     }
   }
 
-  /** Time passes. */
+  /** Advances the replicated time. */
   record Tick(double atMs) implements Command { }
 }
--- a/policy/src/main/java/willowdoor/agreement/DoorAction.java
+++ b/policy/src/main/java/willowdoor/agreement/DoorAction.java
@@ -2,62 +2,64 @@
 
 import java.util.Map;
 
-/** What a {@link DoorParticipant} has done. */
+/** The actions that a {@link DoorParticipant} requests from its process. */
 public sealed interface DoorAction {
 
-  /** Say to the stewards that this process is there. */
+  /** Announce this process to the replicas. */
   record SendJoin() implements DoorAction { }
 
-  /** Send it to the stewards. */
+  /** Send the heartbeat to the replicas. */
   record SendHeartbeat(Command.Heartbeat heartbeat) implements DoorAction { }
 
-  /** Tell the stewards the list of backends that was {@link DoorEvent.BackendListChanged seen} last. */
+  /** Send the replicas the list of backends of the last {@link DoorEvent.BackendListChanged} event. */
   record SendBackendList() implements DoorAction { }
 
-  /** Put an operator's request to the stewards. */
+  /** Pass an operator's request on to the replicas. */
   record SendPermitRequest(DoorEvent.PermitRequested request) implements DoorAction { }
 
   /**
-   * Keep this where a process of this door that comes after finds it, before any {@link
-   * DoorEvent.BackendVacated}: it
-   * may serve before the stewards can tell it which backends are out, and would send there.
+   * Store the backends that are out, with their permits, where a later process of this door finds them,
+   * before any {@link DoorEvent.BackendVacated} is reported. A later process may serve before the replicas
+   * can tell it which backends are out, and would otherwise send to them.
    */
   record PersistOutBackends(Map<String, Long> out) implements DoorAction {
 
-    /** Keeps a copy. */
+    /** Makes a defensive copy. */
     public PersistOutBackends {
       out = Map.copyOf(out);
     }
   }
 
   /**
-   * The stewards have told for the first time which backends are out and, to one that was started for an
-   * attempt of a release, that the attempt still stands: it may serve.
+   * The process may serve: the replicas have told it for the first time which backends are out and, if the
+   * process was started for an attempt of a release, that the attempt is still current.
    */
   record AllowServing() implements DoorAction { }
 
-  /** Send nothing more to the backend, and tell once no attempt is out at it. */
+  /**
+   * Stop sending to the backend, and report {@link DoorEvent.BackendVacated} once no attempt is in flight at
+   * it.
+   */
   record TakeOut(String backend) implements DoorAction { }
 
-  /** It may be sent to again, as a cold one. */
+  /** Send to the backend again, with a slow start. */
   record PutBack(String backend) implements DoorAction { }
 
-  /** Have clients sent away, and serve what is here. */
+  /** Send clients away, and finish the requests that are in progress. */
   record Drain() implements DoorAction { }
 
-  /** Take clients again. */
+  /** Accept clients again. */
   record Undrain() implements DoorAction { }
 
   /**
-   * Start a process of that version, which takes this one's place; tell {@link DoorEvent.SuccessorFailed}
-   * once
-   * it has ended without that.
+   * Start a process of that version as this process's successor. Report {@link DoorEvent.SuccessorFailed} if
+   * the successor ends without taking over.
    */
   record StartSuccessor(long attempt, String version) implements DoorAction { }
 
-  /** The final answer to an operator's request. */
+  /** Give the final answer to an operator's request. */
   record AnswerOperator(String request, Outcome outcome) implements DoorAction { }
 
-  /** Wake it at that time. */
+  /** Pass in a {@link DoorEvent.TimerFired} event at this time of the monotonic clock. */
   record WakeAt(double atMs) implements DoorAction { }
 }
--- a/policy/src/main/java/willowdoor/agreement/DoorEvent.java
+++ b/policy/src/main/java/willowdoor/agreement/DoorEvent.java
@@ -3,34 +3,37 @@
 import willowdoor.agreement.Command.Activity;
 import willowdoor.rollout.Tally;
 
-/** What a {@link DoorParticipant} hears. */
+/** The events that a {@link DoorParticipant} handles. */
 public sealed interface DoorEvent {
 
-  /** Time has passed, or it is the time that was asked for. */
+  /** Time has passed, or the requested wake-up time has come. */
   record TimerFired() implements DoorEvent { }
 
-  /** The instance does something else now. */
+  /** The process's activity may have changed. */
   record ActivityChanged(Activity activity) implements DoorEvent { }
 
-  /** The stewards have agreed on a heartbeat. */
+  /** The replicas have committed a heartbeat and answered it. */
   record HeartbeatAnswered(long number, DoorView view) implements DoorEvent { }
 
-  /** It goes by this list of backends now. */
+  /** The process now uses this list of backends. */
   record BackendListChanged(Command.BackendListId listed) implements DoorEvent { }
 
-  /** No attempt of this door is out at the backend any more, and none begins while it is out. */
+  /**
+   * No attempt of this process is in flight at the backend any more, and none begins while the backend is
+   * out.
+   */
   record BackendVacated(String backend) implements DoorEvent { }
 
-  /** So the instance has answered since it began. */
+  /** The counts of the answers that the process has given since it started. */
   record TallyUpdated(Tally tally) implements DoorEvent { }
 
-  /** A process that was started for an attempt of a release has ended, and this one serves on. */
+  /** The successor that was started for an attempt of a release has ended, and this process keeps serving. */
   record SuccessorFailed(long attempt) implements DoorEvent { }
 
-  /** An operator asks at this door. */
+  /** An operator asks this door for a permit. */
   record PermitRequested(String request, Subject subject, String by, String reason, boolean force)
       implements DoorEvent { }
 
-  /** The stewards' answer to what an operator asked here. */
+  /** The replicas' answer to an operator's request. */
   record PermitAnswered(String request, Outcome outcome) implements DoorEvent { }
 }
--- a/policy/src/main/java/willowdoor/agreement/DoorLease.java
+++ b/policy/src/main/java/willowdoor/agreement/DoorLease.java
@@ -1,11 +1,12 @@
 package willowdoor.agreement;
 
 /**
- * The lease as its door counts it, on its own monotonic clock from the sending of a heartbeat that was agreed
- * on. The stewards count the same length from the commit, which comes after the sending; so with clocks
- * that each run wrong by a part of at most {@code drift}, the door's view ends first if it takes
- * {@code length * (1 - drift) / (1 + drift)} (Gray and Cheriton, 1989): the door's clock may be as slow as
- * {@code 1 - drift} while the stewards' is as fast as {@code 1 + drift}.
+ * A door's own view of its lease, measured on the door's monotonic clock from the moment at which it sent a
+ * heartbeat that was committed. The replicas measure the same length from the commit, which is later. With
+ * clock rates that are each wrong by at most the fraction {@code drift}, the door's view ends before the
+ * replicas' view if the door uses {@code length * (1 - drift) / (1 + drift)}: the door's clock may run as
+ * slow as {@code 1 - drift} while the replicas' clock runs as fast as {@code 1 + drift} (Gray and Cheriton,
+ * "Leases", 1989).
  */
 public final class DoorLease {
 
@@ -13,25 +14,28 @@
   private double untilMs = Double.NEGATIVE_INFINITY;
 
   /**
-   * None is held yet.
+   * Creates a lease that is not held yet.
    *
-   * @param drift the most that a clock runs wrong, as a part of the time that passes
+   * @param drift the maximum rate error of a clock, as a fraction of the elapsed time; from 0 to below 1
    */
   public DoorLease(double drift) {
     if (!(drift >= 0 && drift < 1)) {
-      throw new IllegalArgumentException("clocks wrong by " + drift + " (expected: from 0 to below 1)");
+      throw new IllegalArgumentException("the clock drift is " + drift + " (expected: from 0 to below 1)");
     }
     clockFactor = (1 - drift) / (1 + drift);
   }
 
-  /** A heartbeat that was sent at that time has been agreed on for so long, answers in any order. */
+  /**
+   * Extends the lease: a heartbeat that was sent at {@code sentMs} was committed with a lease of
+   * {@code leaseMs}. Answers may arrive in any order.
+   */
   public void renew(double sentMs, double leaseMs) {
     untilMs = Math.max(untilMs, sentMs + leaseMs * clockFactor);
   }
 
   /**
-   * Whether it holds; to be asked with the clock read just now, before each thing that needs it, since the
-   * process may have been stopped since it last looked.
+   * Whether the lease is held at {@code nowMs}. Read the clock immediately before each action that needs the
+   * lease, because the process may have been suspended since an earlier check.
    */
   public boolean isValid(double nowMs) {
     return nowMs < untilMs;
--- a/policy/src/main/java/willowdoor/agreement/DoorParticipant.java
+++ b/policy/src/main/java/willowdoor/agreement/DoorParticipant.java
@@ -37,31 +37,32 @@
 import willowdoor.rollout.Tally;
 
 /**
- * A door's part in what the fleet agrees on: events and its monotonic time in, actions out. It does no I/O,
- * reads no clock and starts no thread.
+ * The door's side of the agreement protocol, as a pure state machine: it takes events with the door's
+ * monotonic time in milliseconds and returns actions. It does no I/O, reads no clock and starts no thread.
  *
- * <p>Without contact the door goes on as it is: it serves, what it believes to be out stays out, a drain
- * under way goes on. It begins nothing on the word of others unless its lease holds by its own clock at that
- * very moment, so what is read by a process that had been stopped meanwhile makes it do nothing late; the
- * next heartbeat brings what is true then. A backend that may be sent to again waits for the same.
+ * <p>Without contact to the replicas the door continues as it is: it serves, backends that it believes to be
+ * out stay out, and a drain in progress continues. The door acts on an answer of the replicas only if its
+ * lease is held by its own clock at that moment. A process that was suspended and reads an old answer
+ * afterwards therefore does nothing late; the answer to its next heartbeat brings the current state. This
+ * applies as well to sending to a backend again.
  */
 public final class DoorParticipant {
 
-  /** Requests of operators that wait at once; one more is refused. */
+  /** The maximum number of operator requests that wait for an answer; further requests are refused. */
   static final int MAX_PENDING_REQUESTS = 64;
-  /** An operator has an answer within this. */
+  /** An operator gets an answer within this time, in milliseconds. */
   static final double ANSWER_TIMEOUT_MS = 900;
-  /** Heartbeats whose answer is still taken. */
+  /** The maximum number of unanswered heartbeats; answers to older heartbeats are ignored. */
   private static final int MAX_UNANSWERED_HEARTBEATS = 16;
-  /** Of a lease, between two heartbeats: some may be lost. */
+  /** The heartbeat interval as a fraction of the lease, so that some heartbeats may be lost. */
   private static final double HEARTBEAT_LEASE_FRACTION = 1.0 / 6;
-  /** Until it is told how long a lease is. */
+  /** The heartbeat interval, in milliseconds, until the length of the lease is known. */
   private static final double INITIAL_HEARTBEAT_INTERVAL_MS = 200;
 
   private final String door;
   private final String incarnation;
   private final String version;
-  /** The attempt of a release that this process was started for; 0 for none. */
+  /** The attempt of a release that this process was started for, or 0. */
   private final long successorOfAttempt;
   private final DoorLease lease;
   private double heartbeatIntervalMs = INITIAL_HEARTBEAT_INTERVAL_MS;
@@ -70,11 +71,11 @@
   private double lastAnswerMs = Double.NEGATIVE_INFINITY;
   private long heartbeatNumber;
   private long seenIndex;
-  /** When each heartbeat went, the oldest first. */
+  /** When each unanswered heartbeat was sent, by its number, the oldest first. */
   private final Map<Long, Double> heartbeatSentMs = new LinkedHashMap<>();
-  /** Backends that are out by the record, with their permits. */
+  /** The backends that are out according to the replicas, with the ids of their permits. */
   private final Map<String, Long> outBackends = new HashMap<>();
-  /** Of those, the ones with no attempt of this door out. */
+  /** Those of the backends that are out at which no attempt of this process is in flight. */
   private final Map<String, Long> vacatedBackends = new HashMap<>();
   private boolean draining;
   private boolean servingAllowed;
@@ -82,16 +83,16 @@
   private long failedAttempt;
   private Tally tally = Tally.NONE;
   private Command.BackendListId backendListId = Command.BackendListId.NONE;
-  /** When the answer is due that an operator waits for. */
+  /** When the answer to each operator request is due, by the name of the request. */
   private final Map<String, Double> answerDueMs = new LinkedHashMap<>();
 
   /**
-   * For a process of a door.
+   * Creates the participant for one process of a door.
    *
-   * @param drift the most that a clock runs wrong, as a part of the time that passes
-   * @param remembered backends that were out, with their permits, by what a process before it kept: to this
-   *     one they are out from the start
-   * @param version of the program, as releases name it
+   * @param drift the maximum rate error of a clock, as a fraction of the elapsed time
+   * @param remembered the backends that were out, with the ids of their permits, as an earlier process of the
+   *     door stored them; this process treats them as out from the start
+   * @param version the version of the program, as releases name it
    * @param successorOfAttempt the attempt of a release that this process was started for, or 0
    */
   public DoorParticipant(String door, String incarnation, double drift, Map<String, Long> remembered,
@@ -105,11 +106,11 @@
     lease = new DoorLease(drift);
   }
 
-  /** Takes an event at its time. */
+  /** Handles an event at the given time of the door's monotonic clock, in milliseconds. */
   public List<DoorAction> handle(double nowMs, DoorEvent event) {
     List<DoorAction> actions = new ArrayList<>();
     if (event instanceof ActivityChanged e) {
-      // Said at once: others count on it.
+      // Reported at once, because other doors and operators rely on the activity.
       lastHeartbeatMs = e.activity() == activity ? lastHeartbeatMs : Double.NEGATIVE_INFINITY;
       activity = e.activity();
     } else if (event instanceof HeartbeatAnswered e) {
@@ -133,7 +134,7 @@
     return actions;
   }
 
-  /** Whether what needs agreement may begin now. */
+  /** Whether the lease is held, so that actions that need agreement may begin now. */
   public boolean hasLease(double nowMs) {
     return lease.isValid(nowMs);
   }
@@ -150,7 +151,7 @@
     lease.renew(sentMs, e.view().leaseMs());
     heartbeatIntervalMs = e.view().leaseMs() * HEARTBEAT_LEASE_FRACTION;
     lastAnswerMs = nowMs;
-    // An answer that another has overtaken, or that was read too late, is not acted on.
+    // An answer that a newer answer has overtaken, or that was read after the lease expired, is not acted on.
     if (e.view().index() <= seenIndex || !lease.isValid(nowMs)) {
       return;
     }
@@ -165,8 +166,9 @@
   }
 
   /**
-   * A process that was started for an attempt serves only on the word that it still stands: it may have been
-   * halted, or another begun, while this one started. Each attempt is begun once by a process.
+   * A process that was started for an attempt serves only once the replicas confirm that the attempt is still
+   * current: while the process started, the release may have been halted or another attempt begun. A process
+   * begins each attempt at most once.
    */
   private void followRelease(DoorView view, List<DoorAction> actions) {
     if (!servingAllowed && (successorOfAttempt == 0 || view.attempt() == successorOfAttempt)) {
@@ -176,7 +178,7 @@
     if (servingAllowed && view.attempt() > startedAttempt && !view.version().equals(version)) {
       startedAttempt = view.attempt();
       actions.add(new StartSuccessor(view.attempt(), view.version()));
-      // Said at once: what has begun is not taken back.
+      // Reported at once, because an attempt that has begun cannot be withdrawn.
       lastHeartbeatMs = Double.NEGATIVE_INFINITY;
     }
   }
@@ -200,7 +202,8 @@
       if (previousId == null) {
         actions.add(new TakeOut(backend));
       } else if (!previousId.equals(id) && vacatedBackends.containsKey(backend)) {
-        // Back and out again while this door heard nothing: to it, it was out all along.
+        // The backend came back and went out again while this door had no contact: it was never sent to in
+        // between.
         vacatedBackends.put(backend, id);
       }
     });
@@ -228,11 +231,10 @@
     }
     if (!lease.isValid(nowMs)) {
       actions.add(new AnswerOperator(e.request(), new Refused("the stewards have not been heard for "
-          + (lastAnswerMs == Double.NEGATIVE_INFINITY ? "the whole of this process's life"
+          + (lastAnswerMs == Double.NEGATIVE_INFINITY ? "the whole lifetime of this process"
               : Math.round(nowMs - lastAnswerMs) + " ms") + ", so nothing can be agreed on")));
     } else if (answerDueMs.size() >= MAX_PENDING_REQUESTS) {
-      actions.add(
-          new AnswerOperator(e.request(),
+      actions.add(new AnswerOperator(e.request(),
           new Refused(MAX_PENDING_REQUESTS + " requests wait for the stewards already")));
     } else {
       answerDueMs.put(e.request(), nowMs + ANSWER_TIMEOUT_MS);
@@ -240,14 +242,17 @@
     }
   }
 
-  /** An operator is told within the second, also that it is not known: it may have been agreed on. */
+  /**
+   * Gives operators an answer within the timeout even if the outcome is unknown: the request may still be
+   * agreed on.
+   */
   private void expireRequests(double nowMs, List<DoorAction> actions) {
     answerDueMs.entrySet().removeIf(x -> {
       if (nowMs >= x.getValue()) {
-        actions.add(
-            new AnswerOperator(x.getKey(),
+        actions.add(new AnswerOperator(x.getKey(),
             new Refused("no answer from the stewards within " + (long) ANSWER_TIMEOUT_MS
-            + " ms; it may yet be agreed on: ask for " + x.getKey() + " again, it is the same request")));
+            + " ms; it may still be agreed on: repeat request " + x.getKey()
+            + ", which counts as the same one")));
         return true;
       }
       return false;
@@ -262,9 +267,7 @@
       if (heartbeatSentMs.size() > MAX_UNANSWERED_HEARTBEATS) {
         heartbeatSentMs.remove(heartbeatSentMs.keySet().iterator().next());
       }
-      actions.add(
-          new SendHeartbeat(
-          new Heartbeat(door, incarnation, activity, heartbeatNumber, seenIndex,
+      actions.add(new SendHeartbeat(new Heartbeat(door, incarnation, activity, heartbeatNumber, seenIndex,
           Set.copyOf(vacatedBackends.values()),
           new Report(startedAttempt, failedAttempt, tally), backendListId)));
     }
--- a/policy/src/main/java/willowdoor/agreement/DoorProcessState.java
+++ b/policy/src/main/java/willowdoor/agreement/DoorProcessState.java
@@ -4,15 +4,17 @@
 import willowdoor.agreement.Command.Report;
 
 /**
- * One process of a door.
+ * The replicated state of one process of a door.
  *
- * @param generation 0 until it holds what only one process of the door can hold, then that holding's number
- * @param version of the program, as releases name it
- * @param untilMs in the record's time: reached at least until then
- * @param number of its last heartbeat
- * @param seen up to which command it knew the record when it said what it does
- * @param readyMs in the record's time: since when it has said that it is ready; meaningless where it isn't
- * @param listed which list of backends it went by when it last said something
+ * @param generation the generation of the door's exclusive lock that this process has held, or 0 if it never
+ *     held the lock
+ * @param version the version of the program, as releases name it
+ * @param untilMs the replicated time in milliseconds at which the process's lease expires
+ * @param number the number of the last heartbeat
+ * @param seen the index of the last command that the process knew of when it sent that heartbeat
+ * @param readyMs the replicated time in milliseconds since when the process has reported that it is ready;
+ *     meaningless if it is not ready
+ * @param listed the list of backends that the process used when it sent that heartbeat
  */
 public record DoorProcessState(String door, String incarnation, String zone, double weight, long generation,
     String version, Activity doing, double untilMs, long number, long seen, Report report, double readyMs,
--- a/policy/src/main/java/willowdoor/agreement/DoorView.java
+++ b/policy/src/main/java/willowdoor/agreement/DoorView.java
@@ -3,26 +3,27 @@
 import java.util.List;
 
 /**
- * What a door is told of the record in the answer to a heartbeat.
+ * The part of the replicated state that a process of a door receives in the answer to its heartbeat.
  *
- * @param index how many commands the record had taken, the heartbeat's among them
- * @param permits those of backends that are not waiting, and this door's own if it has one
- * @param known whether the record has this process; if not, it joins again
- * @param leaseMs for how long the heartbeat counts, by the terms that held when it was agreed on
- * @param attempt of a release that this door is to follow now, 0 for none
- * @param version that the door is to have by it; empty where there is none
- * @param tellList whether the door is to tell its list of backends, as the record has another
+ * @param index how many commands had been applied, including the heartbeat's own
+ * @param permits the permits of backends that are not waiting, and this door's own permit if there is one
+ * @param known whether the process is known; a process that is not known has to join again
+ * @param leaseMs for how many milliseconds the heartbeat counts, by the settings in force when it was
+ *     committed
+ * @param attempt the attempt of a release that this door has to carry out now, or 0
+ * @param version the version that the attempt gives the door; empty if there is no attempt
+ * @param tellList whether the door has to send its list of backends, because the replicated list differs
  */
 public record DoorView(long index, List<Permit> permits, boolean known, double leaseMs, long attempt,
     String version, boolean tellList) {
 
-  /** One that asks for no list. */
+  /** A view that does not ask for the list of backends. */
   public DoorView(long index, List<Permit> permits, boolean known, double leaseMs, long attempt,
       String version) {
     this(index, permits, known, leaseMs, attempt, version, false);
   }
 
-  /** Keeps a copy. */
+  /** Makes a defensive copy. */
   public DoorView {
     permits = List.copyOf(permits);
   }
--- a/policy/src/main/java/willowdoor/agreement/FleetStateMachine.java
+++ b/policy/src/main/java/willowdoor/agreement/FleetStateMachine.java
@@ -42,68 +42,75 @@
 import willowdoor.rollout.PermitAction;
 
 /**
- * The record that the stewards agree on: which processes of which doors live, what may be out and what is.
- * Commands in, in the order of the log, and what they came to out. It does no I/O, reads no clock, starts no
- * thread and draws no chance: the same log gives the same record at every steward.
+ * The replicated state machine of the fleet: which processes of which doors run, and which doors and backends
+ * may be out of service and are. It applies commands in the order of the log and returns their outcomes. It
+ * does no I/O, reads no clock, starts no thread and uses no randomness, so the same log gives the same state
+ * at every replica (steward).
  *
- * <p>Its time goes by the leader's clock, by differences within a term: what passes between two leaders
- * counts as none, and {@link LeaderElected} has every lease that is not over run its full length anew. So a
- * steward's
- * view of a lease never ends before the door's own ({@link DoorLease}).
+ * <p>The replicated time advances with the leader's clock, by the differences between commands within a term.
+ * The time between two leaders is not counted, and {@link LeaderElected} starts every lease that has not
+ * expired again with its full length. The replicas' view of a lease therefore never ends before the door's
+ * own view ({@link DoorLease}).
  *
- * <p>What is out by itself counts against the budget as what is out on purpose does: a door of which no
- * process is ready and reached, a backend that does not serve. A permit ends when its subject is seen ready
- * after its return. A backend is out once every process of every door has said that it sends nothing more;
- * one that can't be reached holds that up until it is, or until an operator has it forgotten, as it may still
- * reach the backend.
+ * <p>Subjects that failed count against the budget like subjects that were taken out on purpose: a door
+ * without a process that is ready and reachable, and a backend that does not serve. A permit ends when its
+ * subject is seen ready after its return. A backend is out once every process of every door has reported that
+ * it no longer sends to the backend. A process that is unreachable blocks this until it is reachable again or
+ * an operator has it forgotten, because it may still reach the backend.
  *
- * <p>Permits are given in the order of asking. One that only its zone holds back is passed by those of other
- * zones; one that the whole holds back is passed by none, so nobody waits for ever behind smaller ones.
+ * <p>Permits are granted in the order of the requests. A request that is held back only by the limit of its
+ * zone may be overtaken by requests of other zones. A request that is held back by a limit over all subjects
+ * is not overtaken, so that it cannot wait forever behind requests that fit more easily.
  */
 public final class FleetStateMachine {
 
-  /** Processes of doors; one more may not join. */
+  /** The maximum number of known processes of doors; further processes may not join. */
   static final int MAX_PROCESSES = 1_000;
-  /** One more is refused. */
+  /** The maximum number of permits in any stage; further requests are refused. */
   static final int MAX_PERMITS = 1_000;
-  /** Those that are listed after so many are not seen. */
+  /** The maximum number of backends of a list; the rest of a longer list is ignored. */
   static final int MAX_BACKENDS = 10_000;
-  /** The oldest goes first. */
+  /** The maximum number of audit entries; the oldest is dropped first. */
   static final int MAX_NOTES = 1_000;
-  /** Remembered of what has ended; the oldest goes first. */
+  /** The maximum number of names of ended requests and processes; the oldest is dropped first. */
   static final int MAX_ENDED_NAMES = 2_000;
-  /** Releases that are kept, the one under way among them; the oldest goes first. */
+  /** The maximum number of releases kept, including the current one; the oldest is dropped first. */
   static final int MAX_RELEASES = 10;
-  /** Wishes of a release that come of what its wishes before came to; never more than these turns. */
+  /**
+   * The maximum number of rounds, after each command, in which the release reacts to the results of its own
+   * permit requests.
+   */
   private static final int MAX_RELEASE_ROUNDS = 4;
 
   private FleetSettings settings;
-  /** How many commands it has taken. */
+  /** How many commands were applied. */
   private long index;
+  /** The replicated time, in milliseconds. */
   private double nowMs;
-  /** The leader's time of the last command; none before the first leader. */
+  /** The leader's time of the last command, in milliseconds; NaN before the first leader. */
   private double leaderMs = Double.NaN;
   private long lastPermitId;
-  /** Which list of backends it has, and the record's time when it was told. */
+  /** The identity of the current list of backends. */
   private Command.BackendListId backendListId = Command.BackendListId.NONE;
+  /** The replicated time at which that list was applied, in milliseconds. */
   private double backendListMs;
   private final Map<String, DoorProcessState> processes = new LinkedHashMap<>();
   private final Map<String, Backend> backends = new LinkedHashMap<>();
   private final Map<Long, Permit> permits = new TreeMap<>();
   private final Deque<Note> notes = new ArrayDeque<>();
-  /** Names of requests and of processes that have ended: a message of theirs that comes late does nothing. */
+  /** Names of ended requests and processes, whose late messages are ignored. */
   private final Set<String> endedNames = new LinkedHashSet<>();
-  /** Releases that have ended. */
+  /** Earlier releases, the oldest first. */
   private final Deque<Release> endedReleases = new ArrayDeque<>();
-  /** The last release; null before the first. */
+  /** The current or last release; null before the first. */
   private Rollout rollout;
 
-  /** Knows nothing yet. */
+  /** Creates a state machine with an empty log. */
   public FleetStateMachine(FleetSettings settings) {
     this.settings = settings;
   }
 
-  /** Goes on from a snapshot. */
+  /** Restores a state machine from a snapshot. */
   public FleetStateMachine(State state) {
     settings = state.terms();
     index = state.index();
@@ -121,7 +128,7 @@
     rollout = endedReleases.isEmpty() ? null : new Rollout(endedReleases.removeLast());
   }
 
-  /** All that it knows. */
+  /** Takes a snapshot of the state. */
   public State state() {
     return new State(settings, index, nowMs, leaderMs, lastPermitId, backendListId, backendListMs,
         List.copyOf(processes.values()), List.copyOf(backends.values()), List.copyOf(permits.values()),
@@ -136,20 +143,20 @@
     return all;
   }
 
-  /** Takes the next command of the log. */
+  /** Applies the next command of the log. */
   public Outcome apply(Command command) {
     index++;
     advanceTime(command);
     Outcome outcome = execute(command);
     settlePermits();
     advanceRelease();
-    // Whether an asker waits or goes shows only once all that has ended made room.
+    // Whether the request waits or is granted is known only once ended permits have freed their budget.
     return outcome == null ? requestStatus(((RequestPermit) command).request()) : outcome;
   }
 
   private void advanceTime(Command command) {
     if (command instanceof LeaderElected) {
-      // One that was over is over: to have it run anew would count a door as serving that is dead.
+      // An expired lease stays expired: a restarted one would count a dead door as serving.
       processes.replaceAll((name, x) -> nowMs < x.untilMs() ? x.withLeaseUntil(nowMs + settings.leaseMs())
           : x);
       leaderMs = command.atMs();
@@ -185,8 +192,9 @@
   }
 
   /**
-   * One of an older version is believed where no door that is reached goes by the newer one any more: the
-   * list counts anew. What comes late all the same, or gets lost, is mended by {@link DoorView#tellList}.
+   * A list of an older version is accepted if no reachable door uses the newer version any more: then the
+   * versions of the list have started again. A list that is late all the same, or lost, is corrected by
+   * {@link DoorView#tellList}.
    */
   private Outcome updateBackends(UpdateBackends e) {
     if (e.version() < backendListId.version() && newestListVersion() >= backendListId.version()) {
@@ -204,7 +212,7 @@
     return new Done();
   }
 
-  /** The newest list that any door goes by, of those that are reached. */
+  /** The newest version of the list that any reachable process uses. */
   private long newestListVersion() {
     return processes.values().stream().filter(x -> x.isReached(nowMs)).mapToLong(x -> x.listed().version())
         .max()
@@ -212,8 +220,9 @@
   }
 
   /**
-   * Whether this process is the first of those with the newest list to have another than the record. Asked
-   * for once a lease: doors may see one list differently for long.
+   * Whether this process is the first, of those that use the newest version of the list, whose list differs
+   * from the replicated one. The list is requested only once the replicated one is at least one lease old,
+   * because doors may see different contents under one version for a long time.
    */
   private boolean mustSendList(DoorProcessState process) {
     long newestVersion = newestListVersion();
@@ -224,9 +233,10 @@
   }
 
   /**
-   * Whether a backend that is listed no more still counts, as one that is out: it went out on purpose and is
-   * restarted, or it got another version, may have died of it, and would come back with it. Any other may
-   * have gone for good. Guards against an old list that comes late, too.
+   * Whether a backend that is no longer listed still counts, as one that is out. This is so if it went out on
+   * purpose and is being restarted, or if the current release has given it the new version: the new version
+   * may have crashed it, and it would come back with that version. Any other backend may have been removed
+   * for good. This also guards against an old list that arrives late.
    */
   private boolean isExpectedBack(Backend x) {
     Permit permit = findPermit(new Subject(Kind.BACKEND, x.name()));
@@ -237,8 +247,8 @@
   }
 
   /**
-   * Who holds what one process can hold ends those that held it before, and nobody else: others may wait for
-   * it. Guards against a word of an earlier holder that comes late.
+   * A process that holds the door's exclusive lock ends the processes that held the lock before, and no
+   * others: those may be waiting for the lock. A late message of an earlier holder is refused.
    */
   private Outcome join(Join e) {
     String name = e.door() + "/" + e.incarnation();
@@ -269,7 +279,9 @@
     return new Done();
   }
 
-  /** The door stays known, as one that is out, until another process of it joins or it is forgotten. */
+  /**
+   * The door stays known, as one that is out, until another of its processes joins or the door is forgotten.
+   */
   private void leave(Leave e) {
     markEnded(e.door() + "/" + e.incarnation());
     processes.computeIfPresent(e.door() + "/" + e.incarnation(), (name, x) -> x.asEnded());
@@ -285,7 +297,7 @@
       if (process == null || process.hasEnded()) {
         unknownNames.add(name);
       } else if (heartbeat.number() > process.number()) {
-        // One that another has overtaken tells nothing new.
+        // A heartbeat that a later one has overtaken is ignored.
         recordTally(process, heartbeat);
         processes.put(name, process.withHeartbeat(heartbeat, nowMs, nowMs + settings.leaseMs()));
         heartbeat.left()
@@ -296,8 +308,9 @@
   }
 
   /**
-   * Figures of a door that has been ready for a while. Those that come after a silence of a lease or more are
-   * of a door that was stopped or cut off, and say nothing of its version.
+   * Passes the request counts of a door that has been ready for the settling time on to the release. Counts
+   * that arrive after a silence of a lease or longer come from a door that was suspended or cut off; they say
+   * nothing about its version and are ignored.
    */
   private void recordTally(DoorProcessState process, Heartbeat heartbeat) {
     if (rollout != null && process.doing() == Activity.READY && heartbeat.doing() == Activity.READY
@@ -385,8 +398,8 @@
         && !e.by().equals(requesterName(rollout.state()))
         && rollout.state().steps().stream().anyMatch(x -> permit.request().equals(requestName(rollout.state(),
             x)))) {
-      return new Refused("permit " + permit.id() + " is of " + permit.by() + ", which gives it back once the"
-          + " door's step is over: pause or halt that");
+      return new Refused("permit " + permit.id() + " belongs to " + permit.by() + ", which returns it once"
+          + " the door's step ends: pause or halt the release");
     }
     if (permit.stage() == Stage.WAITING) {
       markEnded(permit);
@@ -452,7 +465,10 @@
     return new Done();
   }
 
-  /** What a release wishes for is done as if somebody had asked for it, until it wishes for nothing more. */
+  /**
+   * Carries out what the release asks for, as for any other requester, until the release asks for nothing
+   * more.
+   */
   private void advanceRelease() {
     for (int round = 0; rollout != null && rollout.state().mode() != Mode.ENDED
         && round < MAX_RELEASE_ROUNDS; round++) {
@@ -474,8 +490,7 @@
   private void fulfil(PermitAction wish) {
     if (wish instanceof PermitAction.RequestPermit e) {
       String by = requesterName(rollout.state());
-      requestPermit(
-          new RequestPermit(nowMs, requestName(rollout.state(), e.step()),
+      requestPermit(new RequestPermit(nowMs, requestName(rollout.state(), e.step()),
           new Subject(subjectKind(rollout.state()),
           e.step().door()), by,
           e.step().version(), false));
@@ -487,7 +502,7 @@
     }
   }
 
-  /** How a release is called as the one who asks. */
+  /** The name of a release as a requester of permits. */
   private static String requesterName(Release release) {
     return "release " + release.id();
   }
@@ -509,9 +524,11 @@
   }
 
   /**
-   * A backend as a release sees it; null for one that is yet to begin. Once it is out somebody may be about
-   * to restart it, and what starts then has the version that it went out for. One that is away for that is
-   * not lost.
+   * The state of a backend as a release sees it. Once the backend is out, it may be restarted at any time,
+   * and then has the version that it went out for. A backend that is away for its restart does not count as
+   * lost.
+   *
+   * @param release the release, or null for a release that is yet to begin
    */
   private TargetStatus observe(Backend backend, Release release, String lastVersion) {
     Permit permit = findPermit(new Subject(Kind.BACKEND, backend.name()));
@@ -530,7 +547,11 @@
             && requestStatus(permit.request()) instanceof Waiting w ? w.why() : "");
   }
 
-  /** The doors as a release sees them; null for a release that is yet to begin. */
+  /**
+   * The state of all doors as a release sees them.
+   *
+   * @param release the release, or null for a release that is yet to begin
+   */
   private List<TargetStatus> observe(Release release) {
     Map<String, List<DoorProcessState>> doors = new LinkedHashMap<>();
     processes.values().forEach(x -> doors.computeIfAbsent(x.door(), d -> new ArrayList<>()).add(x));
@@ -560,7 +581,8 @@
         }
       }
       String reachedVersion = version;
-      // One of another version may serve beside it, reached or not: which one the door has is not settled.
+      // If a process of another version may still serve, reachable or not, the version of the door is
+      // undecided.
       version = processes.stream()
           .anyMatch(x -> x.doing() == Activity.READY && !x.version().equals(reachedVersion)) ? ""
           : reachedVersion;
@@ -583,7 +605,7 @@
     };
   }
 
-  /** What has ended makes room, then those who wait take it. */
+  /** Ends permits whose subjects are back, then grants waiting permits within the budget that is free. */
   private void settlePermits() {
     for (Permit permit : List.copyOf(permits.values())) {
       if (permit.stage() == Stage.RETURNING && isBack(permit)) {
@@ -616,7 +638,7 @@
       usage = usage == null ? budgetUsage(kind) : usage;
       String name = permit.subject().name();
       if (!usage.contains(name)) {
-        // It is listed no more. Its turn comes if it is again.
+        // The subject is no longer known. Its permit keeps waiting in case the subject comes back.
         continue;
       }
       BudgetUsage.Denial denial = usage.denialFor(name);
@@ -629,7 +651,7 @@
     }
   }
 
-  /** Whether nothing is sent to it any more, by all that is known. */
+  /** Whether the subject of the permit is known to receive no more requests. */
   private boolean isOut(Permit permit) {
     if (permit.subject().kind() == Kind.BACKEND) {
       return blockingProcesses(permit.subject()).isEmpty();
@@ -639,9 +661,9 @@
   }
 
   /**
-   * Seen ready by those who knew of the return. Guards against a door that said READY before it had heard
-   * that it may go out: it would be counted as serving while it drains. Doors that aren't reached are not
-   * waited for; they were waited for when the backend went.
+   * Whether the subject is ready again, as reported by processes that knew of the return. This guards against
+   * a door that reported READY before it learned of its permit, which would count as serving while it drains.
+   * For a backend, unreachable doors are not waited for: they were waited for when the backend went out.
    */
   private boolean isBack(Permit permit) {
     String name = permit.subject().name();
@@ -679,7 +701,7 @@
     return permits.values().stream().filter(x -> x.subject().equals(subject)).findFirst().orElse(null);
   }
 
-  /** How a request stands. */
+  /** The current status of a permit request. */
   public Outcome requestStatus(String request) {
     Permit permit = findPermit(request);
     if (permit == null) {
@@ -698,9 +720,10 @@
   }
 
   /**
-   * What a process of a door is told.
+   * The view for the answer to a heartbeat of a process of a door.
    *
-   * @param leaseMs what its heartbeat came to
+   * @param leaseMs for how many milliseconds the heartbeat counts, from its
+   *     {@link HeartbeatsRecorded outcome}
    */
   public DoorView view(String door, String incarnation, double leaseMs) {
     DoorProcessState process = processes.get(door + "/" + incarnation);
@@ -714,7 +737,10 @@
             && mustSendList(process));
   }
 
-  /** The processes that hold up a backend's going out, as door/incarnation; none for what is out. */
+  /**
+   * The processes that may still send to a backend that is going out, as door/incarnation; empty if it is
+   * out.
+   */
   public List<String> blockingProcesses(Subject backend) {
     Permit permit = findPermit(backend);
     return permit == null || permit.stage() != Stage.GRANTED ? List.of()
@@ -722,7 +748,7 @@
             .filter(x -> !permit.left().contains(x)).toList();
   }
 
-  /** How many of a kind are out, on purpose or by themselves. */
+  /** How many subjects of a kind are out, on purpose or because they failed. */
   public int out(Kind kind) {
     return budgetUsage(kind).outCount();
   }
--- a/policy/src/main/java/willowdoor/agreement/Note.java
+++ b/policy/src/main/java/willowdoor/agreement/Note.java
@@ -1,8 +1,10 @@
 package willowdoor.agreement;
 
 /**
- * Something out of the ordinary that was done, for those who ask later.
+ * An audit entry about an exceptional action, such as a forced permit or a forgotten process.
  *
- * @param atMs in the record's time
+ * @param atMs when the action was agreed on, in milliseconds of the replicated time
+ * @param by who asked for the action
+ * @param what the action, in words
  */
 public record Note(double atMs, String by, String what) { }
--- a/policy/src/main/java/willowdoor/agreement/Outcome.java
+++ b/policy/src/main/java/willowdoor/agreement/Outcome.java
@@ -2,32 +2,33 @@
 
 import java.util.List;
 
-/** What a command came to; the same at every steward. */
+/** The result of applying a command; the same at every replica. */
 public sealed interface Outcome {
 
-  /** Done, or known already. */
+  /** The command was carried out, or had been carried out before. */
   record Done() implements Outcome { }
 
-  /** Nothing was changed. */
+  /** The command was refused and changed nothing that it asks for. */
   record Refused(String why) implements Outcome { }
 
-  /** It waits for its turn; one is the next. */
+  /** The permit waits. A {@code place} of 1 means that the permit is the next of its kind. */
   record Waiting(long permit, int place, String why) implements Outcome { }
 
-  /** It may go out. */
+  /** The subject may go out of service. */
   record Granted(long permit) implements Outcome { }
 
-  /** A release has begun, by this number. */
+  /** A release has begun and has this id. */
   record ReleaseStarted(long release) implements Outcome { }
 
   /**
-   * Heartbeats were taken, but not of these processes, which have to join first.
+   * The heartbeats were applied, except those of unknown processes.
    *
-   * @param leaseMs for how long those that were taken count, by the terms that held then
+   * @param strangers the unknown processes, as door/incarnation; they have to join first
+   * @param leaseMs for how many milliseconds the applied heartbeats count, by the settings then in force
    */
   record HeartbeatsRecorded(List<String> strangers, double leaseMs) implements Outcome {
 
-    /** Keeps a copy. */
+    /** Makes a defensive copy. */
     public HeartbeatsRecorded {
       strangers = List.copyOf(strangers);
     }
--- a/policy/src/main/java/willowdoor/agreement/Permit.java
+++ b/policy/src/main/java/willowdoor/agreement/Permit.java
@@ -3,30 +3,32 @@
 import java.util.Set;
 
 /**
- * The right of one subject to be out. It ends when the subject is seen ready again after its return, by no
- * timer and by nobody's death.
+ * The permission of one subject to be out of service. A granted permit ends only when the subject has been
+ * returned and then seen ready again; neither a timeout nor the failure of any process ends the permit.
  *
- * @param id counted up, never used again
- * @param request the asker's name of the request
- * @param since the command by which it came to its stage
- * @param left for a backend: the processes of doors, as door/incarnation, that send it nothing more
+ * @param id assigned in ascending order and never reused
+ * @param request the requester's own name of the request
+ * @param by who asked for the permit
+ * @param force whether the permit is granted even beyond the budget
+ * @param since the index of the command that moved the permit to its stage
+ * @param left for a backend: the processes of doors, as door/incarnation, that no longer send to the backend
  */
 public record Permit(long id, String request, Subject subject, String by, String reason, boolean force,
     Stage stage, long since, Set<String> left) {
 
-  /** How far it has come. */
+  /** The stages of a permit, in order. */
   public enum Stage {
-    /** For its turn. */
+    /** The permit waits until the budget allows it. */
     WAITING,
-    /** It goes out: doors still send to it, or it still answers. */
+    /** The subject is going out: doors may still send to the backend, or the door still serves clients. */
     GRANTED,
-    /** Nothing is sent to it any more. */
+    /** The subject no longer receives requests. */
     OUT,
-    /** It comes back, and is not ready yet. */
+    /** The permit was returned, and the subject is not ready yet. */
     RETURNING
   }
 
-  /** Keeps a copy. */
+  /** Makes a defensive copy. */
   public Permit {
     left = Set.copyOf(left);
   }
--- a/policy/src/main/java/willowdoor/agreement/Subject.java
+++ b/policy/src/main/java/willowdoor/agreement/Subject.java
@@ -1,9 +1,9 @@
 package willowdoor.agreement;
 
-/** What may be taken out on purpose: a door or a backend, by its name. */
+/** A door or a backend that can be taken out of service on purpose, identified by its name. */
 public record Subject(Kind kind, String name) {
 
-  /** Each kind has a budget of its own. */
+  /** Each kind has its own {@link Budget}. */
   public enum Kind { DOOR, BACKEND }
 
   @Override
--- a/policy/src/main/java/willowdoor/epoch/EpochAction.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochAction.java
@@ -1,22 +1,26 @@
 package willowdoor.epoch;
 
-/** What a door's side of policies has its door do. */
+/** The actions that an {@link EpochParticipant} requests from its door. */
 public sealed interface EpochAction {
 
   /**
-   * Get the document, hold it against the door's bounds, build what it needs, and say whether it is ready.
+   * Fetch the document, check it against the door's limits, build what the policy needs, and report whether
+   * that succeeded.
    */
   record Prepare(long epoch, String hash) implements EpochAction { }
 
-  /** The door goes by this from here on; what was kept of others may go. */
+  /** The door uses this policy from now on; what was kept of other policies may be discarded. */
   record Adopt(long epoch) implements EpochAction { }
 
-  /** A document that was prepared will not hold. */
+  /** Discard a prepared document that will not come into force. */
   record Drop(long epoch) implements EpochAction { }
 
-  /** Something else was said of policies: the next heartbeat shouldn't wait. */
+  /** The report for heartbeats has changed: send the next heartbeat without delay. */
   record SendHeartbeatSoon() implements EpochAction { }
 
-  /** Wake it then, by the door's clock. */
+  /**
+   * Pass in an {@link EpochEvent.TimerFired} event at this time of the door's monotonic clock, in
+   * milliseconds.
+   */
   record WakeAt(double atMs) implements EpochAction { }
 }
--- a/policy/src/main/java/willowdoor/epoch/EpochCoordinator.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochCoordinator.java
@@ -5,26 +5,27 @@
 import java.util.stream.Collectors;
 
 /**
- * The record's side of changes of policy: one at a time, in force at all doors or at none. It does no I/O,
- * reads no clock and draws no chance, so that every steward comes to the same.
+ * The replicated side of policy changes: one change at a time, in force at all doors or at none. It does no
+ * I/O, reads no clock and uses no randomness, so every replica reaches the same state.
  *
- * <p>A change is proposed, prepared by each process of each door, decided, holds from one moment on, and is
- * known. It is decided once every process has said yes or is fenced: has not been heard for so long that by
- * its own clock it decides nothing any more (Gray and Cheriton's leases, turned round). One no, the time
- * limit or an operator's word aborts it before that, and nothing does afterwards. That the decision is an
- * entry of a log that a majority keeps is what two-phase commit lacks where its coordinator dies (Gray and
- * Lamport, <i>Consensus on Transaction Commit</i>, 2006); that it holds a margin later is Spanner's commit
- * wait on clocks which need not be set (Corbett et al., 2012).
+ * <p>A change is proposed, prepared by each process of each door, decided, in force from one switch time on,
+ * and completed once all processes have reported that they use it. The change is decided once every process
+ * has accepted it or is fenced: the process has had no contact for so long that by its own clock it refuses
+ * all requests (the inverse of the leases of Gray and Cheriton). A refusal, the prepare timeout or an
+ * operator aborts the change before the decision; nothing aborts it afterwards. The decision is an entry of a
+ * log that a majority keeps, which two-phase commit lacks when its coordinator fails (Gray and Lamport,
+ * <i>Consensus on Transaction Commit</i>, 2006). The margin between the decision and the switch time is
+ * Spanner's commit wait, with clocks that need not be synchronised (Corbett et al., 2012).
  *
- * <p>The moment is by the clock of the leader under whom it was decided. If another leads before it is past,
- * doors that hear so go by both policies until a moment of that leader's clock: {@link
- * PolicyChange.Stage#UNSURE}.
+ * <p>The switch time refers to the clock of the leader under which the change was decided. If another leader
+ * is elected before the switch time, doors that learn of it require both policies until a new switch time by
+ * the new leader's clock: {@link PolicyChange.Stage#UNSURE}.
  */
 public final class EpochCoordinator {
 
-  /** Changes that are remembered; the oldest goes first. */
+  /** The maximum number of past changes kept; the oldest is dropped first. */
   static final int MAX_PAST_CHANGES = 100;
-  /** Names in a reason; the others are counted. */
+  /** The maximum number of members named in a reason; the others are only counted. */
   private static final int MAX_NAMED_MEMBERS = 5;
 
   private EpochSettings settings;
@@ -34,7 +35,7 @@
   private PolicyChange change;
   private final List<PastChange> log;
 
-  /** Goes on from there. */
+  /** Restores a coordinator from a snapshot. */
   public EpochCoordinator(EpochState state) {
     settings = state.terms();
     lastEpoch = state.last();
@@ -44,15 +45,16 @@
     log = new ArrayList<>(state.log());
   }
 
-  /** How it stands. */
+  /** Takes a snapshot of the state. */
   public EpochState state() {
     return new EpochState(settings, lastEpoch, current, previous, change, log);
   }
 
   /**
-   * Other terms, which count from now on.
+   * Replaces the settings from now on.
    *
-   * @throws IllegalStateException while a change is under way: doors count by what they were told
+   * @throws IllegalStateException while a change is in progress, because doors use the limits that they were
+   *     told
    */
   public void updateSettings(EpochSettings newSettings) {
     if (change != null) {
@@ -64,10 +66,10 @@
   /**
    * Proposes a document.
    *
-   * @param replaces the epoch that its author saw in force; guards against two who each don't know of the
-   *     other
-   * @return its epoch
-   * @throws IllegalArgumentException in words, where it can't be proposed now
+   * @param replaces the epoch that the author saw in force, which guards against two authors who do not know
+   *     of each other's documents
+   * @return the epoch of the document
+   * @throws IllegalArgumentException with the reason, if the document cannot be proposed now
    */
   public long propose(double nowMs, String text, String hash, long replaces, String by, String reason) {
     if (change != null) {
@@ -76,8 +78,9 @@
           + " is under way: " + change.stage().name().toLowerCase(java.util.Locale.ROOT));
     }
     if (replaces != current.epoch()) {
-      throw new IllegalArgumentException("it replaces epoch " + replaces + ", and epoch " + current.epoch()
-          + " by " + current.by() + " is in force (expected: one that was written for that)");
+      throw new IllegalArgumentException("the document replaces epoch " + replaces + ", but epoch "
+          + current.epoch()
+          + " by " + current.by() + " is in force (expected: a document that replaces the epoch in force)");
     }
     int bytes = text.getBytes(java.nio.charset.StandardCharsets.UTF_8).length;
     if (bytes > PolicyDocument.MAX_BYTES) {
@@ -87,7 +90,7 @@
     }
     PolicyDocument document = new PolicyDocument(lastEpoch + 1, hash, text, by, reason, replaces);
     if (!document.hashMatches()) {
-      throw new IllegalArgumentException("the document is not whole: its hash is not " + hash);
+      throw new IllegalArgumentException("the document is corrupted: the hash of its text is not " + hash);
     }
     lastEpoch++;
     change = new PolicyChange(document, PolicyChange.Stage.PREPARING, nowMs, 0);
@@ -95,14 +98,14 @@
   }
 
   /**
-   * An operator's word against a change.
+   * Aborts a change on behalf of an operator.
    *
-   * @throws IllegalArgumentException in words, where it is over or decided
+   * @throws IllegalArgumentException with the reason, if the change has ended or is decided
    */
   public void abort(double nowMs, long epoch, String by) {
     if (change == null || change.document().epoch() != epoch) {
       throw new IllegalArgumentException("epoch " + epoch + " is not under way" + log.stream()
-          .filter(x -> x.epoch() == epoch).findFirst().map(x -> x.held() ? ": it came to hold"
+          .filter(x -> x.epoch() == epoch).findFirst().map(x -> x.held() ? ": it came into force"
               : ": " + x.why()).orElse(""));
     }
     if (change.stage() != PolicyChange.Stage.PREPARING) {
@@ -112,7 +115,7 @@
     endChange(nowMs, false, "aborted by " + by);
   }
 
-  /** Another steward leads: what its predecessor's clock says of a moment to come is not known. */
+  /** Another leader was elected: its clock is unrelated to the switch time by its predecessor's clock. */
   public void onLeaderElected(double nowMs) {
     if (change != null
         && (change.stage() == PolicyChange.Stage.DECIDED || change.stage() == PolicyChange.Stage.UNSURE)) {
@@ -120,7 +123,7 @@
     }
   }
 
-  /** Goes on by what the processes have said until now. */
+  /** Advances the change by what the processes have reported so far. */
   public void advance(double nowMs, List<EpochMember> members) {
     if (change != null && change.stage() == PolicyChange.Stage.PREPARING) {
       advancePreparation(nowMs, members);
@@ -142,7 +145,8 @@
     long epoch = change.document().epoch();
     List<EpochMember> refusing = members.stream().filter(x -> x.word().refused() == epoch).toList();
     if (!refusing.isEmpty()) {
-      endChange(nowMs, false, refusing.get(0).name() + " says no: " + refusing.get(0).word().why());
+      endChange(nowMs, false,
+          refusing.get(0).name() + " refuses the change: " + refusing.get(0).word().why());
     } else if (members.stream().allMatch(x -> x.isReadyFor(epoch, nowMs))) {
       change = change.withStage(PolicyChange.Stage.DECIDED, nowMs, nowMs + settings.marginMs());
     } else if (nowMs - change.sinceMs() >= settings.prepareMs()) {
@@ -152,7 +156,7 @@
     }
   }
 
-  /** Who holds the change up, in words; empty where nobody does. */
+  /** The names of the members that delay the change, as text; empty if none does. */
   public String describeBlockers(double nowMs, List<EpochMember> members) {
     if (change == null) {
       return "";
@@ -176,7 +180,7 @@
     change = null;
   }
 
-  /** What a door is told. */
+  /** The view for the answer to a heartbeat. */
   public EpochView view(double nowMs) {
     return new EpochView(nowMs, current.epoch(), current.hash(), change == null ? 0
         : change.document().epoch(),
@@ -184,7 +188,10 @@
         change == null ? 0 : change.holdMs(), settings.fenceMs(), settings.marginMs());
   }
 
-  /** The document of that epoch, as long as any door may need it; null for others. */
+  /**
+   * The document of an epoch that a door may need: of the change in progress, current or previous; otherwise
+   * null.
+   */
   public PolicyDocument document(long epoch) {
     if (change != null && change.document().epoch() == epoch) {
       return change.document();
--- a/policy/src/main/java/willowdoor/epoch/EpochEvent.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochEvent.java
@@ -1,20 +1,22 @@
 package willowdoor.epoch;
 
-/** What a door's side of policies is told. */
+/** The events that an {@link EpochParticipant} handles. */
 public sealed interface EpochEvent {
 
   /**
    * A heartbeat was answered.
    *
-   * @param number of the heartbeat, counted up
-   * @param sentMs by the door's clock when it went
+   * @param number the number of the heartbeat, assigned in ascending order
+   * @param sentMs when the heartbeat was sent, in milliseconds of the door's monotonic clock
    */
   record HeartbeatAnswered(long number, double sentMs, EpochView view) implements EpochEvent { }
 
-  /** A document that was asked for is here, checked, built and written down: it may hold at any moment. */
+  /**
+   * A requested document was fetched, checked, built and stored: the policy may come into force at any time.
+   */
   record Ready(long epoch) implements EpochEvent { }
 
-  /** A document that was asked for can't be had here. */
+  /** A requested document cannot be used by this door. */
   record PrepareFailed(long epoch, String why) implements EpochEvent { }
 
   /** Time has passed. */
--- a/policy/src/main/java/willowdoor/epoch/EpochParticipant.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochParticipant.java
@@ -13,26 +13,27 @@
 import willowdoor.epoch.EpochEvent.Ready;
 
 /**
- * A door's side of changes of policy: by which policy it may decide at a moment of its own clock. It does no
- * I/O, reads no clock and starts no thread.
+ * The door's side of policy changes, as a pure state machine: it tells by which policy the door may decide at
+ * a time of the door's monotonic clock. It does no I/O, reads no clock and starts no thread.
  *
- * <p>What the door knows of the record's time comes with an answered heartbeat: it was agreed on after the
- * heartbeat went and before its answer came. From there on the record's time is bounded from both sides by
- * the door's clock and the drift of both. The old policy decides alone only while even the upper bound is
- * before the moment of the change, the new one only once even the lower bound is past it; in between a
- * request has to pass under both. So no request is decided by the old one after any door has decided by the
- * new one, in true time.
+ * <p>The door learns the replicated time from answered heartbeats: a heartbeat is committed after it was sent
+ * and before its answer arrives. From then on, the door's clock and the maximum drift of both clocks bound
+ * the replicated time from both sides. The old policy decides alone only while even the upper bound is before
+ * the switch time, and the new policy alone only once even the lower bound has reached it; in between, a
+ * request has to pass under both policies. So, in real time, no request is decided by the old policy alone
+ * after any door has decided by the new policy alone.
  *
- * <p>A door that hears nothing doesn't know what was decided. Once it has said yes, a decision may have come
- * at any moment since its last answered heartbeat, so it goes by the old policy for one margin from there.
- * After that it refuses, or lets pass what passes under both, as it is set up. After a fence it refuses in
- * any case: the record has stopped waiting for it.
+ * <p>A door without contact does not know what was decided. Once the door has accepted the change, the
+ * decision may have been made at any time since its last answered heartbeat, so the door uses the old policy
+ * for one margin from the sending of that heartbeat. After that the door refuses requests, or admits what
+ * passes under both policies, as configured. After the fence time the door refuses requests in any case,
+ * because the replicas have stopped waiting for it.
  */
 public final class EpochParticipant {
 
   private final double maxDrift;
   private final boolean serveBothWhenUnsure;
-  /** Which epoch it goes by; {@link ActivePolicy#NONE} before it was told. */
+  /** The epoch that the door uses, or {@link ActivePolicy#NONE} if it has none. */
   private long heldEpoch;
   private long readyEpoch = ActivePolicy.NONE;
   private long requestedEpoch = ActivePolicy.NONE;
@@ -45,24 +46,23 @@
   private ActivePolicy activePolicy = ActivePolicy.refuseAll();
 
   /**
-   * Of a process that has heard nothing yet.
+   * Creates the participant for a process that has received no answer yet.
    *
-   * @param maxDrift the most that a clock runs wrong, as a part of the time that passes
-   * @param serveBothWhenUnsure whether what passes under both policies is served while it isn't known which
-   * one
-   *     holds; otherwise everything is refused then
-   * @param keptEpoch the epoch whose document it has kept and built, or {@link ActivePolicy#NONE}
+   * @param maxDrift the maximum rate error of a clock, as a fraction of the elapsed time; from 0 to below 0.5
+   * @param serveBothWhenUnsure whether requests that pass under both policies are served while the policy in
+   *     force is unknown; otherwise all requests are refused then
+   * @param keptEpoch the epoch whose document the door has stored and built, or {@link ActivePolicy#NONE}
    */
   public EpochParticipant(double maxDrift, boolean serveBothWhenUnsure, long keptEpoch) {
     if (!(maxDrift >= 0 && maxDrift < 0.5)) {
-      throw new IllegalArgumentException("drift " + maxDrift + " (expected: 0 to 0.5)");
+      throw new IllegalArgumentException("drift " + maxDrift + " (expected: from 0 to below 0.5)");
     }
     this.maxDrift = maxDrift;
     this.serveBothWhenUnsure = serveBothWhenUnsure;
     heldEpoch = keptEpoch;
   }
 
-  /** By which policies a request that is taken now is decided. */
+  /** The policies that decide a request at {@code nowMs} of the door's monotonic clock. */
   public ActivePolicy policyAt(double nowMs) {
     if (nowMs >= activePolicy.untilMs()) {
       activePolicy = computePolicy(nowMs);
@@ -70,13 +70,13 @@
     return activePolicy;
   }
 
-  /** What is said with heartbeats. */
+  /** The report that goes out with heartbeats. */
   public EpochMember.Report report() {
-    return new EpochMember
-        .Report(Math.max(0, heldEpoch), Math.max(0, readyEpoch), refusedEpoch, refusalReason);
+    return new EpochMember.Report(Math.max(0, heldEpoch), Math.max(0, readyEpoch), refusedEpoch,
+        refusalReason);
   }
 
-  /** Takes an event at its time. */
+  /** Handles an event at the given time of the door's monotonic clock, in milliseconds. */
   public List<EpochAction> handle(double nowMs, EpochEvent event) {
     List<EpochAction> actions = new ArrayList<>();
     EpochMember.Report previousReport = report();
@@ -99,7 +99,7 @@
     return actions;
   }
 
-  /** One that another has overtaken tells nothing new. */
+  /** Applies an answer, unless a later answer has overtaken it. */
   private void onHeartbeatAnswered(double nowMs, HeartbeatAnswered e) {
     if (e.number() > heartbeatNumber && (view == null || e.view().nowMs() >= view.nowMs())) {
       heartbeatNumber = e.number();
@@ -109,7 +109,7 @@
     }
   }
 
-  /** What is to be prepared, kept or dropped by what it knows now. */
+  /** Determines which documents have to be prepared, adopted or dropped. */
   private void updateDocuments(double nowMs, List<EpochAction> actions) {
     if (view == null) {
       return;
@@ -133,16 +133,17 @@
     }
   }
 
+  /** The smallest ratio of the rates of two clocks within the drift; its inverse is the largest. */
   private double clockRatio() {
     return (1 - maxDrift) / (1 + maxDrift);
   }
 
-  /** By the door's clock, when the record's time may be this at the earliest. */
+  /** The earliest time of the door's clock at which the replicated time may be {@code recordMs}. */
   private double earliestMs(double recordMs) {
     return sentMs + (recordMs - view.nowMs()) * clockRatio();
   }
 
-  /** By the door's clock, when the record's time is this at the latest. */
+  /** The time of the door's clock by which the replicated time is {@code recordMs} at the latest. */
   private double latestMs(double recordMs) {
     return answeredMs + (recordMs - view.nowMs()) / clockRatio();
   }
--- a/policy/src/main/java/willowdoor/epoch/EpochSettings.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochSettings.java
@@ -1,25 +1,26 @@
 package willowdoor.epoch;
 
 /**
- * What a fleet agrees on changes of policy by. Times are milliseconds.
+ * The time limits of policy changes, in milliseconds.
  *
- * @param fenceMs a door that has not heard the stewards for so long, by its own clock, decides nothing any
- *     more; one that is not reached holds a change up for so long
- * @param marginMs between the decision and the moment from which it holds; a door that said yes and hears
- *     nothing for so long no longer decides by the old policy alone
- * @param prepareMs a change that is not prepared everywhere by then is aborted
+ * @param fenceMs a door without an answer from the replicas for this long, by its own clock, refuses all
+ *     requests; an unreachable door delays a change by this long
+ * @param marginMs the time between the decision and the switch to the new policy; a door that accepted the
+ *     change and has no contact for this long no longer decides by the old policy alone
+ * @param prepareMs a change that some door has not prepared after this time is aborted
  */
 public record EpochSettings(double fenceMs, double marginMs, double prepareMs) {
 
-  /** A minute, three seconds, and five minutes. */
+  /** The defaults: a fence of 1 minute, a margin of 3 seconds, and a prepare timeout of 5 minutes. */
   public static final EpochSettings DEFAULTS = new EpochSettings(60_000, 3_000, 300_000);
 
-  /** Checked. */
+  /** Rejects values that are not positive, not finite or not in ascending order. */
   public EpochSettings {
     if (!(marginMs > 0 && marginMs <= fenceMs && fenceMs <= prepareMs
         && prepareMs < Double.POSITIVE_INFINITY)) {
       throw new IllegalArgumentException("margin_ms " + marginMs + ", fence_ms " + fenceMs + ", prepare_ms "
-          + prepareMs + " (expected: above 0, none above the one after it)");
+          + prepareMs + " (expected: above 0 and finite; margin_ms at most fence_ms,"
+          + " fence_ms at most prepare_ms)");
     }
   }
 }
--- a/policy/src/main/java/willowdoor/epoch/EpochState.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochState.java
@@ -3,25 +3,26 @@
 import java.util.List;
 
 /**
- * All that the record knows of policies; one that is made from this goes on as the first would.
+ * A snapshot of the replicated state of policies. A coordinator restored from a snapshot continues exactly as
+ * the original.
  *
- * @param last the epoch that was given out last
- * @param current what is in force
- * @param previous what was in force before; {@link PolicyDocument#NONE} where there was none
- * @param change what is under way; null for nothing
- * @param log of changes that are over, the oldest first
+ * @param last the epoch that was assigned last
+ * @param current the policy in force
+ * @param previous the policy that was in force before; {@link PolicyDocument#NONE} if there was none
+ * @param change the change in progress, or null
+ * @param log the completed and aborted changes, the oldest first
  */
 public record EpochState(EpochSettings terms, long last, PolicyDocument current, PolicyDocument previous,
     PolicyChange change,
     List<PastChange> log) {
 
-  /** Before the first change. */
-  public static final EpochState INITIAL =
-      new EpochState(EpochSettings.DEFAULTS, 0, PolicyDocument.NONE, PolicyDocument.NONE,
+  /** The state before the first change. */
+  public static final EpochState INITIAL = new EpochState(EpochSettings.DEFAULTS, 0, PolicyDocument.NONE,
+      PolicyDocument.NONE,
       null,
       List.of());
 
-  /** Keeps a copy. */
+  /** Makes a defensive copy. */
   public EpochState {
     log = List.copyOf(log);
   }
--- a/policy/src/main/java/willowdoor/epoch/EpochView.java
+++ b/policy/src/main/java/willowdoor/epoch/EpochView.java
@@ -1,14 +1,16 @@
 package willowdoor.epoch;
 
 /**
- * What a door is told of policies in the answer to a heartbeat; documents themselves are asked for by their
- * epochs.
+ * The replicated state of policies that a door receives in the answer to a heartbeat. The door fetches the
+ * documents themselves by their epochs.
  *
- * @param nowMs the record's time as the heartbeat was agreed on
- * @param current the epoch in force, and its hash
- * @param next the epoch that is under way, 0 for none, and its hash
- * @param stage of the change under way; null for none
- * @param holdMs by the record's time from when on it holds
+ * @param nowMs the replicated time at which the heartbeat was committed, in milliseconds
+ * @param current the epoch in force
+ * @param hash the hash of the document in force
+ * @param next the epoch of the change in progress, or 0
+ * @param nextHash the hash of the document of that change; empty if there is none
+ * @param stage the stage of the change in progress, or null
+ * @param holdMs the replicated time from which the new policy is in force, in milliseconds
  */
 public record EpochView(double nowMs, long current, String hash, long next, String nextHash,
     PolicyChange.Stage stage,
--- a/policy/src/main/java/willowdoor/epoch/PastChange.java
+++ b/policy/src/main/java/willowdoor/epoch/PastChange.java
@@ -1,10 +1,13 @@
 package willowdoor.epoch;
 
 /**
- * A change that is over, as the log of changes has it.
+ * A completed or aborted policy change.
  *
- * @param held whether it came to hold; otherwise it was aborted
- * @param why it was aborted, in words; empty where it came to hold
+ * @param by who proposed the change
+ * @param reason why the change was proposed
+ * @param held whether the policy came into force; otherwise the change was aborted
+ * @param why the reason for the abort; empty if the policy came into force
+ * @param atMs the replicated time at which the change ended, in milliseconds
  */
 public record PastChange(long epoch, String hash, String by, String reason, boolean held, String why,
     double atMs) { }
--- a/policy/src/main/java/willowdoor/epoch/PolicyChange.java
+++ b/policy/src/main/java/willowdoor/epoch/PolicyChange.java
@@ -1,27 +1,28 @@
 package willowdoor.epoch;
 
 /**
- * A change of policy that is under way.
+ * A policy change in progress.
  *
- * @param document what is to hold; its epoch is the change's name
- * @param sinceMs when it came to its stage, by the record's time
- * @param holdMs by the record's time from when on it holds; meaningless while it is prepared
+ * @param document the new policy; its epoch identifies the change
+ * @param sinceMs the replicated time at which the change reached its stage, in milliseconds
+ * @param holdMs the replicated time from which the new policy is in force, in milliseconds; meaningless in
+ *     stage {@link Stage#PREPARING}
  */
 public record PolicyChange(PolicyDocument document, Stage stage, double sinceMs, double holdMs) {
 
-  /** How far it has come. It may be aborted in the first stage only. */
+  /** The stages of a change, which can be aborted only in the first stage. */
   public enum Stage {
-    /** Doors read it, hold it against their own bounds, and say yes or no. */
+    /** Doors read the document, check it against their own limits, and accept or refuse it. */
     PREPARING,
-    /** It will hold from its moment on, whatever comes. */
+    /** The change is decided: the new policy will be in force from the switch time on. */
     DECIDED,
     /**
-     * The same, but the leader whose clock the moment was told by is gone. Some doors may believe it past by
-     * that clock, so none decides by the old policy alone any more, and none that hears this alone by the new
-     * one before the new moment.
+     * The change is decided, but the leader whose clock defined the switch time is gone. Some doors may
+     * believe that the old switch time has passed. So no door decides by the old policy alone any more, and a
+     * door that learns of this stage does not decide by the new policy alone before the new switch time.
      */
     UNSURE,
-    /** It holds; not all doors have said that they go by it. */
+    /** The new policy is in force; not all doors have reported that they use it. */
     HOLDS
   }
 
--- a/policy/src/main/java/willowdoor/epoch/PolicyDocument.java
+++ b/policy/src/main/java/willowdoor/epoch/PolicyDocument.java
@@ -6,20 +6,21 @@
 import java.util.HexFormat;
 
 /**
- * A policy as all doors are to have it, under its epoch. What it says is for its readers; here it is text.
+ * A policy document for all doors, identified by its epoch. The text is opaque here.
  *
- * @param epoch counted up over all documents that were ever proposed; 0 for none
- * @param hash of the text (SHA-256, in hexadecimal)
- * @param replaces the epoch that was in force when it was written
+ * @param epoch assigned in ascending order to all documents that were ever proposed; 0 for none
+ * @param hash the SHA-256 hash of the text, in hexadecimal
+ * @param by who proposed the document
+ * @param replaces the epoch that was in force when the document was written
  */
 public record PolicyDocument(long epoch, String hash, String text, String by, String reason, long replaces) {
 
-  /** Longer ones are refused, in UTF-8 bytes; so that one goes into a command. */
+  /** The maximum length of a text in UTF-8 bytes, so that a document fits into one command. */
   public static final int MAX_BYTES = 1_000_000;
-  /** Before the first change each door goes by its own file. */
+  /** No document: before the first change each door uses its own file. */
   public static final PolicyDocument NONE = new PolicyDocument(0, "", "", "", "", 0);
 
-  /** The hash of a text. */
+  /** The SHA-256 hash of a text, in hexadecimal. */
   public static String hash(String text) {
     try {
       return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256")
@@ -29,7 +30,7 @@
     }
   }
 
-  /** Whether it is whole. */
+  /** Whether the text has the hash that the document states. */
   public boolean hashMatches() {
     return hash.equals(hash(text));
   }
--- a/steward/src/main/java/willowdoor/steward/Codec.java
+++ b/steward/src/main/java/willowdoor/steward/Codec.java
@@ -8,16 +8,30 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.jsontype.NamedType;
 import java.io.IOException;
+import java.util.Map;
 import willowdoor.agreement.Command;
 import willowdoor.agreement.Outcome;
 import willowdoor.agreement.State;
 
-/** Commands, outcomes, snapshots and what links carry as JSON, each kind by its name in {@code is}. */
+/**
+ * Encodes commands, outcomes, snapshots and the messages of links as JSON. Each object of a sealed family
+ * states its type in the property {@code is}.
+ */
 public final class Codec {
 
-  /** No command may be longer, in bytes: some 1,000 heartbeats, or 10,000 backends. */
+  /** The maximum size of a command in bytes: about 1,000 heartbeats, or 10,000 backends. */
   static final int MAX_COMMAND_BYTES = 1 << 20;
 
+  /** The names of types in the property {@code is} where they differ from the simple names of the classes. */
+  private static final Map<Class<?>, String> OUTER_NAMES = Map.of(
+      Command.LeaderElected.class, "Lead",
+      Command.Heartbeats.class, "Beats",
+      Command.UpdateBackends.class, "Sight",
+      Command.RequestPermit.class, "Ask",
+      Command.ReturnPermit.class, "Return",
+      Outcome.ReleaseStarted.class, "Begun",
+      Outcome.HeartbeatsRecorded.class, "Beaten");
+
   private static final ObjectMapper JSON = mapper();
 
   private Codec() {
@@ -26,7 +40,7 @@
   @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
   private interface TypeInProperty { }
 
-  /** The same for further families of messages, each sealed. */
+  /** Creates a mapper that also handles these further sealed families of messages. */
   public static ObjectMapper mapperFor(Class<?>... roots) {
     ObjectMapper mapper = mapper();
     for (Class<?> root : roots) {
@@ -38,7 +52,8 @@
   private static void registerSubtypes(ObjectMapper mapper, Class<?> root) {
     mapper.addMixIn(root, TypeInProperty.class);
     for (Class<?> subtype : root.getPermittedSubclasses()) {
-      mapper.registerSubtypes(new NamedType(subtype, subtype.getSimpleName()));
+      mapper.registerSubtypes(new NamedType(subtype,
+          OUTER_NAMES.getOrDefault(subtype, subtype.getSimpleName())));
     }
   }
 
@@ -53,9 +68,9 @@
   }
 
   /**
-   * As the log has it.
+   * Encodes a command as a log entry.
    *
-   * @throws IllegalArgumentException where it is longer than a command may be
+   * @throws IllegalArgumentException if the encoded command is longer than a command may be
    */
   public static byte[] bytes(Command command) {
     byte[] bytes = write(command, Command.class);
@@ -66,7 +81,7 @@
     return bytes;
   }
 
-  /** As a snapshot has it. */
+  /** Encodes the state for a snapshot. */
   public static byte[] bytes(State state) {
     return write(state, State.class);
   }
@@ -87,7 +102,7 @@
     return read(bytes, State.class);
   }
 
-  /** What cannot be read is named, with where. */
+  /** Decodes a value; the exception for invalid input names the expected kind and the place of the error. */
   private static <T> T read(byte[] bytes, Class<T> type) {
     try {
       return JSON.readValue(bytes, type);
