--- a/authz/src/main/java/willowdoor/extauthz/Answers.java
+++ b/authz/src/main/java/willowdoor/extauthz/Answers.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import willowdoor.extauthz.ExtAuthzSettings.AnswerBounds;
 import willowdoor.extauthz.Grant.Change;
-import willowdoor.extauthz.Grant.How;
+import willowdoor.extauthz.Grant.HeaderAction;
 
 /**
  * Reads an authoriser's answer.
@@ -34,24 +34,24 @@
 final class Answers {
 
   /** What an answer comes to. */
-  sealed interface Read { }
+  sealed interface Reading { }
 
   /** It allows, and may be used again for so long. */
-  record Allowed(Grant grant, double allowForMs) implements Read { }
+  record Allowed(Grant grant, double allowForMs) implements Reading { }
 
-  record Denied(Denial denial) implements Read { }
+  record Denied(Denial denial) implements Reading { }
 
   /** The authoriser tells that it could not decide. */
-  record Undecided(String why) implements Read { }
+  record Undecided(String why) implements Reading { }
 
   /** It breaks the protocol. */
-  record Bad(String why) implements Read { }
+  record Malformed(String why) implements Reading { }
 
   /** The field of dynamic_metadata by which an authoriser permits to use its allow again, milliseconds. */
   static final String ALLOW_FOR_MS = "allow_for_ms";
-  private static final int LONGEST_METADATA = 1_024;
-  private static final int LEAST_STATUS = 300;
-  private static final int MOST_STATUS = 599;
+  private static final int MAX_METADATA_CHARS = 1_024;
+  private static final int MIN_DENIAL_STATUS = 300;
+  private static final int MAX_DENIAL_STATUS = 599;
   /** Has no body (RFC 9110, 15.4.5): what follows would be read as another answer. */
   private static final int NOT_MODIFIED = 304;
 
@@ -61,22 +61,22 @@
     this.bounds = bounds;
   }
 
-  Read read(CheckResponse answer) {
+  Reading read(CheckResponse answer) {
     Code code = code(answer.getStatus().getCode());
     String metadata = answer.hasDynamicMetadata() ? text(answer.getDynamicMetadata()) : null;
     if (code == Code.OK) {
       if (answer.hasDeniedResponse()) {
-        return new Bad("status OK with a denied response");
+        return new Malformed("status OK with a denied response");
       }
       return allowed(answer, metadata);
     }
     if (answer.hasOkResponse()) {
-      return new Bad("status " + code + " with an OK response");
+      return new Malformed("status " + code + " with an OK response");
     }
     return switch (code) {
       case UNAVAILABLE, DEADLINE_EXCEEDED, CANCELLED, ABORTED, INTERNAL, UNKNOWN, DATA_LOSS, UNIMPLEMENTED ->
           answer.getDeniedResponse().getStatus().getCodeValue() != 0 ? denied(answer, code, metadata)
-              : new Undecided("status " + code + " " + cut(answer.getStatus().getMessage()));
+              : new Undecided("status " + code + " " + truncate(answer.getStatus().getMessage()));
       default -> denied(answer, code, metadata);
     };
   }
@@ -85,24 +85,24 @@
     return io.grpc.Status.fromCodeValue(number).getCode();
   }
 
-  private Read allowed(CheckResponse answer, String metadata) {
+  private Reading allowed(CheckResponse answer, String metadata) {
     OkHttpResponse ok = answer.getOkResponse();
     if (ok.getQueryParametersToSetCount() > 0 || ok.getQueryParametersToRemoveCount() > 0) {
-      return new Bad("changes the query (expected: headers only)");
+      return new Malformed("changes the query (expected: headers only)");
     }
     if (ok.getHeadersCount() + ok.getHeadersToRemoveCount() + ok.getResponseHeadersToAddCount()
         > bounds.headers()) {
-      return new Bad("names more than " + bounds.headers() + " headers");
+      return new Malformed("names more than " + bounds.headers() + " headers");
     }
     List<Change> changes = new ArrayList<>();
     List<Change> forClient = new ArrayList<>();
     int bytes = 0;
     for (String name : ok.getHeadersToRemoveList()) {
       if (!HeaderRules.isName(name)) {
-        return new Bad("removes what is no header: " + cut(name));
+        return new Malformed("removes what is no header: " + truncate(name));
       }
-      if (!HeaderRules.kept(name)) {
-        changes.add(new Change(How.REMOVE, name, null));
+      if (!HeaderRules.isProtected(name)) {
+        changes.add(new Change(HeaderAction.REMOVE, name, null));
       }
       bytes += name.length();
     }
@@ -111,16 +111,17 @@
         String name = o.getHeader().getKey();
         String value = value(o.getHeader());
         if (!HeaderRules.isName(name) || !HeaderRules.isValue(value)) {
-          return new Bad("sets what is no header: " + cut(name));
+          return new Malformed("sets what is no header: " + truncate(name));
         }
-        if (!HeaderRules.kept(name)) {
-          (client ? forClient : changes).add(new Change(client ? How.APPEND : how(o), name, value));
+        if (!HeaderRules.isProtected(name)) {
+          (client ? forClient : changes).add(new Change(client ? HeaderAction.APPEND : how(o), name, value));
         }
         bytes += name.length() + value.length();
       }
     }
     if (bytes > bounds.headerBytes()) {
-      return new Bad("names headers of " + bytes + " bytes (expected: at most " + bounds.headerBytes() + ")");
+      return new Malformed("names headers of " + bytes + " bytes (expected: at most " + bounds.headerBytes()
+          + ")");
     }
     return new Allowed(new Grant(List.copyOf(changes), List.copyOf(forClient), metadata),
         allowFor(answer.getDynamicMetadata()));
@@ -131,11 +132,11 @@
     return v != null && v.hasNumberValue() && v.getNumberValue() > 0 ? v.getNumberValue() : 0;
   }
 
-  private Read denied(CheckResponse answer, Code code, String metadata) {
+  private Reading denied(CheckResponse answer, Code code, String metadata) {
     DeniedHttpResponse denied = answer.getDeniedResponse();
     int status = denied.getStatus().getCodeValue();
-    if (status < LEAST_STATUS || status > MOST_STATUS || status == NOT_MODIFIED) {
-      status = usualStatus(code);
+    if (status < MIN_DENIAL_STATUS || status > MAX_DENIAL_STATUS || status == NOT_MODIFIED) {
+      status = defaultStatus(code);
     }
     List<Change> headers = new ArrayList<>();
     int bytes = 0;
@@ -146,7 +147,7 @@
       if (headers.size() >= bounds.headers() || bytes > bounds.headerBytes()) {
         break;
       }
-      if (HeaderRules.isName(name) && HeaderRules.isValue(value) && !HeaderRules.kept(name)) {
+      if (HeaderRules.isName(name) && HeaderRules.isValue(value) && !HeaderRules.isProtected(name)) {
         headers.add(new Change(how(o), name, value));
       }
     }
@@ -155,7 +156,7 @@
         body.substring(0, Math.min(body.size(), bounds.deniedBodyBytes())).toByteArray(), metadata));
   }
 
-  private static int usualStatus(Code code) {
+  private static int defaultStatus(Code code) {
     return switch (code) {
       case UNAUTHENTICATED -> 401;
       case RESOURCE_EXHAUSTED -> 429;
@@ -174,14 +175,14 @@
   /** By the old flag where it is set; without either, a header is overwritten, as the protocol has it here.
   */
   @SuppressWarnings("deprecation")
-  private static How how(HeaderValueOption option) {
+  private static HeaderAction how(HeaderValueOption option) {
     if (option.hasAppend()) {
-      return option.getAppend().getValue() ? How.APPEND : How.OVERWRITE;
+      return option.getAppend().getValue() ? HeaderAction.APPEND : HeaderAction.OVERWRITE;
     }
     return switch (option.getAppendAction()) {
-      case ADD_IF_ABSENT -> How.ADD_IF_ABSENT;
-      case OVERWRITE_IF_EXISTS -> How.OVERWRITE_IF_THERE;
-      default -> How.OVERWRITE;
+      case ADD_IF_ABSENT -> HeaderAction.ADD_IF_ABSENT;
+      case OVERWRITE_IF_EXISTS -> HeaderAction.OVERWRITE_IF_THERE;
+      default -> HeaderAction.OVERWRITE;
     };
   }
 
@@ -189,10 +190,10 @@
     StringBuilder text = new StringBuilder();
     metadata.getFieldsMap().forEach((name, value) -> text.append(text.isEmpty() ? "" : ", ").append(name)
         .append('=').append(value.toString().trim()));
-    return text.length() > LONGEST_METADATA ? text.substring(0, LONGEST_METADATA) : text.toString();
+    return text.length() > MAX_METADATA_CHARS ? text.substring(0, MAX_METADATA_CHARS) : text.toString();
   }
 
-  static String cut(String text) {
+  static String truncate(String text) {
     return text.length() > 200 ? text.substring(0, 200) : text;
   }
 }
--- a/authz/src/main/java/willowdoor/extauthz/AuthoriserLink.java
+++ b/authz/src/main/java/willowdoor/extauthz/AuthoriserLink.java
@@ -29,7 +29,7 @@
  */
 final class AuthoriserLink {
 
-  private static final int LARGEST_METADATA = 8 * 1024;
+  private static final int MAX_METADATA_BYTES = 8 * 1024;
   private static final long IDLE_DAYS = 30;
 
   /** A call's one end. */
@@ -46,25 +46,25 @@
 
   private final Link link;
   private final EventLoopGroup group;
-  private final Class<? extends Channel> sockets;
-  private final int largestAnswer;
+  private final Class<? extends Channel> channelType;
+  private final int maxAnswerBytes;
   private ManagedChannel channel;
 
   /** Connects at once; for the loop, where the TLS context is null or made already. */
-  AuthoriserLink(Link link, EventLoopGroup group, Class<? extends Channel> sockets, int largestAnswer,
+  AuthoriserLink(Link link, EventLoopGroup group, Class<? extends Channel> channelType, int maxAnswerBytes,
       SslContext tls) {
     this.link = link;
     this.group = group;
-    this.sockets = sockets;
-    this.largestAnswer = largestAnswer;
+    this.channelType = channelType;
+    this.maxAnswerBytes = maxAnswerBytes;
     channel = open(tls);
   }
 
   private ManagedChannel open(SslContext tls) {
     NettyChannelBuilder builder = NettyChannelBuilder.forAddress(link.address()).eventLoopGroup(group)
-        .channelType(sockets).directExecutor().disableServiceConfigLookUp()
+        .channelType(channelType).directExecutor().disableServiceConfigLookUp()
         .withOption(ChannelOption.ALLOCATOR, ByteBufAllocator.DEFAULT)
-        .maxInboundMessageSize(largestAnswer).maxInboundMetadataSize(LARGEST_METADATA)
+        .maxInboundMessageSize(maxAnswerBytes).maxInboundMetadataSize(MAX_METADATA_BYTES)
         .idleTimeout(IDLE_DAYS, TimeUnit.DAYS).userAgent("willowdoor")
         .keepAliveTime((long) link.keepAliveMs(), TimeUnit.MILLISECONDS)
         .keepAliveTimeout((long) link.keepAliveAnswerMs(), TimeUnit.MILLISECONDS)
@@ -104,7 +104,7 @@
   }
 
   /** Sees whether a call's stream was written to a connection. */
-  private static final class Reach extends ClientStreamTracer.Factory {
+  private static final class StreamWrittenTracer extends ClientStreamTracer.Factory {
     private boolean reached;
 
     @Override
@@ -131,7 +131,7 @@
     if (probe && channel.getState(false) == ConnectivityState.TRANSIENT_FAILURE) {
       channel.resetConnectBackoff();
     }
-    Reach reach = new Reach();
+    StreamWrittenTracer reach = new StreamWrittenTracer();
     CallOptions options = CallOptions.DEFAULT.withStreamTracerFactory(reach)
         .withDeadlineAfter((long) (limitMs * 1_000), TimeUnit.MICROSECONDS);
     if (probe) {
--- a/authz/src/main/java/willowdoor/extauthz/Checks.java
+++ b/authz/src/main/java/willowdoor/extauthz/Checks.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 import willowdoor.authz.AuthzSettings.Member;
 import willowdoor.extauthz.ExtAuthzSettings.Content;
-import willowdoor.net.Gate.Origin;
+import willowdoor.net.RequestFilter.Origin;
 import willowdoor.policy.GatewayApi.Request;
 
 /** Writes what an authoriser is asked: the request's attributes, as far as its member's content goes. */
@@ -26,7 +26,7 @@
 
   /** As Envoy tells it, whether the body here is only a part. */
   static final String PARTIAL_BODY = "x-envoy-auth-partial-body";
-  private static final int LONGEST_HEADER = 4_096;
+  private static final int MAX_HEADER_CHARS = 4_096;
 
   private Checks() {
   }
@@ -48,7 +48,7 @@
         .putContextExtensions("firm", firm(request))
         .putContextExtensions("units", Double.toString(request.units()))
         .putContextExtensions("member", member.name());
-    if (origin.source() instanceof InetSocketAddress source) {
+    if (origin.remoteAddress() instanceof InetSocketAddress source) {
       attributes.setSource(AttributeContext.Peer.newBuilder().setAddress(Address.newBuilder()
           .setSocketAddress(
           SocketAddress.newBuilder().setAddress(source.getAddress().getHostAddress())
@@ -73,7 +73,8 @@
     for (String name : content.headers()) {
       if (headers.contains(name)) {
         String value = String.join(",", headers.getAll(name));
-        http.putHeaders(name, value.length() > LONGEST_HEADER ? value.substring(0, LONGEST_HEADER) : value);
+        http.putHeaders(name,
+            value.length() > MAX_HEADER_CHARS ? value.substring(0, MAX_HEADER_CHARS) : value);
       }
     }
   }
--- a/authz/src/main/java/willowdoor/extauthz/ExtAuthzGate.java
+++ b/authz/src/main/java/willowdoor/extauthz/ExtAuthzGate.java
@@ -44,7 +44,7 @@
 import willowdoor.authz.AuthzEngine;
 import willowdoor.extauthz.ExtAuthzSettings.Link;
 import willowdoor.net.FrontDoor;
-import willowdoor.net.Gate;
+import willowdoor.net.RequestFilter;
 import willowdoor.policy.GatewayApi.Request;
 
 /**
@@ -52,22 +52,22 @@
  * {@link AuthzEngine} and its actions to the authorisers' channels and the request's passage; it chooses
  * nothing. All on the door's loop, but for TLS files and the log, which one thread of its own sees to.
  */
-public final class ExtAuthzGate implements Gate, AutoCloseable {
+public final class ExtAuthzGate implements RequestFilter, AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(ExtAuthzGate.class.getName());
-  private static final long WRITE_MS = 50;
+  private static final long LOG_WRITE_INTERVAL_MS = 50;
 
   private final ExtAuthzSettings settings;
   private final String door;
   private final EventLoop loop;
   private final DoubleSupplier clock;
-  private final AuthzEngine keeper;
+  private final AuthzEngine gatekeeper;
   private final Answers answers;
   private final List<AuthoriserLink> links = new ArrayList<>();
-  private final Map<String, Held> held = new HashMap<>();
-  private final ArrayDeque<AuthzEvent> inbox = new ArrayDeque<>();
+  private final Map<String, PendingRequest> pendingRequests = new HashMap<>();
+  private final ArrayDeque<AuthzEvent> eventQueue = new ArrayDeque<>();
   private final DecisionLog log;
-  private final ScheduledExecutorService errands;
+  private final ScheduledExecutorService backgroundExecutor;
   private boolean delivering;
 
   private ExtAuthzGate(ExtAuthzSettings settings, String door, EventLoop loop, DoubleSupplier clock,
@@ -76,10 +76,10 @@
     this.door = door;
     this.loop = loop;
     this.clock = clock;
-    keeper = new AuthzEngine(settings.decisions(), seed);
+    gatekeeper = new AuthzEngine(settings.decisions(), seed);
     answers = new Answers(settings.bounds());
     log = settings.log() == null ? null : new DecisionLog(settings.log());
-    errands = Executors.newSingleThreadScheduledExecutor(task -> {
+    backgroundExecutor = Executors.newSingleThreadScheduledExecutor(task -> {
       Thread t = new Thread(task, "authorisation");
       t.setDaemon(true);
       return t;
@@ -109,27 +109,30 @@
   }
 
   static ExtAuthzGate open(ExtAuthzSettings settings, String door, EventLoopGroup group,
-      Class<? extends Channel> sockets, DoubleSupplier clock, long seed) throws IOException {
+      Class<? extends Channel> channelType, DoubleSupplier clock, long seed) throws IOException {
     ExtAuthzGate gate = new ExtAuthzGate(settings, door, group.next(), clock, seed);
     try {
       for (Link link : settings.links()) {
-        gate.connect(link, group, sockets);
+        gate.connect(link, group, channelType);
       }
     } catch (IOException e) {
       gate.close();
       throw e;
     }
     if (gate.log != null) {
-      gate.errands.scheduleWithFixedDelay(gate.log::write, WRITE_MS, WRITE_MS, TimeUnit.MILLISECONDS);
+      gate.backgroundExecutor
+          .scheduleWithFixedDelay(gate.log::write, LOG_WRITE_INTERVAL_MS, LOG_WRITE_INTERVAL_MS,
+          TimeUnit.MILLISECONDS);
     }
     return gate;
   }
 
-  private void connect(Link link, EventLoopGroup group, Class<? extends Channel> sockets)
+  private void connect(Link link, EventLoopGroup group, Class<? extends Channel> channelType)
       throws IOException {
     TlsFiles files = link.tls() == null ? null : new TlsFiles(link.tls());
     SslContext tls = files == null ? null : files.read();
-    AuthoriserLink opened = new AuthoriserLink(link, group, sockets, settings.bounds().answerBytes(), tls);
+    AuthoriserLink opened =
+        new AuthoriserLink(link, group, channelType, settings.bounds().answerBytes(), tls);
     links.add(opened);
     if (files != null) {
       watch(opened, files);
@@ -138,8 +141,8 @@
 
   /** Takes changed TLS files; while they can't be used, the connection stays by the old ones. */
   private void watch(AuthoriserLink link, TlsFiles files) {
-    long every = (long) link.link().tls().lookMs();
-    errands.scheduleWithFixedDelay(() -> {
+    long every = (long) link.link().tls().checkIntervalMs();
+    backgroundExecutor.scheduleWithFixedDelay(() -> {
       if (files.changed()) {
         try {
           SslContext tls = files.read();
@@ -153,22 +156,22 @@
   }
 
   @Override
-  public boolean concerns(Request request) {
-    return keeper.memberOf(request.className(), request.planName(), request.customer()) != null;
+  public boolean appliesTo(Request request) {
+    return gatekeeper.memberOf(request.className(), request.planName(), request.customer()) != null;
   }
 
   /** Requests without their decision. */
   public int undecided() {
-    return keeper.undecidedCount();
+    return gatekeeper.undecidedCount();
   }
 
   /** One request from its entering to its end. */
-  private final class Held implements Entry {
+  private final class PendingRequest implements FilteredRequest {
     private final Request request;
     private final FullHttpRequest message;
     private final Member member;
-    private final Passage passage;
-    private final double cameMs = clock.getAsDouble();
+    private final Continuation passage;
+    private final double arrivedMs = clock.getAsDouble();
     private final CheckRequest check;
     private final List<DecisionLog.Call> calls = new ArrayList<>(1);
     private ClientCall<CheckRequest, CheckResponse> call;
@@ -177,13 +180,13 @@
     private double decidedMs;
     private String metadata;
 
-    Held(Request request, FullHttpRequest message, Origin origin, Passage passage) {
+    PendingRequest(Request request, FullHttpRequest message, Origin origin, Continuation passage) {
       this.request = request;
       this.message = message;
       this.passage = passage;
-      member = keeper.memberOf(request.className(), request.planName(), request.customer());
+      member = gatekeeper.memberOf(request.className(), request.planName(), request.customer());
       check = Checks.of(request, member, settings.contents().get(settings.decisions().members()
-          .indexOf(member)), message, origin, cameMs);
+          .indexOf(member)), message, origin, arrivedMs);
     }
 
     void arrived() {
@@ -197,9 +200,9 @@
       AuthoriserLink link = links.get(ask.authoriser());
       call = link.check(check, ask.timeoutMs(), ask.probe(), (status, answer, reached) -> {
         double took = clock.getAsDouble() - askedMs;
-        Answers.Read read = status.isOk() ? answers.read(answer) : null;
+        Answers.Reading read = status.isOk() ? answers.read(answer) : null;
         Result result = result(status, read, reached);
-        if (held.get(request.id()) == this) {
+        if (pendingRequests.get(request.id()) == this) {
           calls.add(new DecisionLog.Call(link.link().name(), ask.probe(), ask.timeoutMs(), took, result
               .name(),
               reached, note(status, read)));
@@ -222,11 +225,11 @@
       decided(pass.reason().name());
       Grant grant = (Grant) pass.grant();
       if (grant == null) {
-        passage.pass(null);
+        passage.proceed(null);
       } else {
         metadata = grant.metadata();
         grant.applyTo(message.headers());
-        passage.pass(grant.clientHeaders());
+        passage.proceed(grant.clientHeaders());
       }
     }
 
@@ -243,18 +246,18 @@
 
     /** The last that is heard of it. */
     @Override
-    public void ended(End end) {
+    public void onEnd(RequestEnd end) {
       boolean undecided = decision.equals("none");
       if (undecided) {
         decidedMs = clock.getAsDouble();
         deliver(new RequestEnded(request.id()));
         cancel();
       }
-      held.remove(request.id(), this);
+      pendingRequests.remove(request.id(), this);
       if (log != null) {
-        log.add(new DecisionLog.Entry(cameMs, door, request.id(), member.name(),
+        log.add(new DecisionLog.Entry(arrivedMs, door, request.id(), member.name(),
             Checks.firm(request), request.planName(), request.className(),
-            List.copyOf(calls), decision, decidedMs - cameMs, end.name(), clock.getAsDouble() - cameMs,
+            List.copyOf(calls), decision, decidedMs - arrivedMs, end.name(), clock.getAsDouble() - arrivedMs,
             metadata));
       }
     }
@@ -267,22 +270,23 @@
   }
 
   @Override
-  public Entry enter(Request request, FullHttpRequest message, Origin origin, Passage passage) {
-    Held entered = new Held(request, message, origin, passage);
-    held.put(request.id(), entered);
+  public FilteredRequest filter(Request request, FullHttpRequest message, Origin origin,
+      Continuation passage) {
+    PendingRequest entered = new PendingRequest(request, message, origin, passage);
+    pendingRequests.put(request.id(), entered);
     entered.arrived();
     return entered;
   }
 
   private void deliver(AuthzEvent event) {
-    inbox.add(event);
+    eventQueue.add(event);
     if (delivering) {
       return;
     }
     delivering = true;
     try {
-      for (AuthzEvent e = inbox.poll(); e != null; e = inbox.poll()) {
-        keeper.on(clock.getAsDouble(), e).forEach(this::execute);
+      for (AuthzEvent e = eventQueue.poll(); e != null; e = eventQueue.poll()) {
+        gatekeeper.on(clock.getAsDouble(), e).forEach(this::execute);
       }
     } finally {
       delivering = false;
@@ -291,24 +295,24 @@
 
   private void execute(AuthzAction action) {
     if (action instanceof StartCall a) {
-      held.get(a.id()).ask(a);
+      pendingRequests.get(a.id()).ask(a);
     } else if (action instanceof Pass a) {
-      held.get(a.id()).pass(a);
+      pendingRequests.get(a.id()).pass(a);
     } else if (action instanceof Deny a) {
-      held.get(a.id()).deny();
+      pendingRequests.get(a.id()).deny();
     } else if (action instanceof Refuse a) {
-      held.get(a.id()).refuse(a);
-    } else if (action instanceof CancelCall a && held.containsKey(a.id())) {
-      held.get(a.id()).cancel();
+      pendingRequests.get(a.id()).refuse(a);
+    } else if (action instanceof CancelCall a && pendingRequests.containsKey(a.id())) {
+      pendingRequests.get(a.id()).cancel();
     }
   }
 
-  private static Result result(Status status, Answers.Read read, boolean reached) {
+  private static Result result(Status status, Answers.Reading read, boolean reached) {
     if (read instanceof Answers.Allowed) {
       return Result.ALLOWED;
     } else if (read instanceof Answers.Denied) {
       return Result.DENIED;
-    } else if (read instanceof Answers.Bad) {
+    } else if (read instanceof Answers.Malformed) {
       return Result.BAD_ANSWER;
     } else if (read instanceof Answers.Undecided) {
       return Result.FAILED;
@@ -318,13 +322,14 @@
     return status.getCode() == Status.Code.DEADLINE_EXCEEDED ? Result.TIMED_OUT : Result.FAILED;
   }
 
-  private static String note(Status status, Answers.Read read) {
-    if (read instanceof Answers.Bad b) {
+  private static String note(Status status, Answers.Reading read) {
+    if (read instanceof Answers.Malformed b) {
       return b.why();
     } else if (read instanceof Answers.Undecided u) {
       return u.why();
     }
-    return status.isOk() ? "" : Answers.cut(status.getCode() + " " + String.valueOf(status.getDescription()));
+    return status.isOk() ? ""
+        : Answers.truncate(status.getCode() + " " + String.valueOf(status.getDescription()));
   }
 
   /** Nothing of the request has run: 503, and when asking again may help. */
@@ -333,7 +338,7 @@
         + '\n', StandardCharsets.US_ASCII);
     FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
         HttpResponseStatus.SERVICE_UNAVAILABLE, text);
-    double wait = Math.min(refuse.holdOffMs(), settings.mostAdviceMs());
+    double wait = Math.min(refuse.holdOffMs(), settings.maxRetryAfterMs());
     if (wait > 0) {
       answer.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", wait / 1_000));
     }
@@ -343,7 +348,7 @@
   /** Ends all connections, and writes what the log still has; for a thread that may wait. */
   @Override
   public void close() {
-    errands.shutdownNow();
+    backgroundExecutor.shutdownNow();
     loop.execute(() -> links.forEach(AuthoriserLink::close));
     if (log != null) {
       log.write();
--- a/authz/src/main/java/willowdoor/extauthz/ExtAuthzSettings.java
+++ b/authz/src/main/java/willowdoor/extauthz/ExtAuthzSettings.java
@@ -13,10 +13,10 @@
  * @param contents what a check of each member carries
  * @param bounds of what an authoriser may say
  * @param log the file of decisions, or null for none
- * @param mostAdviceMs refusals name a later moment than this never; 0 means that they give no advice
+ * @param maxRetryAfterMs refusals name a later moment than this never; 0 means that they give no advice
  */
 public record ExtAuthzSettings(AuthzSettings decisions, List<Link> links, List<Content> contents,
-    AnswerBounds bounds, Log log, double mostAdviceMs) {
+    AnswerBounds bounds, Log log, double maxRetryAfterMs) {
 
   /**
    * How one authoriser is reached.
@@ -35,9 +35,9 @@
    * @param certificate this door's own chain for mutual TLS, or null
    * @param key its PKCS 8 key, or null
    * @param serverName the name that the authoriser's certificate must bear
-   * @param lookMs how often the files are looked at for changes
+   * @param checkIntervalMs how often the files are looked at for changes
    */
-  public record Tls(Path ca, Path certificate, Path key, String serverName, double lookMs) { }
+  public record Tls(Path ca, Path certificate, Path key, String serverName, double checkIntervalMs) { }
 
   /**
    * What a check carries of a request.
--- a/authz/src/main/java/willowdoor/extauthz/GateWarmUp.java
+++ b/authz/src/main/java/willowdoor/extauthz/GateWarmUp.java
@@ -41,7 +41,7 @@
 import willowdoor.extauthz.ExtAuthzSettings.AnswerBounds;
 import willowdoor.extauthz.ExtAuthzSettings.Content;
 import willowdoor.extauthz.ExtAuthzSettings.Link;
-import willowdoor.net.Gate;
+import willowdoor.net.RequestFilter;
 import willowdoor.policy.GatewayApi.Request;
 
 /**
@@ -56,13 +56,13 @@
   /** They tell that channels in memory know no TCP option, which gRPC sets on all; held for their levels. */
   private static final List<Logger> BOOTSTRAPS = List.of(Logger.getLogger("io.netty.bootstrap.Bootstrap"),
       Logger.getLogger("io.netty.bootstrap.ServerBootstrap"));
-  private static final int MOST_CHECKS = 4_000;
-  private static final int AT_ONCE = 8;
-  private static final double CHECK_MS = 10_000;
+  private static final int MAX_CHECKS = 4_000;
+  private static final int CONCURRENT_CHECKS = 8;
+  private static final double CHECK_TIMEOUT_MS = 10_000;
 
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, LocalIoHandler.newFactory());
   private final AtomicInteger begun = new AtomicInteger();
-  private final CountDownLatch done = new CountDownLatch(AT_ONCE);
+  private final CountDownLatch done = new CountDownLatch(CONCURRENT_CHECKS);
   private final long untilNanos;
   private ExtAuthzGate gate;
 
@@ -91,11 +91,12 @@
   private int go(long limitMs) throws IOException, InterruptedException {
     LocalAddress address = new LocalAddress(GateWarmUp.class);
     Server server = NettyServerBuilder.forAddress(address).channelType(LocalServerChannel.class)
-        .bossEventLoopGroup(group).workerEventLoopGroup(group).directExecutor().addService(new Made())
+        .bossEventLoopGroup(group).workerEventLoopGroup(group).directExecutor()
+        .addService(new LocalAuthoriser())
         .build().start();
     gate = ExtAuthzGate.open(settings(address), "warm-up", group, LocalChannel.class, GateWarmUp::now, 1);
     try {
-      for (int i = 0; i < AT_ONCE; i++) {
+      for (int i = 0; i < CONCURRENT_CHECKS; i++) {
         group.next().execute(this::next);
       }
       done.await(limitMs, TimeUnit.MILLISECONDS);
@@ -112,7 +113,7 @@
 
   private static ExtAuthzSettings settings(LocalAddress address) {
     Member member = new Member("made-up", List.of(), Set.of(), Set.of("made-up"),
-        List.of(new WeightedAuthoriser(0, 1)), Choice.ORDER, CHECK_MS, 0.1, false, Set.of(), 0, 1);
+        List.of(new WeightedAuthoriser(0, 1)), Choice.ORDER, CHECK_TIMEOUT_MS, 0.1, false, Set.of(), 0, 1);
     return new ExtAuthzSettings(new AuthzSettings(List.of(new Authoriser("made-up", 1_000, 1 << 20)),
         List.of(member), new Health(1_000, 1, 1, 1, 0)), List.of(new Link("made-up", address, null, 60_000,
         10_000)), List.of(new Content(List.of("content-type"), 100)), new AnswerBounds(65_536, 32, 8_192,
@@ -121,35 +122,37 @@
 
   private void next() {
     int number = begun.getAndIncrement();
-    if (number >= MOST_CHECKS || System.nanoTime() > untilNanos) {
+    if (number >= MAX_CHECKS || System.nanoTime() > untilNanos) {
       done.countDown();
       return;
     }
     HttpHeaders headers = new DefaultHttpHeaders().set("content-type", "text/plain");
     FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/made-up/1",
         Unpooled.wrappedBuffer(new byte[50]), headers, new DefaultHttpHeaders());
-    Request request = new Request("made-up-" + number, "made-up", "made-up", number, 1, 1, now() + CHECK_MS);
-    Gate.Entry[] entry = new Gate.Entry[1];
-    entry[0] = gate.enter(request, message, new Gate.Origin(headers, null), new Gate.Passage() {
+    Request request =
+        new Request("made-up-" + number, "made-up", "made-up", number, 1, 1, now() + CHECK_TIMEOUT_MS);
+    RequestFilter.FilteredRequest[] entry = new RequestFilter.FilteredRequest[1];
+    entry[0] = gate
+        .filter(request, message, new RequestFilter.Origin(headers, null), new RequestFilter.Continuation() {
       @Override
-      public void pass(HttpHeaders forClient) {
-        end(Gate.End.SERVED);
+      public void proceed(HttpHeaders forClient) {
+        end(RequestFilter.RequestEnd.SERVED);
       }
 
       @Override
       public void answer(FullHttpResponse answer) {
         answer.release();
-        end(Gate.End.ANSWERED_HERE);
+        end(RequestFilter.RequestEnd.ANSWERED_HERE);
       }
 
       @Override
       public void refuse(double comeBackMs) {
-        end(Gate.End.REFUSED);
+        end(RequestFilter.RequestEnd.REFUSED);
       }
 
-      private void end(Gate.End how) {
+      private void end(RequestFilter.RequestEnd how) {
         group.next().execute(() -> {
-          entry[0].ended(how);
+          entry[0].onEnd(how);
           next();
         });
       }
@@ -157,7 +160,7 @@
   }
 
   /** Allows most, denies some. */
-  private static final class Made extends AuthorizationGrpc.AuthorizationImplBase {
+  private static final class LocalAuthoriser extends AuthorizationGrpc.AuthorizationImplBase {
     private int asked;
 
     @Override
--- a/authz/src/main/java/willowdoor/extauthz/Grant.java
+++ b/authz/src/main/java/willowdoor/extauthz/Grant.java
@@ -12,10 +12,10 @@
 record Grant(List<Change> changes, List<Change> forClient, String metadata) {
 
   /** What is done with a header. */
-  enum How { OVERWRITE, APPEND, ADD_IF_ABSENT, OVERWRITE_IF_THERE, REMOVE }
+  enum HeaderAction { OVERWRITE, APPEND, ADD_IF_ABSENT, OVERWRITE_IF_THERE, REMOVE }
 
   /** One header's change; a removal has no value. */
-  record Change(How how, String name, String value) {
+  record Change(HeaderAction how, String name, String value) {
 
     void applyTo(HttpHeaders headers) {
       switch (how) {
--- a/authz/src/main/java/willowdoor/extauthz/HeaderRules.java
+++ b/authz/src/main/java/willowdoor/extauthz/HeaderRules.java
@@ -16,21 +16,21 @@
   private static final Set<String> PROTOCOL = Set.of("request-id", "request-class", "idempotency-key",
       "x-plan", "x-customer", "x-quota", "request-timeout-ms", "client-retry", "not-started",
       "x-units-charged");
-  private static final int LONGEST_NAME = 128;
+  private static final int MAX_NAME_CHARS = 128;
   private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
 
   private HeaderRules() {
   }
 
   /** Whether no authoriser may touch it. */
-  static boolean kept(String name) {
+  static boolean isProtected(String name) {
     String lower = name.toLowerCase(Locale.ROOT);
     return FRAMING.contains(lower) || PROTOCOL.contains(lower);
   }
 
   /** Whether it is a header's name (RFC 9110, 5.1). */
   static boolean isName(String name) {
-    if (name.isEmpty() || name.length() > LONGEST_NAME) {
+    if (name.isEmpty() || name.length() > MAX_NAME_CHARS) {
       return false;
     }
     for (int i = 0; i < name.length(); i++) {
--- a/authz/src/main/java/willowdoor/extauthz/TlsFiles.java
+++ b/authz/src/main/java/willowdoor/extauthz/TlsFiles.java
@@ -16,7 +16,7 @@
 final class TlsFiles {
 
   private final Tls tls;
-  private List<String> seen;
+  private List<String> lastState;
 
   TlsFiles(Tls tls) {
     this.tls = tls;
@@ -24,7 +24,7 @@
 
   /** The context by the files as they are now. */
   SslContext read() throws IOException {
-    seen = state();
+    lastState = state();
     try {
       SslContextBuilder builder = GrpcSslContexts.forClient().trustManager(tls.ca().toFile());
       if (tls.certificate() != null) {
@@ -40,7 +40,7 @@
 
   /** Whether any file differs from when it was last read or looked at in vain. */
   boolean changed() {
-    return !Objects.equals(seen, state());
+    return !Objects.equals(lastState, state());
   }
 
   private List<Path> files() {
--- a/authz/src/test/java/willowdoor/extauthz/AnswersTest.java
+++ b/authz/src/test/java/willowdoor/extauthz/AnswersTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import willowdoor.extauthz.Answers.Allowed;
-import willowdoor.extauthz.Answers.Bad;
+import willowdoor.extauthz.Answers.Malformed;
 import willowdoor.extauthz.Answers.Denied;
 import willowdoor.extauthz.Answers.Undecided;
 import willowdoor.extauthz.ExtAuthzSettings.AnswerBounds;
@@ -41,17 +41,17 @@
     return header(name, value, HeaderAppendAction.APPEND_IF_EXISTS_OR_ADD);
   }
 
-  private Answers.Read ok(OkHttpResponse.Builder ok) {
+  private Answers.Reading ok(OkHttpResponse.Builder ok) {
     return answers.read(CheckResponse.newBuilder().setOkResponse(ok).build());
   }
 
-  private Answers.Read status(int code) {
+  private Answers.Reading status(int code) {
     return answers.read(CheckResponse.newBuilder().setStatus(com.google.rpc.Status.newBuilder().setCode(code))
         .build());
   }
 
   @Test
-  void changesHeadersAsEachSays() {
+  void headerActionsAreApplied() {
     HttpHeaders onward = new DefaultHttpHeaders().set("a", "1").set("b", "1").set("gone", "1");
     Allowed read = assertInstanceOf(Allowed.class, ok(OkHttpResponse.newBuilder().addHeaders(header("a", "2"))
         .addHeaders(header("b", "2", HeaderAppendAction.ADD_IF_ABSENT))
@@ -66,48 +66,50 @@
   }
 
   @Test
-  void moreHeadersOrBytesThanTheBoundAreNoAllow() {
+  void headersOverTheBoundAreMalformed() {
     OkHttpResponse.Builder many = OkHttpResponse.newBuilder();
     for (int i = 0; i < 5; i++) {
       many.addHeaders(header("a" + i, ""));
     }
-    assertInstanceOf(Bad.class, ok(many));
-    assertInstanceOf(Bad.class, ok(OkHttpResponse.newBuilder().addHeaders(header("a", "x".repeat(64)))));
+    assertInstanceOf(Malformed.class, ok(many));
+    assertInstanceOf(Malformed.class,
+        ok(OkHttpResponse.newBuilder().addHeaders(header("a", "x".repeat(64)))));
     assertInstanceOf(Allowed.class, ok(OkHttpResponse.newBuilder().addHeaders(header("a", "x".repeat(63)))));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"a\r\nb", "a\nb", "a\rb", "a\0b", "\u007f", "\u00e9"})
-  void aValueThatIsNoneIsNoAllow(String value) {
-    assertInstanceOf(Bad.class, ok(OkHttpResponse.newBuilder().addHeaders(header("a", value))));
-    assertInstanceOf(Bad.class, ok(OkHttpResponse.newBuilder().addResponseHeadersToAdd(header("a", value))));
+  void invalidHeaderValueIsMalformed(String value) {
+    assertInstanceOf(Malformed.class, ok(OkHttpResponse.newBuilder().addHeaders(header("a", value))));
+    assertInstanceOf(Malformed.class,
+        ok(OkHttpResponse.newBuilder().addResponseHeadersToAdd(header("a", value))));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "a b", "a:", "a\r\nb", ":path", "\u00e9"})
-  void aNameThatIsNoneIsNoAllow(String name) {
-    assertInstanceOf(Bad.class, ok(OkHttpResponse.newBuilder().addHeaders(header(name, "v"))));
-    assertInstanceOf(Bad.class, ok(OkHttpResponse.newBuilder().addHeadersToRemove(name)));
+  void invalidHeaderNameIsMalformed(String name) {
+    assertInstanceOf(Malformed.class, ok(OkHttpResponse.newBuilder().addHeaders(header(name, "v"))));
+    assertInstanceOf(Malformed.class, ok(OkHttpResponse.newBuilder().addHeadersToRemove(name)));
   }
 
   @Test
-  void whatTheDoorCannotDoIsNoAllow() {
-    assertInstanceOf(Bad.class, ok(OkHttpResponse.newBuilder().addQueryParametersToSet(
+  void queryChangesAreMalformed() {
+    assertInstanceOf(Malformed.class, ok(OkHttpResponse.newBuilder().addQueryParametersToSet(
         QueryParameter.newBuilder().setKey("a"))));
-    assertInstanceOf(Bad.class, ok(OkHttpResponse.newBuilder().addQueryParametersToRemove("a")));
+    assertInstanceOf(Malformed.class, ok(OkHttpResponse.newBuilder().addQueryParametersToRemove("a")));
   }
 
   @Test
-  void answersThatContradictThemselvesDecideNothing() {
-    assertInstanceOf(Bad.class, answers.read(CheckResponse.newBuilder().setDeniedResponse(
+  void contradictoryAnswersAreMalformed() {
+    assertInstanceOf(Malformed.class, answers.read(CheckResponse.newBuilder().setDeniedResponse(
         DeniedHttpResponse.getDefaultInstance()).build()));
-    assertInstanceOf(Bad.class, answers.read(CheckResponse.newBuilder().setOkResponse(
+    assertInstanceOf(Malformed.class, answers.read(CheckResponse.newBuilder().setOkResponse(
         OkHttpResponse.getDefaultInstance()).setStatus(com.google.rpc.Status.newBuilder().setCode(7))
             .build()));
   }
 
   @Test
-  void codesMeanWhatTheySay() {
+  void statusCodesMapToDecisions() {
     int[][] denials = {{7, 403}, {16, 401}, {8, 429}, {3, 400}, {9, 400}, {11, 400}, {5, 404}, {6, 409}};
     for (int[] d : denials) {
       assertEquals(d[1], assertInstanceOf(Denied.class, status(d[0])).denial().status(), "code " + d[0]);
@@ -118,7 +120,7 @@
   }
 
   @Test
-  void aDenialStandsWhateverElseIsWrongWithIt() {
+  void denialStandsDespiteOtherFaults() {
     Denied read = assertInstanceOf(Denied.class, answers.read(CheckResponse.newBuilder()
         .setStatus(com.google.rpc.Status.newBuilder().setCode(14))
         .setDeniedResponse(DeniedHttpResponse.newBuilder().setBody("0123456789abc")
@@ -135,7 +137,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {100, 204, 299, 304, 600})
-  void aStatusThatFramesOtherwiseOrLooksServedIsNotTaken(int status) {
+  void invalidDenialStatusIsReplaced(int status) {
     assertEquals(403, assertInstanceOf(Denied.class, answers.read(CheckResponse.newBuilder()
         .setStatus(com.google.rpc.Status.newBuilder().setCode(7)).setDeniedResponse(
             DeniedHttpResponse.newBuilder().setStatus(HttpStatus.newBuilder().setCodeValue(status)))
@@ -143,7 +145,7 @@
   }
 
   @Test
-  void permissionToUseItAgainIsANumberOverNought() {
+  void allowForMsMustBePositive() {
     for (Value v : List.of(Value.newBuilder().setNumberValue(-1).build(), Value.newBuilder()
         .setStringValue("9")
         .build(), Value.newBuilder().setNumberValue(Double.NaN).build())) {
--- a/authz/src/test/java/willowdoor/extauthz/ChecksTest.java
+++ b/authz/src/test/java/willowdoor/extauthz/ChecksTest.java
@@ -21,7 +21,7 @@
 import willowdoor.authz.AuthzSettings.WeightedAuthoriser;
 import willowdoor.authz.AuthzSettings.Member;
 import willowdoor.extauthz.ExtAuthzSettings.Content;
-import willowdoor.net.Gate.Origin;
+import willowdoor.net.RequestFilter.Origin;
 import willowdoor.policy.GatewayApi.Request;
 
 class ChecksTest {
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void twoChecksOfTheSameAreTheSameSubjectAndNoOthersAre() {
+  void subjectIdentifiesCheckContent() {
     String one = subject(1, "/buy/1", "1", "2", "b");
     assertEquals(one, subject(1, "/buy/1", "1", "2", "b"));
     for (String other : List.of(subject(2, "/buy/1", "1", "2", "b"), subject(1, "/buy/2", "1", "2", "b"),
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void aBodyGoesAsTextIfItIsOneAndAsBytesIfNot() {
+  void textBodyIsSentAsTextOthersAsBytes() {
     AttributeContext.HttpRequest text = check("a", 1, "/buy/1", new DefaultHttpHeaders(), "caf\u00e9"
         .getBytes(java.nio.charset.StandardCharsets.UTF_8), 100).getAttributes().getRequest().getHttp();
     assertEquals("caf\u00e9", text.getBody());
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void onlyNamedHeadersGoAndRepeatedOnesAreJoined() {
+  void onlyListedHeadersAreSentAndRepeatsJoined() {
     HttpHeaders headers = new DefaultHttpHeaders().add("X", "1").add("x", "2").add("secret", "s")
         .add("y", "z".repeat(9_000));
     CheckRequest check = check("a", 1, "/buy/1", headers, new byte[0], 0);
--- a/authz/src/test/java/willowdoor/extauthz/DecisionLogTest.java
+++ b/authz/src/test/java/willowdoor/extauthz/DecisionLogTest.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void tellsARequestsHistoryInOneLine() {
+  void writesOneLinePerRequest() {
     assertEquals("{\"at_ms\":1000.0,\"door\":\"d0\",\"id\":\"a\",\"member\":\"acme\",\"firm\":\"0042\","
         + "\"plan\":\"full\",\"class\":\"buy\",\"calls\":[{\"to\":\"one\",\"probe\":false,\"limit_ms\":300.0,"
         + "\"took_ms\":1.23,"
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void dropsWhatIsOverTheBoundAndTellsHowMuch() throws Exception {
+  void dropsAndCountsEntriesOverTheBound() throws Exception {
     Path file = folder.resolve("log");
     DecisionLog log = new DecisionLog(new Log(file, 2));
     for (int i = 0; i < 5; i++) {
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aDiskThatTakesNothingFillsNothingUp() throws Exception {
+  void failedWritesDropEntries() throws Exception {
     Path missing = folder.resolve("no/such/folder/log");
     DecisionLog log = new DecisionLog(new Log(missing, 2));
     for (int i = 0; i < 5; i++) {
--- a/authz/src/test/java/willowdoor/extauthz/GateWarmUpTest.java
+++ b/authz/src/test/java/willowdoor/extauthz/GateWarmUpTest.java
@@ -9,7 +9,7 @@
 
   @Test
   @Timeout(30)
-  void madeUpRequestsGoThroughAndEndInTime() {
+  void warmUpRequestsCompleteWithinLimit() {
     int first = GateWarmUp.run(10_000);
     long began = System.nanoTime();
     GateWarmUp.run(100);
--- a/daemon/src/main/java/willowdoor/daemon/Cli.java
+++ b/daemon/src/main/java/willowdoor/daemon/Cli.java
@@ -23,7 +23,7 @@
 import willowdoor.daemon.fleet.LabCommand;
 import willowdoor.daemon.fleet.ReleasedCommand;
 import willowdoor.daemon.life.Daemon;
-import willowdoor.net.ReplacedFile;
+import willowdoor.net.ReloadTrigger;
 import willowdoor.net.Signals;
 import willowdoor.rollout.Plan;
 
@@ -85,11 +85,11 @@
     public Integer call() throws InterruptedException {
       Daemon daemon;
       try {
-        ReplacedFile replaced = new ReplacedFile(config);
+        ReloadTrigger replaced = new ReloadTrigger(config);
         daemon = Daemon.create(DaemonConfig.read(config), config, version());
-        Signals.handle("TERM", daemon::end);
-        Signals.handle("INT", daemon::end);
-        replaced.onHangUp(daemon::reload);
+        Signals.handle("TERM", daemon::requestEnd);
+        Signals.handle("INT", daemon::requestEnd);
+        replaced.onReload(daemon::reload);
         daemon.start(takeOver);
       } catch (ConfigException e) {
         return fail(e, EXIT_USAGE);
--- a/daemon/src/main/java/willowdoor/daemon/agreement/PermitsCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/agreement/PermitsCommand.java
@@ -26,27 +26,27 @@
 import willowdoor.steward.Steward;
 import willowdoor.steward.StewardId;
 import willowdoor.steward.link.Answer;
-import willowdoor.steward.link.Operator;
-import willowdoor.steward.link.Standing;
+import willowdoor.steward.link.OperatorClient;
+import willowdoor.steward.link.FleetStatus;
 
 /** What operators ask of the stewards. */
 @Command(name = "permits", mixinStandardHelpOptions = true, description =
     "Takes doors and backends out of the fleet, never too many at once, and back.",
     subcommands = {PermitsCommand.Ask.class, PermitsCommand.Return.class, PermitsCommand.Forget.class,
-        PermitsCommand.Part.class, PermitsCommand.Status.class},
+        PermitsCommand.ChangeSteward.class, PermitsCommand.Status.class},
     footer = {"", "Exit codes: 0 yes; 1 no answer from the stewards, nothing is known of what became of it; "
         + "2 bad command line; 3 no; 4 it waits for its turn"})
 public final class PermitsCommand {
 
   static final int NO_ANSWER = 1;
   static final int NO = 3;
-  static final int WAITS = 4;
+  static final int WAITING_FOR_TURN = 4;
 
   private PermitsCommand() {
   }
 
   /** Whom to ask. */
-  static final class At {
+  static final class StewardOptions {
     @Option(names = "--stewards", required = true, split = ",", paramLabel = "ADDRESS", description =
         "Where stewards are, such as 127.0.0.1:7101; one that answers is enough.")
     private List<String> stewards;
@@ -61,22 +61,22 @@
     @Spec(Spec.Target.MIXEE)
     private CommandSpec spec;
 
-    Operator operator() {
+    OperatorClient operator() {
       List<InetSocketAddress> all = stewards.stream().map(EndpointUpdate::parseAddress).toList();
       if (all.contains(null)) {
         throw new ParameterException(spec.commandLine(), "--stewards " + String.join(",", stewards)
             + " (expected: numeric addresses with ports)");
       }
-      return new Operator(fleet, by, all);
+      return new OperatorClient(fleet, by, all);
     }
 
     int put(willowdoor.agreement.Command command) throws InterruptedException {
-      try (Operator operator = operator()) {
-        return say(operator.put(command, limitMs));
+      try (OperatorClient operator = operator()) {
+        return printAnswer(operator.put(command, limitMs));
       }
     }
 
-    int say(Answer answer) {
+    int printAnswer(Answer answer) {
       PrintWriter out = spec.commandLine().getOut();
       if (answer instanceof Answer.Failed e) {
         spec.commandLine().getErr().println("willowdoor: " + e.why());
@@ -89,7 +89,7 @@
       }
       if (outcome instanceof Outcome.Waiting e) {
         out.println("waits as number " + e.place() + ", permit " + e.permit() + ": " + e.why());
-        return WAITS;
+        return WAITING_FOR_TURN;
       }
       out.println(outcome instanceof Outcome.Granted e ? "yes, permit " + e.permit()
           : outcome instanceof Outcome.ReleaseStarted e ? "yes, release " + e.release() : "yes");
@@ -98,7 +98,7 @@
   }
 
   /** Which door or backend; a backend is told by the name that discovery lists. */
-  static final class What {
+  static final class SubjectParameters {
     @Parameters(index = "0", paramLabel = "KIND", description = "door or backend")
     private String kind;
     @Parameters(index = "1", paramLabel = "NAME")
@@ -119,9 +119,9 @@
   @Command(name = "ask", mixinStandardHelpOptions = true, description = "Has a door or a backend go out.")
   static final class Ask implements Callable<Integer> {
     @Mixin
-    private What what;
+    private SubjectParameters what;
     @Mixin
-    private At at;
+    private StewardOptions at;
     @Option(names = "--reason", required = true, description = "Why, as it is written down.")
     private String reason;
     @Option(names = "--request", description =
@@ -141,24 +141,24 @@
       "Has it come back, or not go out any more.")
   static final class Return implements Callable<Integer> {
     @Mixin
-    private What what;
+    private SubjectParameters what;
     @Mixin
-    private At at;
+    private StewardOptions at;
 
     @Override
     public Integer call() throws InterruptedException {
       Subject subject = what.subject();
-      try (Operator operator = at.operator()) {
-        Answer answer = operator.look(at.limitMs);
+      try (OperatorClient operator = at.operator()) {
+        Answer answer = operator.status(at.limitMs);
         if (!(answer instanceof Answer.Stands e)) {
-          return at.say(answer);
+          return at.printAnswer(answer);
         }
         Optional<Permit> permit = e.standing().permits().stream().filter(x -> x.subject().equals(subject))
             .findFirst();
         if (permit.isEmpty()) {
-          return at.say(new Answer.Came(new Outcome.Refused(subject + " is not out on purpose")));
+          return at.printAnswer(new Answer.Came(new Outcome.Refused(subject + " is not out on purpose")));
         }
-        return at.say(operator
+        return at.printAnswer(operator
             .put(new willowdoor.agreement.Command.ReturnPermit(0, subject, permit.get().id(),
             at.by), at.limitMs));
       }
@@ -172,7 +172,7 @@
     @Parameters(paramLabel = "DOOR")
     private String door;
     @Mixin
-    private At at;
+    private StewardOptions at;
 
     @Override
     public Integer call() throws InterruptedException {
@@ -183,22 +183,23 @@
   @Command(name = "steward", mixinStandardHelpOptions = true, description = {
       "Changes a steward's part. One that is new first listens, then votes; one that is gone leaves.",
       "Its address is in the others' files before."})
-  static final class Part implements Callable<Integer> {
+  static final class ChangeSteward implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "NAME")
     private String name;
     @Parameters(index = "1", paramLabel = "PART", description = "${COMPLETION-CANDIDATES}")
-    private Steward.Change change;
+    private Steward.MembershipChange change;
     @Option(names = "--disk", defaultValue = "1", description = "Default: ${DEFAULT-VALUE}.")
     private int disk;
     @Mixin
-    private At at;
+    private StewardOptions at;
 
     @Override
     public Integer call() throws InterruptedException {
-      try (Operator operator = at.operator()) {
-        Answer answer = operator.part(new StewardId(name, Integer.toString(disk)), change, at.limitMs);
+      try (OperatorClient operator = at.operator()) {
+        Answer answer = operator
+            .changeMembership(new StewardId(name, Integer.toString(disk)), change, at.limitMs);
         if (!(answer instanceof Answer.Votes e)) {
-          return at.say(answer);
+          return at.printAnswer(answer);
         }
         at.spec.commandLine().getOut().println("yes; these vote: " + e.voting());
         return 0;
@@ -210,7 +211,7 @@
       "How all stands, by a majority's word.")
   static final class Status implements Callable<Integer> {
     @Mixin
-    private At at;
+    private StewardOptions at;
     @Option(names = "--json", description = "For programs.")
     private boolean json;
     @Spec
@@ -218,10 +219,10 @@
 
     @Override
     public Integer call() throws InterruptedException, IOException {
-      try (Operator operator = at.operator()) {
-        Answer answer = operator.look(at.limitMs);
+      try (OperatorClient operator = at.operator()) {
+        Answer answer = operator.status(at.limitMs);
         if (!(answer instanceof Answer.Stands e)) {
-          return at.say(answer);
+          return at.printAnswer(answer);
         }
         PrintWriter out = spec.commandLine().getOut();
         if (json) {
@@ -233,7 +234,7 @@
       }
     }
 
-    private static void print(PrintWriter out, Standing s) {
+    private static void print(PrintWriter out, FleetStatus s) {
       out.printf(Locale.ROOT, "steward %s leads; %d commands agreed on%ndoors: %d, of them out: %d%n"
           + "backends: %d, of them out: %d%n", s.leader(), s.index(), s.doors(), s.doorsOut(), s.backends(),
           s.backendsOut());
--- a/daemon/src/main/java/willowdoor/daemon/agreement/ReleaseCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/agreement/ReleaseCommand.java
@@ -24,7 +24,7 @@
 import willowdoor.rollout.Release.Mode;
 import willowdoor.rollout.Step;
 import willowdoor.steward.link.Answer;
-import willowdoor.steward.link.Operator;
+import willowdoor.steward.link.OperatorClient;
 
 /** What operators do with releases. */
 @Command(name = "release", mixinStandardHelpOptions = true, description = {
@@ -36,7 +36,7 @@
         + "2 bad command line or plan; 3 no; 4 not yet"})
 public final class ReleaseCommand {
 
-  private static final long LOOK_MS = 200;
+  private static final long POLL_INTERVAL_MS = 200;
 
   private ReleaseCommand() {
   }
@@ -44,7 +44,7 @@
   @Command(name = "start", mixinStandardHelpOptions = true, description = "Begins a release.")
   static final class Start implements Callable<Integer> {
     @Mixin
-    private PermitsCommand.At at;
+    private PermitsCommand.StewardOptions at;
     @Option(names = "--plan", required = true, paramLabel = "FILE", description = "The plan, in TOML.")
     private Path plan;
     @Option(names = "--request", description =
@@ -69,54 +69,54 @@
   /** What all that steer have. */
   abstract static class Steer implements Callable<Integer> {
     @Mixin
-    private PermitsCommand.At at;
+    private PermitsCommand.StewardOptions at;
     @Option(names = "--wait-ms", defaultValue = "0", description = {
         "Waits so long until nothing is under way any more; 4 if something still is.",
         "Default: ${DEFAULT-VALUE}."})
     private long waitMs;
     @Spec
     private CommandSpec spec;
-    private final Steering what;
+    private final Steering steering;
 
-    Steer(Steering what) {
-      this.what = what;
+    Steer(Steering steering) {
+      this.steering = steering;
     }
 
     @Override
     public Integer call() throws InterruptedException {
-      try (Operator operator = at.operator()) {
-        Answer answer = operator.look(at.limitMs);
+      try (OperatorClient operator = at.operator()) {
+        Answer answer = operator.status(at.limitMs);
         if (!(answer instanceof Answer.Stands e)) {
-          return at.say(answer);
+          return at.printAnswer(answer);
         }
         Release last = last(e.standing().releases());
         if (last == null || last.mode() == Mode.ENDED) {
-          return at.say(new Answer.Came(new Outcome.Refused("no release is under way")));
+          return at.printAnswer(new Answer.Came(new Outcome.Refused("no release is under way")));
         }
-        Answer steered = operator.put(new SteerRelease(0, UUID.randomUUID().toString(), last.id(), what,
+        Answer steered = operator.put(new SteerRelease(0, UUID.randomUUID().toString(), last.id(), steering,
             at.by),
             at.limitMs);
-        int code = at.say(steered);
+        int code = at.printAnswer(steered);
         return code != 0 || waitMs == 0 ? code : await(operator, last.id());
       }
     }
 
-    private int await(Operator operator, long id) throws InterruptedException {
-      long until = System.nanoTime() + waitMs * 1_000_000;
-      String under = "nobody says how it stands";
-      while (System.nanoTime() < until) {
-        if (operator.look(at.limitMs) instanceof Answer.Stands e) {
+    private int await(OperatorClient operator, long id) throws InterruptedException {
+      long deadlineNanos = System.nanoTime() + waitMs * 1_000_000;
+      String remaining = "nobody says how it stands";
+      while (System.nanoTime() < deadlineNanos) {
+        if (operator.status(at.limitMs) instanceof Answer.Stands e) {
           Release now = last(e.standing().releases());
           if (now.id() != id || now.hasStopped()) {
             spec.commandLine().getOut().println("nothing of it is under way any more");
             return 0;
           }
-          under = "under way: " + String.join(", ", now.steps().stream().map(Step::door).toList());
+          remaining = "under way: " + String.join(", ", now.steps().stream().map(Step::door).toList());
         }
-        Thread.sleep(LOOK_MS);
+        Thread.sleep(POLL_INTERVAL_MS);
       }
-      spec.commandLine().getOut().println(under);
-      return PermitsCommand.WAITS;
+      spec.commandLine().getOut().println(remaining);
+      return PermitsCommand.WAITING_FOR_TURN;
     }
   }
 
@@ -161,7 +161,7 @@
       "How releases stand, by a majority's word.")
   static final class Status implements Callable<Integer> {
     @Mixin
-    private PermitsCommand.At at;
+    private PermitsCommand.StewardOptions at;
     @Option(names = "--json", description = "For programs.")
     private boolean json;
     @Spec
@@ -169,10 +169,10 @@
 
     @Override
     public Integer call() throws InterruptedException, IOException {
-      try (Operator operator = at.operator()) {
-        Answer answer = operator.look(at.limitMs);
+      try (OperatorClient operator = at.operator()) {
+        Answer answer = operator.status(at.limitMs);
         if (!(answer instanceof Answer.Stands e)) {
-          return at.say(answer);
+          return at.printAnswer(answer);
         }
         PrintWriter out = spec.commandLine().getOut();
         if (json) {
--- a/daemon/src/main/java/willowdoor/daemon/agreement/StewardCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/agreement/StewardCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Spec;
 import willowdoor.daemon.config.ConfigException;
 import willowdoor.daemon.config.StewardConfig;
-import willowdoor.net.ReplacedFile;
+import willowdoor.net.ReloadTrigger;
 import willowdoor.net.Signals;
 import willowdoor.steward.link.StewardProcess;
 
@@ -38,9 +38,9 @@
 
   @Override
   public Integer call() throws InterruptedException {
-    ReplacedFile replaced = new ReplacedFile(config);
+    ReloadTrigger replaced = new ReloadTrigger(config);
     try (StewardProcess steward = new StewardProcess(StewardConfig.read(config, start()))) {
-      replaced.onHangUp(() -> reload(steward));
+      replaced.onReload(() -> reload(steward));
       Signals.handle("TERM", steward::end);
       Signals.handle("INT", steward::end);
       spec.commandLine().getOut().println("steward at " + steward.address());
--- a/daemon/src/main/java/willowdoor/daemon/config/AuthorisationReader.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/AuthorisationReader.java
@@ -28,9 +28,10 @@
 /** Reads who is asked about requests: [authorisation], [[authoriser]] and [[member]]. */
 final class AuthorisationReader {
 
-  private static final int MOST_TABLES = 256;
-  private static final double MOST_MS = 600_000;
-  private static final String FIRMS = "a customer's hexadecimal number or two with a dash, such as \"10-1f\"";
+  private static final int MAX_TABLES = 256;
+  private static final double MAX_DURATION_MS = 600_000;
+  private static final String FIRMS_FORMAT =
+      "a customer's hexadecimal number or two with a dash, such as \"10-1f\"";
 
   private final Section root;
   private final Settings settings;
@@ -44,34 +45,36 @@
   ExtAuthzSettings read() {
     Section a = root.table("authorisation");
     String log = a.text("log", "");
-    int records = a.whole("log_records", 8_192, 1, 1_000_000);
-    AnswerBounds bounds = new AnswerBounds(a.whole("answer_bytes", 65_536, 1_024, 4 << 20),
-        a.whole("answer_headers", 32, 0, 256), a.whole("answer_header_bytes", 8_192, 0, 65_536),
-        a.whole("denied_body_bytes", 4_096, 0, 65_536));
-    double eject = a.number("eject_ms", 1_000, 1, MOST_MS);
-    double mostEject = a.number("most_eject_ms", Math.max(30_000, eject), 1, MOST_MS);
-    if (mostEject < eject) {
-      a.problem("most_eject_ms", mostEject, "at least eject_ms, " + eject);
+    int records = a.wholeNumber("log_records", 8_192, 1, 1_000_000);
+    AnswerBounds bounds = new AnswerBounds(a.wholeNumber("answer_bytes", 65_536, 1_024, 4 << 20),
+        a.wholeNumber("answer_headers", 32, 0, 256), a.wholeNumber("answer_header_bytes", 8_192, 0, 65_536),
+        a.wholeNumber("denied_body_bytes", 4_096, 0, 65_536));
+    double eject = a.number("eject_ms", 1_000, 1, MAX_DURATION_MS);
+    double maxEject = a.number("most_eject_ms", Math.max(30_000, eject), 1, MAX_DURATION_MS);
+    if (maxEject < eject) {
+      a.addProblem("most_eject_ms", maxEject, "at least eject_ms, " + eject);
     }
-    Health health = new Health(a.whole("eject_after", 5, 1, 1_000), a.number("eject_share", 0.5, 0.01, 1),
-        eject, Math.max(eject, mostEject), a.number("eject_spread", 0.2, 0, 1));
-    a.end();
+    Health health =
+        new Health(a.wholeNumber("eject_after", 5, 1, 1_000), a.number("eject_share", 0.5, 0.01, 1),
+        eject, Math.max(eject, maxEject), a.number("eject_spread", 0.2, 0, 1));
+    a.reportUnknownKeys();
     List<Authoriser> authorisers = new ArrayList<>();
     List<Link> links = new ArrayList<>();
     Set<String> names = new HashSet<>();
-    for (Section s : root.tables("authoriser", 0, MOST_TABLES)) {
-      authorisers.add(new Authoriser(DaemonConfig.Reader.unique(s, "name", names),
-          s.whole("most_calls", 100, 1, 100_000), 1_024L * s.whole("most_held_kb", 2_048, 1, 1 << 20)));
+    for (Section s : root.tables("authoriser", 0, MAX_TABLES)) {
+      authorisers.add(new Authoriser(DaemonConfig.Reader.uniqueText(s, "name", names),
+          s.wholeNumber("most_calls", 100, 1, 100_000),
+          1_024L * s.wholeNumber("most_held_kb", 2_048, 1, 1 << 20)));
       links.add(link(s, authorisers.get(authorisers.size() - 1).name()));
-      s.end();
+      s.reportUnknownKeys();
     }
     List<Member> members = new ArrayList<>();
     List<Content> contents = new ArrayList<>();
     Set<String> memberNames = new HashSet<>();
-    for (Section s : root.tables("member", 0, MOST_TABLES)) {
+    for (Section s : root.tables("member", 0, MAX_TABLES)) {
       Member m = member(s, authorisers, memberNames);
       contents.add(content(s));
-      s.end();
+      s.reportUnknownKeys();
       if (m != null) {
         members.add(m);
       }
@@ -82,7 +85,7 @@
     return new ExtAuthzSettings(new AuthzSettings(List.copyOf(authorisers), List.copyOf(members), health),
         List.copyOf(links), List.copyOf(contents), bounds, log.isEmpty() ? null : new Log(Path.of(log),
             records),
-        settings.allowed().holdOff() ? settings.allowed().maxHoldOffMs() : 0);
+        settings.capabilities().mayAdviseRetry() ? settings.capabilities().maxRetryAfterMs() : 0);
   }
 
   private static Link link(Section s, String name) {
@@ -92,35 +95,36 @@
     String key = s.text("key_file", "");
     String serverName = s.text("server_name", "");
     boolean plaintext = s.flag("plaintext", false);
-    double look = s.number("files_look_ms", 5_000, 10, MOST_MS);
+    double look = s.number("files_look_ms", 5_000, 10, MAX_DURATION_MS);
     if (certificate.isEmpty() != key.isEmpty()) {
-      s.problem(key.isEmpty() ? "key_file" : "cert_file", null, "a file, as the other of the two is given");
+      s.addProblem(key.isEmpty() ? "key_file" : "cert_file", null,
+          "a file, as the other of the two is given");
     }
     if (ca.isEmpty()) {
       if (!certificate.isEmpty()) {
-        s.problem("ca_file", null, "a file, as cert_file is given");
+        s.addProblem("ca_file", null, "a file, as cert_file is given");
       }
       if (address != null && !plaintext && !address.getAddress().isLoopbackAddress()) {
-        s.problem("ca_file", null, "a file, as " + address.getAddress().getHostAddress()
+        s.addProblem("ca_file", null, "a file, as " + address.getAddress().getHostAddress()
             + " is not loopback; or plaintext = true");
       }
     } else if (plaintext) {
-      s.problem("plaintext", true, "false, as ca_file is given");
+      s.addProblem("plaintext", true, "false, as ca_file is given");
     }
     Tls tls = ca.isEmpty() ? null : new Tls(Path.of(ca), certificate.isEmpty() ? null : Path.of(certificate),
         key.isEmpty() ? null : Path.of(key), serverName.isEmpty() && address != null
         ? address.getAddress().getHostAddress() : serverName, look);
-    return new Link(name, address, tls, s.number("keepalive_ms", 20_000, 10_000, MOST_MS),
-        s.number("keepalive_answer_ms", 2_000, 10, MOST_MS));
+    return new Link(name, address, tls, s.number("keepalive_ms", 20_000, 10_000, MAX_DURATION_MS),
+        s.number("keepalive_answer_ms", 2_000, 10, MAX_DURATION_MS));
   }
 
   private Member member(Section s, List<Authoriser> authorisers, Set<String> names) {
-    String name = DaemonConfig.Reader.unique(s, "name", names);
+    String name = DaemonConfig.Reader.uniqueText(s, "name", names);
     List<FirmRange> firms = new ArrayList<>();
     for (String text : s.texts("firms", List.of())) {
       FirmRange f = firms(text);
       if (f == null) {
-        s.problem("firms", '"' + text + '"', FIRMS);
+        s.addProblem("firms", '"' + text + '"', FIRMS_FORMAT);
       } else {
         firms.add(f);
       }
@@ -129,14 +133,14 @@
     settings.classes().stream().map(RequestClass::name).forEach(classNames::add);
     Set<String> planNames = new LinkedHashSet<>();
     settings.plans().stream().map(Plan::name).forEach(planNames::add);
-    Set<String> classes = among(s, "classes", List.of("register-buy"), classNames);
-    Set<String> plans = among(s, "plans", List.of(), planNames);
-    Set<String> open = among(s, "fail_open", List.of(), classes);
+    Set<String> classes = knownNames(s, "classes", List.of("register-buy"), classNames);
+    Set<String> plans = knownNames(s, "plans", List.of(), planNames);
+    Set<String> failOpen = knownNames(s, "fail_open", List.of(), classes);
     List<String> asked = s.texts("authorisers", null);
-    List<Double> weights = s.weights("weights");
+    List<Double> weights = s.positiveNumbers("weights");
     Choice choice = s.choice("choose", Choice.class, Choice.ORDER);
     if (!weights.isEmpty() && weights.size() != asked.size()) {
-      s.problem("weights", weights.size() + " weights", "one for each of the " + asked.size()
+      s.addProblem("weights", weights.size() + " weights", "one for each of the " + asked.size()
           + " authorisers, or none");
     }
     List<WeightedAuthoriser> choosable = new ArrayList<>();
@@ -144,25 +148,27 @@
     for (int i = 0; i < asked.size(); i++) {
       int at = known.indexOf(asked.get(i));
       if (at < 0) {
-        s.problem("authorisers", '"' + asked.get(i) + '"', "the name of an [[authoriser]], one of " + known);
+        s.addProblem("authorisers", '"' + asked.get(i) + '"',
+            "the name of an [[authoriser]], one of " + known);
       } else {
         choosable.add(new WeightedAuthoriser(at, i < weights.size() ? weights.get(i) : 1));
       }
     }
-    double limit = s.number("limit_ms", 300, 5, MOST_MS);
+    double limit = s.number("limit_ms", 300, 5, MAX_DURATION_MS);
     double share = s.number("backends_share", 0.5, 0, 0.99);
     boolean repeatable = s.flag("idempotent", false);
-    double cacheMs = s.number("most_cached_ms", 0, 0, MOST_MS);
-    int cached = s.whole("most_cached", 1_000, 1, 1_000_000);
+    double cacheMs = s.number("most_cached_ms", 0, 0, MAX_DURATION_MS);
+    int cached = s.wholeNumber("most_cached", 1_000, 1, 1_000_000);
     return choosable.isEmpty() ? null : new Member(name, List.copyOf(firms), plans, classes,
-        List.copyOf(choosable), choice, limit, share, repeatable, open, cacheMs, cached);
+        List.copyOf(choosable), choice, limit, share, repeatable, failOpen, cacheMs, cached);
   }
 
-  private static Set<String> among(Section s, String key, List<String> absent, Set<String> known) {
-    List<String> names = s.texts(key, absent);
+  private static Set<String> knownNames(Section s, String key, List<String> defaultNames,
+      Set<String> allowed) {
+    List<String> names = s.texts(key, defaultNames);
     for (String n : names) {
-      if (!known.contains(n)) {
-        s.problem(key, '"' + n + '"', "one of " + known);
+      if (!allowed.contains(n)) {
+        s.addProblem(key, '"' + n + '"', "one of " + allowed);
       }
     }
     return Set.copyOf(names);
@@ -171,7 +177,7 @@
   private static Content content(Section s) {
     List<String> headers = s.texts("headers", List.of("content-type")).stream()
         .map(h -> h.toLowerCase(Locale.ROOT)).toList();
-    return new Content(headers, s.whole("body_bytes", 0, 0, 65_536));
+    return new Content(headers, s.wholeNumber("body_bytes", 0, 0, 65_536));
   }
 
   private static FirmRange firms(String text) {
--- a/daemon/src/main/java/willowdoor/daemon/config/DaemonConfig.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/DaemonConfig.java
@@ -16,10 +16,10 @@
 import willowdoor.fairgate.FairGate;
 import willowdoor.fairness.FairSettings;
 import willowdoor.life.InstanceLifecycle;
-import willowdoor.net.Bounds;
+import willowdoor.net.ResourceLimits;
 import willowdoor.net.Config;
 import willowdoor.net.EndpointUpdate;
-import willowdoor.policy.GatewayApi.Allowed;
+import willowdoor.policy.GatewayApi.Capabilities;
 import willowdoor.policy.GatewayApi.BackendEntry;
 import willowdoor.policy.GatewayApi.Group;
 import willowdoor.policy.GatewayApi.Phase;
@@ -81,21 +81,21 @@
   public record TakeOver(String controlSocket, int readyLimitMs) { }
 
   /** How backends are reached, and those known before discovery has told any. */
-  public record Backends(double connectLimitMs, double idleLimitMs, EndpointUpdate known) { }
+  public record Backends(double connectLimitMs, double idleLimitMs, EndpointUpdate configured) { }
 
   /** Keys that a reload takes; any other that has changed needs a restart. */
   public static final Set<String> RELOADABLE = Set.of("discovery.address", "counter.address");
 
-  private static final int MOST_TABLES = 256;
-  private static final int MOST_BACKENDS = 10_000;
-  private static final double MOST_MS = 3_600_000;
-  private static final double MOST_UNITS = 1e9;
+  private static final int MAX_TABLES = 256;
+  private static final int MAX_BACKENDS = 10_000;
+  private static final double MAX_DURATION_MS = 3_600_000;
+  private static final double MAX_UNITS = 1e9;
   /** A unix socket's path may be so long, with an ending for the one that is about to take its place. */
-  private static final int LONGEST_SOCKET_PATH = 100;
+  private static final int MAX_SOCKET_PATH_LENGTH = 100;
 
   /** Reads a file. */
   public static DaemonConfig read(Path file) throws IOException, ConfigException {
-    return parse(file, TomlFile.text(file));
+    return parse(file, TomlFile.readText(file));
   }
 
   /** Reads a text; the file is named in errors only. */
@@ -104,7 +104,7 @@
   }
 
   /** Keys whose values differ, with those that are in one of both only. */
-  public Set<String> changedIn(DaemonConfig other) {
+  public Set<String> changedKeys(DaemonConfig other) {
     Set<String> keys = new TreeSet<>(effective.keySet());
     keys.addAll(other.effective.keySet());
     keys.removeIf(k -> java.util.Objects.equals(effective.get(k), other.effective.get(k)));
@@ -112,15 +112,16 @@
   }
 
   /** As the door takes it, with a seed for its random choices. */
-  public Config door(long seed) {
+  public Config doorConfig(long seed) {
     return new Config(instance.listen(), discovery, counter.address(), seed, settings,
-        Bounds.of(limits.descriptors() - authoriserSockets(), limits.memoryMb()), backends.connectLimitMs(),
+        ResourceLimits.of(limits.descriptors() - authoriserConnections(), limits.memoryMb()),
+        backends.connectLimitMs(),
             backends.idleLimitMs(),
-        backends.known(), true, null);
+        backends.configured(), true, null);
   }
 
   /** A connection to each authoriser, and a second one while its TLS files have changed. */
-  private int authoriserSockets() {
+  private int authoriserConnections() {
     return authorisation == null ? 0 : 2 * authorisation.links().size();
   }
 
@@ -136,39 +137,39 @@
 
     DaemonConfig read() {
       Section i = root.table("instance");
-      int doors = i.whole("doors", 1, 1, 10_000);
+      int doors = i.wholeNumber("doors", 1, 1, 10_000);
       Instance instance = new Instance(i.text("name", null), i.address("listen"), doors,
-          i.whole("index", 0, 0, doors - 1), i.text("zone", ""));
-      i.end();
+          i.wholeNumber("index", 0, 0, doors - 1), i.text("zone", ""));
+      i.reportUnknownKeys();
       Section d = root.table("discovery");
       InetSocketAddress discovery = d.address("address");
-      d.end();
+      d.reportUnknownKeys();
       Section c = root.table("counter");
       Counter counter = new Counter(c.address("address"), c.number("call_limit_ms", 50, 1, 10_000),
           valkey(c));
-      c.end();
+      c.reportUnknownKeys();
       Section l = root.table("limits");
-      Limits limits = new Limits(l.whole("descriptors", 1_024, 128, 1_000_000),
-          l.whole("memory_mb", 192, 32, 1_000_000));
-      l.end();
+      Limits limits = new Limits(l.wholeNumber("descriptors", 1_024, 128, 1_000_000),
+          l.wholeNumber("memory_mb", 192, 32, 1_000_000));
+      l.reportUnknownKeys();
       Section e = root.table("end");
-      double accept = e.number("accept_ms", 550, 0, MOST_MS);
+      double accept = e.number("accept_ms", 550, 0, MAX_DURATION_MS);
       InstanceLifecycle.ShutdownLimits end = new InstanceLifecycle
           .ShutdownLimits(accept, Math.max(accept, answerMs(e, accept)),
-          e.number("hurried_ms", 500, 0, MOST_MS), e.number("last_ms", 400, 1, MOST_MS));
-      e.end();
+          e.number("hurried_ms", 500, 0, MAX_DURATION_MS), e.number("last_ms", 400, 1, MAX_DURATION_MS));
+      e.reportUnknownKeys();
       Section t = root.table("take_over");
-      TakeOver takeOver = new TakeOver(socketPath(t), t.whole("ready_limit_ms", 15_000, 100, 600_000));
-      t.end();
+      TakeOver takeOver = new TakeOver(socketPath(t), t.wholeNumber("ready_limit_ms", 15_000, 100, 600_000));
+      t.reportUnknownKeys();
       Section b = root.table("backends");
       Backends backends = new Backends(b.number("connect_limit_ms", 250, 1, 60_000),
-          b.number("idle_limit_ms", 15_000, 10, MOST_MS), known());
+          b.number("idle_limit_ms", 15_000, 10, MAX_DURATION_MS), configuredBackends());
       Settings settings = settings(instance, counter, b);
-      b.end();
+      b.reportUnknownKeys();
       ExtAuthzSettings authorisation = new AuthorisationReader(root, settings).read();
       Fair fair = new FairReader(root, settings).read();
       Agreement agreement = agreement(takeOver);
-      root.end();
+      root.reportUnknownKeys();
       return new DaemonConfig(instance, discovery, counter, limits, end, takeOver, backends, settings,
           authorisation, fair, agreement, Map.copyOf(effective));
     }
@@ -180,64 +181,64 @@
       String fleet = a.text("fleet", "fleet");
       List<InetSocketAddress> stewards = a.addresses("stewards");
       if (on && stewards.isEmpty()) {
-        a.problem("stewards", null, "the addresses of the stewards, as agreement.enabled is true");
+        a.addProblem("stewards", null, "the addresses of the stewards, as agreement.enabled is true");
       }
       double drift = a.number("drift", 0.01, 0, 0.5);
       double weight = a.number("weight", 1, 0.001, 1_000_000);
       String lock = a.text("lock_file", takeOver.controlSocket().isEmpty() ? ""
           : takeOver.controlSocket() + ".lock");
       if (on && lock.isEmpty()) {
-        a.problem("lock_file", null, "a file that one process of this door holds at a time");
+        a.addProblem("lock_file", null, "a file that one process of this door holds at a time");
       }
       String steward = a.text("steward", "");
       List<String> successor = a.texts("successor", List.of());
       InetSocketAddress management = a.text("management", "").isEmpty() ? null : a.address("management");
       if (on && !successor.isEmpty() && takeOver.controlSocket().isEmpty()) {
-        a.problem("successor", successor, "take_over.control_socket too, over which the socket is handed");
+        a.addProblem("successor", successor, "take_over.control_socket too, over which the socket is handed");
       }
-      a.end();
+      a.reportUnknownKeys();
       return on ? new Agreement(fleet, stewards, drift, weight, lock, steward, successor, management) : null;
     }
 
     private static double answerMs(Section e, double accept) {
-      double answer = e.number("answer_ms", Math.max(3_300, accept), 0, MOST_MS);
+      double answer = e.number("answer_ms", Math.max(3_300, accept), 0, MAX_DURATION_MS);
       if (answer < accept) {
-        e.problem("answer_ms", answer, "at least end.accept_ms, " + accept);
+        e.addProblem("answer_ms", answer, "at least end.accept_ms, " + accept);
       }
       return answer;
     }
 
     private static String socketPath(Section t) {
       String path = t.text("control_socket", "");
-      if (path.length() > LONGEST_SOCKET_PATH) {
-        t.problem("control_socket", path.length() + " characters", "at most " + LONGEST_SOCKET_PATH);
+      if (path.length() > MAX_SOCKET_PATH_LENGTH) {
+        t.addProblem("control_socket", path.length() + " characters", "at most " + MAX_SOCKET_PATH_LENGTH);
       }
       return path;
     }
 
-    private EndpointUpdate known() {
+    private EndpointUpdate configuredBackends() {
       List<BackendEntry> entries = new ArrayList<>();
       Map<Long, InetSocketAddress> places = new HashMap<>();
       Set<String> ids = new HashSet<>();
-      for (Section s : root.tables("backend", 0, MOST_BACKENDS)) {
-        String id = unique(s, "id", ids);
+      for (Section s : root.tables("backend", 0, MAX_BACKENDS)) {
+        String id = uniqueText(s, "id", ids);
         InetSocketAddress address = s.address("address");
         String zone = s.text("zone", "");
         if (address != null) {
           long number = EndpointUpdate.idOf(id);
           places.put(number, address);
-          entries.add(new BackendEntry(number, zone, s.whole("cell", 0, 0, 1_000_000), Phase.SERVING,
+          entries.add(new BackendEntry(number, zone, s.wholeNumber("cell", 0, 0, 1_000_000), Phase.SERVING,
               s.number("weight", 1, 0.001, 1_000), 0));
         }
-        s.end();
+        s.reportUnknownKeys();
       }
       return new EndpointUpdate(0, true, entries, places);
     }
 
-    static String unique(Section s, String key, Set<String> taken) {
+    static String uniqueText(Section s, String key, Set<String> used) {
       String value = s.text(key, null);
-      if (!value.isEmpty() && !taken.add(value)) {
-        s.problem(key, '"' + value + '"', "a name that no other table has");
+      if (!value.isEmpty() && !used.add(value)) {
+        s.addProblem(key, '"' + value + '"', "a name that no other table has");
       }
       return value;
     }
@@ -254,9 +255,9 @@
         String password = file.isEmpty() ? "" : Files.readString(Path.of(file)).strip();
         return new ValkeySettings(user, password, prefix);
       } catch (IOException | InvalidPathException e) {
-        c.problem("password_file", '"' + file + '"', "a file that can be read");
+        c.addProblem("password_file", '"' + file + '"', "a file that can be read");
       } catch (IllegalArgumentException e) {
-        c.problem(e.getMessage().startsWith("prefix") ? "prefix" : "password_file", e.getMessage(),
+        c.addProblem(e.getMessage().startsWith("prefix") ? "prefix" : "password_file", e.getMessage(),
             "what stands in brackets");
       }
       return null;
@@ -264,18 +265,19 @@
 
     private Settings settings(Instance instance, Counter counter, Section b) {
       Section u = root.table("units");
-      double mostUnits = u.number("most", 8, 1, MOST_UNITS);
-      u.end();
+      double mostUnits = u.number("most", 8, 1, MAX_UNITS);
+      u.reportUnknownKeys();
       Section a = root.table("answers");
       boolean advise = a.flag("retry_after", true);
-      double mostAdvice = a.number("most_retry_after_ms", 2_000, 0, MOST_MS);
+      double mostAdvice = a.number("most_retry_after_ms", 2_000, 0, MAX_DURATION_MS);
       double slack = a.number("slack_ms", 8, 0, 1_000);
-      a.end();
-      Allowed allowed = new Allowed(true, counter.callLimitMs(), true, false, b.whole("attempts", 6, 1, 20),
-          b.whole("open_attempts", 20_000, 1, 1_000_000), advise, mostAdvice, false);
+      a.reportUnknownKeys();
+      Capabilities allowed =
+          new Capabilities(true, counter.callLimitMs(), true, false, b.wholeNumber("attempts", 6, 1, 20),
+          b.wholeNumber("open_attempts", 20_000, 1, 1_000_000), advise, mostAdvice, false);
       Rules rules = new Rules(slack, b.number("cold_share", 0.21, 0.01, 1), b.number("cold_ms", 18_000, 0,
-          MOST_MS),
-          b.number("tip_multiple", 2.5, 1, 1_000), b.number("tip_after_ms", 2_000, 1, MOST_MS));
+          MAX_DURATION_MS),
+          b.number("tip_multiple", 2.5, 1, 1_000), b.number("tip_after_ms", 2_000, 1, MAX_DURATION_MS));
       return new Settings(instance.doors(), instance.index(), instance.zone(), mostUnits,
           b.number("cross_zone_price", 0.01, 0, 1), false, classes(), plans(), allowed, rules);
     }
@@ -283,14 +285,15 @@
     private List<RequestClass> classes() {
       List<RequestClass> classes = new ArrayList<>();
       Set<String> names = new HashSet<>();
-      for (Section s : root.tables("class", 1, MOST_TABLES)) {
+      for (Section s : root.tables("class", 1, MAX_TABLES)) {
         Repeat repeat = s.choice("repeat", Repeat.class, Repeat.UNSAFE);
-        classes.add(new RequestClass(unique(s, "name", names), s.number("worth", 1, 0, 1e6),
-            s.number("late_worth", 0, 0, 1e6), s.number("aim_ms", Double.NaN, 1, MOST_MS),
-            s.number("deadline_ms", Double.NaN, 1, MOST_MS), repeat, s.choice("group", Group.class,
+        classes.add(new RequestClass(uniqueText(s, "name", names), s.number("worth", 1, 0, 1e6),
+            s.number("late_worth", 0, 0, 1e6), s.number("aim_ms", Double.NaN, 1, MAX_DURATION_MS),
+            s.number("deadline_ms", Double.NaN, 1, MAX_DURATION_MS), repeat, s.choice("group", Group.class,
                 Group.ALL),
-            s.number("repeat_window_ms", repeat == Repeat.KEYED ? Double.NaN : 0, 0, MOST_MS), false));
-        s.end();
+            s.number("repeat_window_ms", repeat == Repeat.KEYED ? Double.NaN : 0, 0, MAX_DURATION_MS),
+            false));
+        s.reportUnknownKeys();
       }
       return classes;
     }
@@ -298,15 +301,16 @@
     private List<Plan> plans() {
       List<Plan> plans = new ArrayList<>();
       Set<String> names = new HashSet<>();
-      for (Section s : root.tables("plan", 1, MOST_TABLES)) {
-        double ceiling = s.number("ceiling_units_per_s", 0, 0, MOST_UNITS);
-        plans.add(new Plan(unique(s, "name", names), s.number("units_per_s", Double.NaN, 0, MOST_UNITS),
-            s.number("burst_units", Double.NaN, 0, MOST_UNITS), s.whole("open_requests", 0, 0, 1_000_000),
+      for (Section s : root.tables("plan", 1, MAX_TABLES)) {
+        double ceiling = s.number("ceiling_units_per_s", 0, 0, MAX_UNITS);
+        plans.add(new Plan(uniqueText(s, "name", names), s.number("units_per_s", Double.NaN, 0, MAX_UNITS),
+            s.number("burst_units", Double.NaN, 0, MAX_UNITS),
+            s.wholeNumber("open_requests", 0, 0, 1_000_000),
             s.number("worth_factor", 1, 0, 1e6), s.number("beyond_earns", 0, 0, 1), s.number("beyond_cost", 1,
                 0, 1),
-            ceiling, s.number("ceiling_burst_units", ceiling > 0 ? Double.NaN : 0, 0, MOST_UNITS),
-            s.number("ceiling_slack_units", 0, 0, MOST_UNITS)));
-        s.end();
+            ceiling, s.number("ceiling_burst_units", ceiling > 0 ? Double.NaN : 0, 0, MAX_UNITS),
+            s.number("ceiling_slack_units", 0, 0, MAX_UNITS)));
+        s.reportUnknownKeys();
       }
       return plans;
     }
--- a/daemon/src/main/java/willowdoor/daemon/config/Section.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/Section.java
@@ -21,13 +21,13 @@
 final class Section {
 
   /** So many edits away a key is likely a slip; more, and another was meant. */
-  private static final int LIKELY_EDITS = 3;
+  private static final int MAX_TYPO_EDITS = 3;
 
   private final String path;
   private final TomlTable table;
   private final List<Problem> problems;
   private final Map<String, Object> effective;
-  private final Set<String> known = new TreeSet<>();
+  private final Set<String> knownKeys = new TreeSet<>();
   private final int line;
 
   Section(String path, TomlTable table, int line, List<Problem> problems, Map<String, Object> effective) {
@@ -38,7 +38,7 @@
     this.effective = effective;
   }
 
-  private String full(String key) {
+  private String fullKey(String key) {
     return path.isEmpty() ? key : path + '.' + key;
   }
 
@@ -47,121 +47,122 @@
     return at == null ? line : at.line();
   }
 
-  void problem(String key, Object found, String expected) {
-    problems.add(new Problem(full(key), line(key), found == null ? "missing" : String.valueOf(found),
+  void addProblem(String key, Object found, String expected) {
+    problems.add(new Problem(fullKey(key), line(key), found == null ? "missing" : String.valueOf(found),
         expected));
   }
 
-  private Object look(String key) {
-    known.add(key);
+  private Object lookUp(String key) {
+    knownKeys.add(key);
     return table == null ? null : table.get(List.of(key));
   }
 
-  private <T> T note(String key, T value) {
+  private <T> T recordEffective(String key, T value) {
     if (value != null) {
-      effective.put(full(key), value);
+      effective.put(fullKey(key), value);
     }
     return value;
   }
 
   /** A text; without a default it must be there. */
-  String text(String key, String absent) {
-    Object found = look(key);
+  String text(String key, String defaultValue) {
+    Object found = lookUp(key);
     if (found instanceof String s) {
-      return note(key, s);
+      return recordEffective(key, s);
     }
-    if (found != null || absent == null) {
-      problem(key, found, "a text in quotes");
+    if (found != null || defaultValue == null) {
+      addProblem(key, found, "a text in quotes");
     }
-    return note(key, absent == null ? "" : absent);
+    return recordEffective(key, defaultValue == null ? "" : defaultValue);
   }
 
   /** A number between both bounds; without a default (NaN) it must be there. */
-  double number(String key, double absent, double least, double most) {
-    Object found = look(key);
-    if (found == null && !Double.isNaN(absent)) {
-      return note(key, absent);
+  double number(String key, double defaultValue, double min, double max) {
+    Object found = lookUp(key);
+    if (found == null && !Double.isNaN(defaultValue)) {
+      return recordEffective(key, defaultValue);
     }
     double value = found instanceof Number n ? n.doubleValue() : Double.NaN;
-    if (value >= least && value <= most) {
-      return note(key, value);
+    if (value >= min && value <= max) {
+      return recordEffective(key, value);
     }
-    problem(key, found, "a number from " + plain(least) + " to " + plain(most));
-    return note(key, least);
+    addProblem(key, found, "a number from " + formatNumber(min) + " to " + formatNumber(max));
+    return recordEffective(key, min);
   }
 
   /** A whole number between both bounds; without a default (null) it must be there. */
-  int whole(String key, Integer absent, int least, int most) {
-    Object found = look(key);
-    if (found == null && absent != null) {
-      return note(key, absent);
+  int wholeNumber(String key, Integer defaultValue, int min, int max) {
+    Object found = lookUp(key);
+    if (found == null && defaultValue != null) {
+      return recordEffective(key, defaultValue);
     }
-    if (found instanceof Long l && l >= least && l <= most) {
-      return note(key, l.intValue());
+    if (found instanceof Long l && l >= min && l <= max) {
+      return recordEffective(key, l.intValue());
     }
-    problem(key, found, "a whole number from " + least + " to " + most);
-    return note(key, least);
+    addProblem(key, found, "a whole number from " + min + " to " + max);
+    return recordEffective(key, min);
   }
 
-  boolean flag(String key, boolean absent) {
-    Object found = look(key);
+  boolean flag(String key, boolean defaultValue) {
+    Object found = lookUp(key);
     if (found != null && !(found instanceof Boolean)) {
-      problem(key, found, "true or false");
+      addProblem(key, found, "true or false");
     }
-    return note(key, found instanceof Boolean b ? b : absent);
+    return recordEffective(key, found instanceof Boolean b ? b : defaultValue);
   }
 
   /** Texts, without a default one at least. */
-  List<String> texts(String key, List<String> absent) {
-    Object found = look(key);
+  List<String> texts(String key, List<String> defaultValue) {
+    Object found = lookUp(key);
     if (found instanceof TomlArray array && array.toList().stream().allMatch(String.class::isInstance)
-        && (absent != null || !array.isEmpty())) {
-      return note(key, array.toList().stream().map(String.class::cast).toList());
+        && (defaultValue != null || !array.isEmpty())) {
+      return recordEffective(key, array.toList().stream().map(String.class::cast).toList());
     }
-    if (found != null || absent == null) {
-      problem(key, found instanceof TomlArray a ? a.toList() : found, "a list of texts such as [\"a\", \"b\"]"
-          + (absent == null ? ", not empty" : ""));
+    if (found != null || defaultValue == null) {
+      addProblem(key, found instanceof TomlArray a ? a.toList() : found,
+          "a list of texts such as [\"a\", \"b\"]"
+          + (defaultValue == null ? ", not empty" : ""));
     }
-    return note(key, absent == null ? List.of() : absent);
+    return recordEffective(key, defaultValue == null ? List.of() : defaultValue);
   }
 
   /** Numbers, each more than nought. */
-  List<Double> weights(String key) {
-    Object found = look(key);
+  List<Double> positiveNumbers(String key) {
+    Object found = lookUp(key);
     if (found instanceof TomlArray array && array.toList().stream().allMatch(
         n -> n instanceof Number w && w.doubleValue() > 0)) {
-      return note(key, array.toList().stream().map(n -> ((Number) n).doubleValue()).toList());
+      return recordEffective(key, array.toList().stream().map(n -> ((Number) n).doubleValue()).toList());
     }
     if (found != null) {
-      problem(key, found instanceof TomlArray a ? a.toList() : found, "a list of numbers over 0");
+      addProblem(key, found instanceof TomlArray a ? a.toList() : found, "a list of numbers over 0");
     }
-    return note(key, List.of());
+    return recordEffective(key, List.of());
   }
 
   /** One of an enum's names, in lower case. */
-  <E extends Enum<E>> E choice(String key, Class<E> type, E absent) {
-    Object found = look(key);
+  <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
+    Object found = lookUp(key);
     List<String> names = new ArrayList<>();
     for (E e : type.getEnumConstants()) {
       names.add(e.name().toLowerCase(Locale.ROOT));
       if (found instanceof String s && names.get(names.size() - 1).equals(s)) {
-        return note(key, e);
+        return recordEffective(key, e);
       }
     }
-    if (found != null || absent == null) {
-      problem(key, found, "one of " + names);
+    if (found != null || defaultValue == null) {
+      addProblem(key, found, "one of " + names);
     }
-    return note(key, absent == null ? type.getEnumConstants()[0] : absent);
+    return recordEffective(key, defaultValue == null ? type.getEnumConstants()[0] : defaultValue);
   }
 
   /** A numeric address and port; names are not looked up. */
   InetSocketAddress address(String key) {
-    Object found = look(key);
+    Object found = lookUp(key);
     InetSocketAddress address = found instanceof String s ? EndpointUpdate.parseAddress(s) : null;
     if (address == null) {
-      problem(key, found, "an address and port such as \"127.0.0.1:7070\" or \"[::1]:7070\"; no name");
+      addProblem(key, found, "an address and port such as \"127.0.0.1:7070\" or \"[::1]:7070\"; no name");
     }
-    return note(key, address);
+    return recordEffective(key, address);
   }
 
   /** Numeric addresses and ports; none where the key is missing. */
@@ -169,55 +170,56 @@
     List<String> texts = texts(key, List.of());
     List<InetSocketAddress> all = texts.stream().map(EndpointUpdate::parseAddress).toList();
     if (all.contains(null)) {
-      problem(key, texts, "addresses and ports such as [\"127.0.0.1:7101\"]; no names");
+      addProblem(key, texts, "addresses and ports such as [\"127.0.0.1:7101\"]; no names");
       return List.of();
     }
     return all;
   }
 
   /** How many: a whole number, or a share such as "10%". */
-  OutageLimit most(String key, OutageLimit absent) {
-    Object found = look(key);
+  OutageLimit countOrShare(String key, OutageLimit defaultValue) {
+    Object found = lookUp(key);
     if (found instanceof Long l && l >= 0 && l <= 1_000_000) {
-      return note(key, OutageLimit.of(l.intValue()));
+      return recordEffective(key, OutageLimit.of(l.intValue()));
     }
     if (found instanceof String s && s.matches("[0-9]{1,3}%") && Integer.parseInt(s.substring(0, s.length()
         - 1)) <= 100) {
-      return note(key, OutageLimit.ofShare(Integer.parseInt(s.substring(0, s.length() - 1)) / 100.0));
+      return recordEffective(key,
+          OutageLimit.ofShare(Integer.parseInt(s.substring(0, s.length() - 1)) / 100.0));
     }
-    if (found != null || absent == null) {
-      problem(key, found, "a whole number from 0, or a share from \"0%\" to \"100%\"");
+    if (found != null || defaultValue == null) {
+      addProblem(key, found, "a whole number from 0, or a share from \"0%\" to \"100%\"");
     }
-    return note(key, absent == null ? OutageLimit.of(0) : absent);
+    return recordEffective(key, defaultValue == null ? OutageLimit.of(0) : defaultValue);
   }
 
   /** A table in this one; one that is missing gives its defaults. */
   Section table(String key) {
-    Object found = look(key);
+    Object found = lookUp(key);
     if (found != null && !(found instanceof TomlTable)) {
-      problem(key, found, "a table [" + full(key) + "]");
+      addProblem(key, found, "a table [" + fullKey(key) + "]");
     }
-    return new Section(full(key), found instanceof TomlTable t ? t : null, line(key), problems, effective);
+    return new Section(fullKey(key), found instanceof TomlTable t ? t : null, line(key), problems, effective);
   }
 
   /** The tables of an array of tables, at most so many. */
-  List<Section> tables(String key, int least, int most) {
-    Object found = look(key);
+  List<Section> tables(String key, int min, int max) {
+    Object found = lookUp(key);
     List<Section> sections = new ArrayList<>();
     if (found instanceof TomlArray array && holdsTables(array)) {
-      for (int i = 0; i < Math.min(array.size(), most); i++) {
-        sections.add(new Section(full(key) + '[' + (i + 1) + ']', array.getTable(i),
+      for (int i = 0; i < Math.min(array.size(), max); i++) {
+        sections.add(new Section(fullKey(key) + '[' + (i + 1) + ']', array.getTable(i),
             array.inputPositionOf(i).line(), problems, effective));
       }
-      if (array.size() > most) {
-        problem(key, array.size() + " tables", "at most " + most);
+      if (array.size() > max) {
+        addProblem(key, array.size() + " tables", "at most " + max);
       }
     } else if (found != null && !(found instanceof TomlArray array && array.isEmpty())) {
-      problem(key, found, "tables [[" + full(key) + "]]");
+      addProblem(key, found, "tables [[" + fullKey(key) + "]]");
     }
-    if (sections.size() < least) {
-      problem(key, found == null ? null : sections.size() + " tables", "at least " + least + " table [["
-          + full(key) + "]]");
+    if (sections.size() < min) {
+      addProblem(key, found == null ? null : sections.size() + " tables", "at least " + min + " table [["
+          + fullKey(key) + "]]");
     }
     return sections;
   }
@@ -227,22 +229,24 @@
   }
 
   /** Notes every key of this table that was never looked for. */
-  void end() {
+  void reportUnknownKeys() {
     if (table == null) {
       return;
     }
     for (String key : table.keySet()) {
-      if (!known.contains(key)) {
-        String nearest = known.stream().min((a, b) -> Integer.compare(edits(a, key), edits(b, key)))
+      if (!knownKeys.contains(key)) {
+        String nearest = knownKeys.stream()
+            .min((a, b) -> Integer.compare(editDistance(a, key), editDistance(b, key)))
             .orElse("");
-        problems.add(new Problem(full(key), line(key), "unknown key", edits(nearest, key) <= LIKELY_EDITS
-            ? "did you mean " + full(nearest) + "?" : "one of " + known));
+        problems.add(
+            new Problem(fullKey(key), line(key), "unknown key", editDistance(nearest, key) <= MAX_TYPO_EDITS
+            ? "did you mean " + fullKey(nearest) + "?" : "one of " + knownKeys));
       }
     }
   }
 
   /** Levenshtein's distance, by rows (Wagner and Fischer, 1974). */
-  static int edits(String a, String b) {
+  static int editDistance(String a, String b) {
     int[] row = new int[b.length() + 1];
     for (int j = 0; j <= b.length(); j++) {
       row[j] = j;
@@ -260,7 +264,7 @@
     return row[b.length()];
   }
 
-  private static String plain(double value) {
+  private static String formatNumber(double value) {
     return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value)
         : Double.toString(value);
   }
--- a/daemon/src/main/java/willowdoor/daemon/config/StewardConfig.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/StewardConfig.java
@@ -16,8 +16,8 @@
 /** A steward's configuration, read from TOML; {@code deploy/steward.toml} documents every key. */
 public final class StewardConfig {
 
-  private static final int MOST_STEWARDS = 7;
-  private static final double MOST_LEASE_MS = 600_000;
+  private static final int MAX_STEWARDS = 7;
+  private static final double MAX_LEASE_MS = 600_000;
 
   private StewardConfig() {
   }
@@ -29,7 +29,7 @@
    */
   public static StewardProcess.Settings read(Path file, StewardProcess.Start start)
       throws IOException, ConfigException {
-    return TomlFile.parse(file, TomlFile.text(file), (root, effective) -> read(root, start));
+    return TomlFile.parse(file, TomlFile.readText(file), (root, effective) -> read(root, start));
   }
 
   private static StewardProcess.Settings read(Section root, StewardProcess.Start start) {
@@ -37,37 +37,37 @@
     String name = s.text("name", null);
     String fleet = s.text("fleet", "fleet");
     String store = s.text("store", null);
-    s.end();
+    s.reportUnknownKeys();
     Map<StewardId, InetSocketAddress> members = new LinkedHashMap<>();
     StewardId self = null;
     Set<String> names = new HashSet<>();
-    for (Section m : root.tables("member", 1, MOST_STEWARDS)) {
-      String other = DaemonConfig.Reader.unique(m, "name", names);
-      StewardId id = new StewardId(other, Integer.toString(m.whole("disk", 1, 1, 1_000_000)));
+    for (Section m : root.tables("member", 1, MAX_STEWARDS)) {
+      String other = DaemonConfig.Reader.uniqueText(m, "name", names);
+      StewardId id = new StewardId(other, Integer.toString(m.wholeNumber("disk", 1, 1, 1_000_000)));
       InetSocketAddress address = m.address("address");
-      m.end();
+      m.reportUnknownKeys();
       members.put(id, address == null ? new InetSocketAddress(0) : address);
       self = other.equals(name) ? id : self;
     }
     if (self == null) {
-      root.problem("member", names, "one of the name \"" + name + "\", as steward.name is");
+      root.addProblem("member", names, "one of the name \"" + name + "\", as steward.name is");
     }
     FleetSettings terms = terms(root.table("terms"));
-    root.end();
+    root.reportUnknownKeys();
     return self == null ? null : new StewardProcess.Settings(fleet, self, members.get(self), Path.of(store),
         members, terms, start);
   }
 
   private static FleetSettings terms(Section t) {
     FleetSettings terms = new FleetSettings(budget(t, "doors"), budget(t, "backends"),
-        t.number("lease_ms", 3_000, 200, MOST_LEASE_MS));
-    t.end();
+        t.number("lease_ms", 3_000, 200, MAX_LEASE_MS));
+    t.reportUnknownKeys();
     return terms;
   }
 
   private static Budget budget(Section t, String kind) {
-    return new Budget(t.most(kind + "_out", OutageLimit.of(1)),
-        t.most(kind + "_out_in_zone", OutageLimit.UNLIMITED),
+    return new Budget(t.countOrShare(kind + "_out", OutageLimit.of(1)),
+        t.countOrShare(kind + "_out_in_zone", OutageLimit.UNLIMITED),
         t.number(kind + "_least_weight", 0, 0, 1e9));
   }
 }
--- a/daemon/src/main/java/willowdoor/daemon/config/TomlFile.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/TomlFile.java
@@ -15,16 +15,17 @@
 /** Reads a configuration's file: all that is wrong with it is told at once. */
 final class TomlFile {
 
-  private static final int LARGEST_FILE = 1 << 20;
+  private static final int MAX_FILE_BYTES = 1 << 20;
 
   private TomlFile() {
   }
 
-  /** The text of a file of {@value #LARGEST_FILE} bytes at most. */
-  static String text(Path file) throws IOException {
+  /** The text of a file of {@value #MAX_FILE_BYTES} bytes at most. */
+  static String readText(Path file) throws IOException {
     try {
-      if (Files.size(file) > LARGEST_FILE) {
-        throw new IOException(file + " has " + Files.size(file) + " bytes (expected: at most " + LARGEST_FILE
+      if (Files.size(file) > MAX_FILE_BYTES) {
+        throw new IOException(file + " has " + Files.size(file) + " bytes (expected: at most "
+            + MAX_FILE_BYTES
             + ")");
       }
       return Files.readString(file);
--- a/daemon/src/main/java/willowdoor/daemon/fleet/AgreedOperator.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AgreedOperator.java
@@ -15,8 +15,8 @@
 import willowdoor.agreement.Subject;
 import willowdoor.agreement.Subject.Kind;
 import willowdoor.steward.link.Answer;
-import willowdoor.steward.link.Operator;
-import willowdoor.steward.link.Standing;
+import willowdoor.steward.link.OperatorClient;
+import willowdoor.steward.link.FleetStatus;
 import willowdoor.testkit.Ledger;
 
 /**
@@ -64,7 +64,7 @@
   @Override
   public void run() {
     List<Subject> all = List.copyOf(subjects.keySet());
-    try (Operator operator = stewards.operator(name)) {
+    try (OperatorClient operator = stewards.operator(name)) {
       while (going.get()) {
         takeOut(operator, all.get(random.nextInt(all.size())));
         Thread.sleep(random.nextInt(200));
@@ -74,7 +74,7 @@
     }
   }
 
-  private void takeOut(Operator operator, Subject subject) throws InterruptedException {
+  private void takeOut(OperatorClient operator, Subject subject) throws InterruptedException {
     String request = name + "-" + ++requests;
     long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
     long permit = -1;
@@ -116,7 +116,7 @@
   private void awaitOut(Subject subject, long permit) throws InterruptedException {
     long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
     while (System.nanoTime() < until) {
-      Standing s = stewards.look();
+      FleetStatus s = stewards.look();
       if (s != null && s.permits().stream().anyMatch(x -> x.id() == permit && x.stage() == Stage.OUT)) {
         ledger.machine(Ledger.Kind.OUT, subjects.get(subject), Long.toString(permit));
         counts.out.incrementAndGet();
@@ -126,7 +126,7 @@
     }
   }
 
-  private void giveBack(Operator operator, Subject subject, long permit) throws InterruptedException {
+  private void giveBack(OperatorClient operator, Subject subject, long permit) throws InterruptedException {
     ledger.machine(Ledger.Kind.GIVEN_BACK, subjects.get(subject), Long.toString(permit));
     operator.put(new ReturnPermit(0, subject, permit, name), CALL_MS);
   }
@@ -135,9 +135,9 @@
   static boolean tidy(Stewards stewards, Ledger ledger, Map<Subject, String> subjects, long limitMs)
       throws InterruptedException {
     long until = System.nanoTime() + limitMs * 1_000_000;
-    try (Operator operator = stewards.operator("tidy")) {
+    try (OperatorClient operator = stewards.operator("tidy")) {
       while (System.nanoTime() < until) {
-        Standing s = stewards.look();
+        FleetStatus s = stewards.look();
         if (s != null && s.permits().isEmpty() && s.doorsOut() == 0 && s.backendsOut() == 0) {
           return true;
         }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/BackendRestarts.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/BackendRestarts.java
@@ -9,7 +9,7 @@
 import willowdoor.agreement.Permit.Stage;
 import willowdoor.agreement.Subject.Kind;
 import willowdoor.net.EndpointUpdate;
-import willowdoor.steward.link.Standing;
+import willowdoor.steward.link.FleetStatus;
 import willowdoor.testkit.BackendPark;
 import willowdoor.testkit.Ledger;
 import willowdoor.testkit.StandInBackend;
@@ -57,7 +57,7 @@
 
   private void run() {
     while (going) {
-      Standing s = fleet.stewards().look();
+      FleetStatus s = fleet.stewards().look();
       if (s != null) {
         most = Math.max(most, s.backendsOut());
         s.permits().stream().filter(x -> x.subject().kind() == Kind.BACKEND).forEach(this::see);
@@ -88,7 +88,7 @@
 
   /** A faint version's process dies when its step is over. */
   private void died() {
-    Standing s = fleet.stewards().look();
+    FleetStatus s = fleet.stewards().look();
     if (s == null) {
       return;
     }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/ReleaseRun.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/ReleaseRun.java
@@ -15,8 +15,8 @@
 import willowdoor.rollout.Release;
 import willowdoor.rollout.Release.Mode;
 import willowdoor.steward.link.Answer;
-import willowdoor.steward.link.Operator;
-import willowdoor.steward.link.Standing;
+import willowdoor.steward.link.OperatorClient;
+import willowdoor.steward.link.FleetStatus;
 import willowdoor.testkit.BackendPark;
 import willowdoor.testkit.ClientFleet;
 import willowdoor.testkit.Judge;
@@ -54,7 +54,7 @@
   private final FleetRun run;
   private final Stewards stewards;
   private final Launches launches;
-  private final Operator operator;
+  private final OperatorClient operator;
   private int requests;
 
   /**
@@ -90,7 +90,7 @@
   }
 
   private boolean knows(int doors) {
-    Standing s = stewards.look();
+    FleetStatus s = stewards.look();
     return s != null && s.doors() == doors && s.doorsOut() == 0 && s.backendsOut() == 0;
   }
 
@@ -149,7 +149,7 @@
 
   /** The last release as it stands; null where there is none, or nobody says so. */
   Release look() {
-    Standing s = stewards.look();
+    FleetStatus s = stewards.look();
     return s == null || s.releases().isEmpty() ? null : s.releases().get(s.releases().size() - 1);
   }
 
--- a/daemon/src/main/java/willowdoor/daemon/fleet/ReleasedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/ReleasedCommand.java
@@ -20,7 +20,7 @@
 import willowdoor.rollout.Plan;
 import willowdoor.rollout.Release;
 import willowdoor.rollout.Release.Mode;
-import willowdoor.steward.link.Standing;
+import willowdoor.steward.link.FleetStatus;
 import willowdoor.testkit.DoorProcess;
 import willowdoor.testkit.Judge.Verdict;
 import willowdoor.testkit.Relay;
@@ -138,7 +138,7 @@
     AtomicInteger most = new AtomicInteger();
     Thread watching = new Thread(() -> {
       while (going.get()) {
-        Standing s = run.stewards().look();
+        FleetStatus s = run.stewards().look();
         most.accumulateAndGet(s == null ? 0 : s.doorsOut(), Math::max);
         FleetRun.sleep(50);
       }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/Stewards.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/Stewards.java
@@ -12,8 +12,8 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import willowdoor.steward.link.Answer;
-import willowdoor.steward.link.Operator;
-import willowdoor.steward.link.Standing;
+import willowdoor.steward.link.OperatorClient;
+import willowdoor.steward.link.FleetStatus;
 import willowdoor.testkit.DoorProcess;
 import willowdoor.testkit.Relay;
 import willowdoor.testkit.StandIns;
@@ -106,9 +106,9 @@
   }
 
   /** How all stands, or null where nobody says so within a second. */
-  Standing look() {
-    try (Operator operator = operator("look")) {
-      return operator.look(1_000) instanceof Answer.Stands e ? e.standing() : null;
+  FleetStatus look() {
+    try (OperatorClient operator = operator("look")) {
+      return operator.status(1_000) instanceof Answer.Stands e ? e.standing() : null;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return null;
@@ -116,8 +116,8 @@
   }
 
   /** The same, asked until somebody says so. */
-  Standing awaitLook() {
-    Standing standing = look();
+  FleetStatus awaitLook() {
+    FleetStatus standing = look();
     while (standing == null) {
       FleetRun.sleep(50);
       standing = look();
@@ -125,8 +125,8 @@
     return standing;
   }
 
-  Operator operator(String by) {
-    return new Operator("fleet", by,
+  OperatorClient operator(String by) {
+    return new OperatorClient("fleet", by,
         IntStream.range(0, processes.size()).mapToObj(this::address).toList());
   }
 
--- a/daemon/src/main/java/willowdoor/daemon/life/Agreement.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Agreement.java
@@ -35,14 +35,14 @@
  * it hears of, and has the door do what was agreed on. What it says of the door it reads on the door's loop;
  * the link has a thread of its own.
  */
-final class Agreement implements AutoCloseable, DoorLink.Hands {
+final class Agreement implements AutoCloseable, DoorLink.DoorControl {
 
   private static final Logger LOG = Logger.getLogger(Agreement.class.getName());
   /** How often it looks at what is told by no event: attempts that end, backends that are warm by now. */
-  private static final long LOOK_MS = 50;
+  private static final long POLL_INTERVAL_MS = 50;
   /** Between two looks whether another process of this door has ended. */
-  private static final long VOUCH_MS = 500;
-  private static final long SAY_SO_MS = 5_000;
+  private static final long ENDED_PROCESS_CHECK_MS = 500;
+  private static final long WAIT_LOG_INTERVAL_MS = 5_000;
 
   private final FrontDoor door;
   private final EventLoop loop;
@@ -50,22 +50,22 @@
   private final DaemonConfig config;
   private final DoorLink link;
   /** Backends that go out, until no attempt is out at them. */
-  private final Map<Long, String> leaving = new HashMap<>();
-  private final Map<Long, BackendEntry> listed = new HashMap<>();
-  private final Set<Long> cold = new HashSet<>();
-  private long version;
-  private boolean dirty;
+  private final Map<Long, String> drainingBackends = new HashMap<>();
+  private final Map<Long, BackendEntry> roster = new HashMap<>();
+  private final Set<Long> coldBackends = new HashSet<>();
+  private long rosterVersion;
+  private boolean rosterChanged;
   private Phase phase = Phase.STARTING;
   private final FileChannel lockFile;
-  private final ProcessLocks locks;
+  private final ProcessLocks processLocks;
   /** Processes whose end has been, or is being, told; of the lock's thread. */
-  private final Set<String> vouched = new HashSet<>();
-  private Set<String> endedBefore = Set.of();
+  private final Set<String> reportedEnded = new HashSet<>();
+  private Set<String> endedAtLastCheck = Set.of();
   /** Whether this process holds the door's lock. */
-  private volatile boolean alone;
-  private final Figures figures;
-  private final Successors successors;
-  private Tally told = Tally.NONE;
+  private volatile boolean holdsDoorLock;
+  private final RequestTally requestTally;
+  private final SuccessorLauncher successors;
+  private Tally reportedTally = Tally.NONE;
   /** Null where operators don't call here. */
   private final Management management;
 
@@ -81,42 +81,44 @@
     this.instance = instance;
     this.config = config;
     loop = door.loop();
-    DaemonConfig.Agreement a = config.agreement();
-    figures = new Figures(config.settings().classes());
-    successors = new Successors(loop, instance, a.successor(), config.takeOver().readyLimitMs(),
-        this::cameToNothing);
-    lockFile = FileChannel.open(Path.of(a.lockFile()), StandardOpenOption.CREATE, StandardOpenOption.READ,
+    DaemonConfig.Agreement settings = config.agreement();
+    requestTally = new RequestTally(config.settings().classes());
+    successors = new SuccessorLauncher(loop, instance, settings.successor(), config.takeOver().readyLimitMs(),
+        this::reportFailedAttempt);
+    lockFile = FileChannel
+        .open(Path.of(settings.lockFile()), StandardOpenOption.CREATE, StandardOpenOption.READ,
         StandardOpenOption.WRITE);
-    locks = new ProcessLocks(Path.of(a.lockFile()), incarnation);
-    long generation = tried();
-    link = new DoorLink(new DoorLink.Self(a.fleet(), config.instance().name(), incarnation,
-        config.instance().zone(), a.weight(), version, attempt()), a.stewards(), a.drift(),
-        Path.of(a.lockFile() + ".out"), generation, this);
-    management = a.management() == null ? null : new Management(door, a.management(),
+    processLocks = new ProcessLocks(Path.of(settings.lockFile()), incarnation);
+    long generation = tryLock();
+    link = new DoorLink(new DoorLink.Identity(settings.fleet(), config.instance().name(), incarnation,
+        config.instance().zone(), settings.weight(), version, startedForAttempt()), settings.stewards(),
+        settings.drift(),
+        Path.of(settings.lockFile() + ".out"), generation, this);
+    management = settings.management() == null ? null : new Management(door, settings.management(),
         config.instance().name(),
         link, () -> phase == Phase.READY || phase == Phase.OUT);
-    Thread waiting = new Thread(() -> hold(generation), "door-lock");
-    waiting.setDaemon(true);
-    waiting.start();
+    Thread lockThread = new Thread(() -> watchProcessLocks(generation), "door-lock");
+    lockThread.setDaemon(true);
+    lockThread.start();
     loop.submit(() -> {
-      door.listed(this::heard);
-      door.tellEnds(figures);
-      heard(config.backends().known());
-      look();
+      door.addRosterListener(this::rosterReceived);
+      door.setEndListener(requestTally);
+      rosterReceived(config.backends().configured());
+      poll();
     }).sync();
   }
 
-  private void cameToNothing(long attempt) {
-    link.cameToNothing(attempt);
+  private void reportFailedAttempt(long attempt) {
+    link.replacementFailed(attempt);
   }
 
   /** Which attempt of a release this process was started for; 0 for none. */
-  private static long attempt() {
-    String told = System.getenv(Successors.ATTEMPT);
+  private static long startedForAttempt() {
+    String variable = System.getenv(SuccessorLauncher.ATTEMPT_VARIABLE);
     try {
-      return told == null ? 0 : Long.parseLong(told);
+      return variable == null ? 0 : Long.parseLong(variable);
     } catch (NumberFormatException e) {
-      LOG.warning(Successors.ATTEMPT + " is \"" + told + "\" (expected: a number)");
+      LOG.warning(SuccessorLauncher.ATTEMPT_VARIABLE + " is \"" + variable + "\" (expected: a number)");
       return 0;
     }
   }
@@ -130,22 +132,24 @@
    * successors: an attempt that was halted meanwhile is never said to stand, and nobody would be left who
    * starts the door anew with the version that it had.
    */
-  void awaitTold() {
-    long from = System.nanoTime();
+  void awaitOutStatus() {
+    long startNanos = System.nanoTime();
     while (true) {
       try {
-        link.told().get(SAY_SO_MS, TimeUnit.MILLISECONDS);
+        link.takenOutKnown().get(WAIT_LOG_INTERVAL_MS, TimeUnit.MILLISECONDS);
         return;
       } catch (TimeoutException e) {
-        long waited = (System.nanoTime() - from) / 1_000_000;
-        if (attempt() > 0 && alone && waited > config.takeOver().readyLimitMs()) {
-          instance.tell(
-              new FatalError("nobody says that attempt " + attempt() + " stands, for which this process"
+        long waitedMs = (System.nanoTime() - startNanos) / 1_000_000;
+        if (startedForAttempt() > 0 && holdsDoorLock && waitedMs > config.takeOver().readyLimitMs()) {
+          instance.post(
+              new FatalError("nobody says that attempt " + startedForAttempt()
+              + " stands, for which this process"
               + " was started, and the process that started it is gone: the door is to be started anew"));
           return;
         }
         LOG.warning("not ready: no steward of " + config.agreement().stewards() + " has told yet which"
-            + " backends are out" + (attempt() > 0 ? ", or that attempt " + attempt() + " stands" : "")
+            + " backends are out"
+            + (startedForAttempt() > 0 ? ", or that attempt " + startedForAttempt() + " stands" : "")
             + ", and no process of this door before this one has kept it");
       } catch (ExecutionException e) {
         throw new IllegalStateException(e);
@@ -160,20 +164,20 @@
    * Tries until the process that holds the lock has ended, and then vouches for others that end; on a thread
    * of its own, as it is file work.
    */
-  private void hold(long before) {
+  private void watchProcessLocks(long initialGeneration) {
     try {
-      long generation = before;
+      long generation = initialGeneration;
       while (generation == 0 && lockFile.isOpen()) {
-        Thread.sleep(LOOK_MS);
-        generation = tried();
+        Thread.sleep(POLL_INTERVAL_MS);
+        generation = tryLock();
       }
-      alone = generation > 0;
-      if (generation > 0 && before == 0) {
-        link.holds(generation);
+      holdsDoorLock = generation > 0;
+      if (generation > 0 && initialGeneration == 0) {
+        link.lockAcquired(generation);
       }
       while (lockFile.isOpen()) {
-        vouch();
-        Thread.sleep(VOUCH_MS);
+        reportEndedProcesses();
+        Thread.sleep(ENDED_PROCESS_CHECK_MS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -181,115 +185,115 @@
   }
 
   /** Of those that had ended at the look before as well: what they had written is there by now. */
-  private void vouch() {
+  private void reportEndedProcesses() {
     try {
-      List<String> now = locks.ended();
-      for (String ended : now) {
-        if (endedBefore.contains(ended) && vouched.add(ended)) {
-          link.ended(ended, () -> forget(ended));
+      List<String> endedNow = processLocks.ended();
+      for (String incarnation : endedNow) {
+        if (endedAtLastCheck.contains(incarnation) && reportedEnded.add(incarnation)) {
+          link.reportEnded(incarnation, () -> forgetProcess(incarnation));
         }
       }
-      endedBefore = Set.copyOf(now);
-      vouched.retainAll(now);
+      endedAtLastCheck = Set.copyOf(endedNow);
+      reportedEnded.retainAll(endedNow);
     } catch (IOException e) {
       LOG.warning("which processes of this door have ended can't be seen: " + e);
     }
   }
 
-  private void forget(String ended) {
+  private void forgetProcess(String incarnation) {
     try {
-      locks.forget(ended);
+      processLocks.forget(incarnation);
     } catch (IOException e) {
-      LOG.warning("the file of process " + ended + ", which has ended, stays: " + e);
+      LOG.warning("the file of process " + incarnation + ", which has ended, stays: " + e);
     }
   }
 
   /** What the instance has come to; on the door's loop. */
-  void changed(Phase other) {
-    phase = other;
-    link.does(doing());
+  void phaseChanged(Phase newPhase) {
+    phase = newPhase;
+    link.reportState(doing());
   }
 
   private Activity doing() {
     return switch (phase) {
       case STARTING, WARMING -> Activity.STARTING;
       case READY -> Activity.READY;
-      case OUT -> door.idle() && door.held() == 0 ? Activity.EMPTY : Activity.DRAINING;
+      case OUT -> door.hasNoConnections() && door.heldRequests() == 0 ? Activity.EMPTY : Activity.DRAINING;
       case DRAINING, ANSWERING, FAILING -> Activity.DRAINING;
       case STOPPED -> Activity.ENDED;
     };
   }
 
-  private void look() {
+  private void poll() {
     if (phase == Phase.STOPPED) {
       return;
     }
     if (phase == Phase.OUT) {
-      link.does(doing());
+      link.reportState(doing());
     }
-    leaving.entrySet().removeIf(e -> {
-      boolean gone = !door.sendsTo(e.getKey());
-      if (gone) {
-        link.letGo(e.getValue());
+    drainingBackends.entrySet().removeIf(e -> {
+      boolean drained = !door.hasAttemptTo(e.getKey());
+      if (drained) {
+        link.backendReleased(e.getValue());
       }
-      return gone;
+      return drained;
     });
-    Tally now = figures.tally();
-    if (!now.equals(told)) {
-      told = now;
-      link.counted(now);
+    Tally tally = requestTally.tally();
+    if (!tally.equals(reportedTally)) {
+      reportedTally = tally;
+      link.reportTally(tally);
     }
-    if (dirty || cold.stream().anyMatch(id -> !isCold(listed.get(id)))) {
-      tell();
+    if (rosterChanged || coldBackends.stream().anyMatch(id -> !isCold(roster.get(id)))) {
+      reportRoster();
     }
-    loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(this::poll, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
   /** The lock is held by one process of this door at a time, until that has ended; 0 while by another. */
-  private long tried() {
+  private long tryLock() {
     try {
       if (lockFile.tryLock() == null) {
         return 0;
       }
-      ByteBuffer number = ByteBuffer.allocate(Long.BYTES);
-      long next = 1 + (lockFile.read(number, 0) == Long.BYTES ? number.getLong(0) : 0);
-      lockFile.write(ByteBuffer.allocate(Long.BYTES).putLong(0, next), 0);
+      ByteBuffer stored = ByteBuffer.allocate(Long.BYTES);
+      long generation = 1 + (lockFile.read(stored, 0) == Long.BYTES ? stored.getLong(0) : 0);
+      lockFile.write(ByteBuffer.allocate(Long.BYTES).putLong(0, generation), 0);
       lockFile.force(false);
-      return next;
+      return generation;
     } catch (IOException | OverlappingFileLockException e) {
       LOG.warning("the lock file " + config.agreement().lockFile() + ": " + e);
       return 0;
     }
   }
 
-  private void heard(EndpointUpdate news) {
+  private void rosterReceived(EndpointUpdate news) {
     if (news.full()) {
-      listed.clear();
+      roster.clear();
     }
     for (BackendEntry e : news.entries()) {
       if (e.phase() == willowdoor.policy.GatewayApi.Phase.REMOVED) {
-        listed.remove(e.id());
+        roster.remove(e.id());
       } else {
-        listed.put(e.id(), e);
+        roster.put(e.id(), e);
       }
     }
-    version = news.version();
-    dirty = true;
+    rosterVersion = news.version();
+    rosterChanged = true;
   }
 
-  private void tell() {
-    dirty = false;
-    cold.clear();
-    List<Backend> all = new ArrayList<>(listed.size());
-    for (BackendEntry e : listed.values()) {
-      boolean resting = isCold(e);
-      if (resting) {
-        cold.add(e.id());
+  private void reportRoster() {
+    rosterChanged = false;
+    coldBackends.clear();
+    List<Backend> backends = new ArrayList<>(roster.size());
+    for (BackendEntry e : roster.values()) {
+      boolean isCold = isCold(e);
+      if (isCold) {
+        coldBackends.add(e.id());
       }
-      all.add(new Backend(Long.toHexString(e.id()), e.zone(), e.size(),
-          !resting && e.phase() == willowdoor.policy.GatewayApi.Phase.SERVING, e.startedMs()));
+      backends.add(new Backend(Long.toHexString(e.id()), e.zone(), e.capacity(),
+          !isCold && e.phase() == willowdoor.policy.GatewayApi.Phase.SERVING, e.startedMs()));
     }
-    link.sight(version, all);
+    link.reportBackends(rosterVersion, backends);
   }
 
   private boolean isCold(BackendEntry e) {
@@ -298,26 +302,26 @@
 
   @Override
   public void takeOut(String backend) {
-    onDoor(backend, id -> {
+    onDoorLoop(backend, id -> {
       LOG.info("backend " + backend + " goes out, as agreed");
-      door.agreed(id, true);
-      leaving.put(id, backend);
+      door.setAgreedOut(id, true);
+      drainingBackends.put(id, backend);
     });
   }
 
   @Override
   public void putBack(String backend) {
-    onDoor(backend, id -> {
+    onDoorLoop(backend, id -> {
       LOG.info("backend " + backend + " is back, as agreed");
-      leaving.remove(id);
-      door.agreed(id, false);
+      drainingBackends.remove(id);
+      door.setAgreedOut(id, false);
     });
   }
 
-  private void onDoor(String backend, java.util.function.LongConsumer then) {
+  private void onDoorLoop(String backend, java.util.function.LongConsumer action) {
     loop.execute(() -> {
       try {
-        then.accept(Long.parseLong(backend, 16));
+        action.accept(Long.parseLong(backend, 16));
       } catch (NumberFormatException e) {
         LOG.warning("\"" + backend + "\" is no backend that a door can know");
       }
@@ -326,12 +330,12 @@
 
   @Override
   public void drain() {
-    instance.tell(new OutOfService());
+    instance.post(new OutOfService());
   }
 
   @Override
   public void undrain() {
-    instance.tell(new BackInService());
+    instance.post(new BackInService());
   }
 
   @Override
@@ -348,7 +352,7 @@
     }
     link.close();
     try {
-      locks.close();
+      processLocks.close();
       lockFile.close();
     } catch (IOException e) {
       LOG.warning("the lock file: " + e.getMessage());
--- a/daemon/src/main/java/willowdoor/daemon/life/ControlSocket.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/ControlSocket.java
@@ -29,21 +29,21 @@
  * rename, so that there is never a moment without one, and a file left by a killed process is no obstacle.
  *
  * <p>Guards against a successor that stalls between taking the socket and being ready: after the limit it is
- * told to give up. Bound: {@value #MOST_CONNECTIONS} connections, more are refused.
+ * told to give up. Bound: {@value #MAX_CONNECTIONS} connections, more are refused.
  */
 final class ControlSocket {
 
   private static final Logger LOG = Logger.getLogger(ControlSocket.class.getName());
-  private static final int MOST_CONNECTIONS = 8;
+  private static final int MAX_CONNECTIONS = 8;
 
   private final Instance instance;
   private final FrontDoor door;
   private final Path path;
   private final long readyLimitMs;
-  private Channel listening;
+  private Channel serverChannel;
   private int connections;
   /** The one connection over which the listening socket was handed on, or null. */
-  private Successor successor;
+  private SuccessorConnection successor;
 
   ControlSocket(FrontDoor door, Instance instance, Path path, long readyLimitMs) {
     this.door = door;
@@ -54,39 +54,39 @@
 
   /** Listens in the file's place; not for the loop's thread. */
   void open() throws IOException {
-    Path fresh = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
-    Files.deleteIfExists(fresh);
+    Path temporary = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
+    Files.deleteIfExists(temporary);
     try {
-      listening = new ServerBootstrap().group(door.group()).channel(EpollServerDomainSocketChannel.class)
+      serverChannel = new ServerBootstrap().group(door.group()).channel(EpollServerDomainSocketChannel.class)
           .childHandler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel ch) {
-              Handover.lines(ch.pipeline());
-              ch.pipeline().addLast(new Successor());
+              HandoverProtocol.addLineCodec(ch.pipeline());
+              ch.pipeline().addLast(new SuccessorConnection());
             }
-          }).bind(new DomainSocketAddress(fresh.toFile())).sync().channel();
-      Files.setPosixFilePermissions(fresh, PosixFilePermissions.fromString("rw-------"));
-      Files.move(fresh, path, StandardCopyOption.ATOMIC_MOVE);
+          }).bind(new DomainSocketAddress(temporary.toFile())).sync().channel();
+      Files.setPosixFilePermissions(temporary, PosixFilePermissions.fromString("rw-------"));
+      Files.move(temporary, path, StandardCopyOption.ATOMIC_MOVE);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
     } catch (Exception e) {
-      Files.deleteIfExists(fresh);
+      Files.deleteIfExists(temporary);
       throw new IOException("take_over.control_socket: cannot listen on " + path + ": " + e.getMessage(), e);
     }
   }
 
-  private String listen() {
-    return Daemon.text((InetSocketAddress) door.address());
+  private String listenAddress() {
+    return Daemon.formatAddress((InetSocketAddress) door.address());
   }
 
   /** Takes the file's place again, after a successor that had taken it is gone. */
   void reopen() {
-    Channel old = listening;
+    Channel previous = serverChannel;
     Thread opening = new Thread(() -> {
       try {
         open();
-        old.close();
+        previous.close();
       } catch (IOException e) {
         LOG.warning("no successor can take over: " + e.getMessage());
       }
@@ -96,16 +96,16 @@
   }
 
   /** One process that asks to take over; on the door's loop. */
-  private final class Successor extends SimpleChannelInboundHandler<String> {
+  private final class SuccessorConnection extends SimpleChannelInboundHandler<String> {
     private String pid = "?";
     private boolean counted;
-    private boolean handed;
+    private boolean descriptorSent;
     private boolean ready;
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       counted = true;
-      if (++connections > MOST_CONNECTIONS) {
+      if (++connections > MAX_CONNECTIONS) {
         refuse(ctx, "too many processes ask at once");
       }
     }
@@ -113,30 +113,33 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, String line) {
       String[] words = line.split(" ");
-      if (words[0].equals(Handover.TAKE_OVER) && words.length == 4) {
-        ask(ctx, words);
-      } else if (line.equals(Handover.SEND) && successor == this && !handed) {
-        handed = true;
+      if (words[0].equals(HandoverProtocol.TAKE_OVER) && words.length == 4) {
+        handleTakeOver(ctx, words);
+      } else if (line.equals(HandoverProtocol.SEND) && successor == this && !descriptorSent) {
+        descriptorSent = true;
         ctx.writeAndFlush(new FileDescriptor(door.descriptor()));
-      } else if ((line.equals(Handover.READY) || line.equals(Handover.READY_TO_LEARN)) && handed && !ready) {
+      } else if (
+          (line.equals(HandoverProtocol.READY) || line.equals(HandoverProtocol.READY_FOR_LEARNED_STATE))
+          && descriptorSent && !ready) {
         ready = true;
-        LOG.info("process " + pid + " has taken over " + listen());
-        instance.tell(new SuccessorReady());
-        Handover.say(ctx, Handover.YOURS);
-        if (line.equals(Handover.READY_TO_LEARN)) {
-          door.loop().execute(() -> teach(ctx));
+        LOG.info("process " + pid + " has taken over " + listenAddress());
+        instance.post(new SuccessorReady());
+        HandoverProtocol.writeLine(ctx, HandoverProtocol.CONFIRMED);
+        if (line.equals(HandoverProtocol.READY_FOR_LEARNED_STATE)) {
+          door.loop().execute(() -> sendLearnedState(ctx));
         }
       } else {
         refuse(ctx, "not understood: " + line);
       }
     }
 
-    private void ask(ChannelHandlerContext ctx, String[] words) {
+    private void handleTakeOver(ChannelHandlerContext ctx, String[] words) {
       pid = words[2];
-      if (!words[1].equals(Handover.VERSION)) {
-        refuse(ctx, "handover version " + words[1] + " (expected: " + Handover.VERSION + ")");
-      } else if (!words[3].equals(listen())) {
-        refuse(ctx, "process " + ProcessHandle.current().pid() + " listens on " + listen() + ", not on "
+      if (!words[1].equals(HandoverProtocol.VERSION)) {
+        refuse(ctx, "handover version " + words[1] + " (expected: " + HandoverProtocol.VERSION + ")");
+      } else if (!words[3].equals(listenAddress())) {
+        refuse(ctx,
+            "process " + ProcessHandle.current().pid() + " listens on " + listenAddress() + ", not on "
             + words[3]);
       } else if (successor != null) {
         refuse(ctx, "process " + successor.pid + " is taking over already");
@@ -149,17 +152,21 @@
             refuse(ctx, "not ready within " + readyLimitMs + " ms");
           }
         }, readyLimitMs, TimeUnit.MILLISECONDS);
-        Handover.say(ctx, Handover.HANDING + " " + ProcessHandle.current().pid() + " " + LearnedLines.WORD);
+        HandoverProtocol
+            .writeLine(ctx,
+            HandoverProtocol.HANDING + " " + ProcessHandle.current().pid() + " "
+            + LearnedStateLines.LINE_PREFIX);
       }
     }
 
-    private void teach(ChannelHandlerContext ctx) {
-      LearnedLines.of(door.learned()).forEach(x -> ctx.write(x + '\n'));
+    private void sendLearnedState(ChannelHandlerContext ctx) {
+      LearnedStateLines.encode(door.learnedState()).forEach(x -> ctx.write(x + '\n'));
       ctx.flush();
     }
 
     private void refuse(ChannelHandlerContext ctx, String reason) {
-      ctx.writeAndFlush(Handover.REFUSED + " " + reason + '\n').addListener(ChannelFutureListener.CLOSE);
+      ctx.writeAndFlush(HandoverProtocol.REFUSED + " " + reason + '\n')
+          .addListener(ChannelFutureListener.CLOSE);
     }
 
     @Override
@@ -168,7 +175,7 @@
       if (successor == this) {
         successor = null;
         if (ready) {
-          instance.tell(new SuccessorLost());
+          instance.post(new SuccessorLost());
         } else {
           LOG.warning("process " + pid + " did not become ready; serving on");
         }
@@ -182,7 +189,7 @@
   }
 
   /** Whether this machine can hand a socket over at all. */
-  static boolean available() {
+  static boolean isAvailable() {
     return Epoll.isAvailable();
   }
 }
--- a/daemon/src/main/java/willowdoor/daemon/life/Daemon.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Daemon.java
@@ -21,9 +21,9 @@
 import willowdoor.life.LifecycleEvent.EndSignal;
 import willowdoor.net.Config;
 import willowdoor.net.FrontDoor;
-import willowdoor.net.Gate;
-import willowdoor.net.GateChain;
-import willowdoor.policy.Learned;
+import willowdoor.net.RequestFilter;
+import willowdoor.net.RequestFilterChain;
+import willowdoor.policy.LearnedState;
 import willowdoor.steward.link.StewardProcess;
 import willowdoor.valkey.ValkeyStore;
 
@@ -39,32 +39,32 @@
   private static final long AUTHORISATION_WARM_UP_MS = 3_000;
 
   private final DaemonConfig config;
-  private final Path file;
+  private final Path configFile;
   private final FrontDoor door;
   private final Instance instance;
-  private final ControlSocket control;
-  private TakeOver takeOver;
-  private ExtAuthzGate gate;
-  private FairGate fair;
+  private final ControlSocket controlSocket;
+  private HandoverClient handoverClient;
+  private ExtAuthzGate authorisationGate;
+  private FairGate fairGate;
   /** Null where the fleet agrees on nothing. */
   private volatile Agreement agreement;
-  private InnerSteward steward;
+  private EmbeddedSteward embeddedSteward;
   private final String version;
 
-  private Daemon(DaemonConfig config, Path file, String version) throws InterruptedException {
+  private Daemon(DaemonConfig config, Path configFile, String version) throws InterruptedException {
     this.config = config;
-    this.file = file;
+    this.configFile = configFile;
     this.version = version;
-    Config wired = config.door(new SecureRandom().nextLong());
+    Config doorConfig = config.doorConfig(new SecureRandom().nextLong());
     // Without such a store none of its classes is loaded.
-    door = FrontDoor.wired(wired, config.counter().valkey() == null ? null
+    door = FrontDoor.create(doorConfig, config.counter().valkey() == null ? null
         : ValkeyStore.maker(config.counter().valkey()));
-    instance = new Instance(door, new InstanceLifecycle(config.end()), new Instance.Surroundings() {
+    instance = new Instance(door, new InstanceLifecycle(config.end()), new Instance.Listener() {
       @Override
       public void warmUp() {
-        FrontDoor.warmUp(wired);
+        FrontDoor.warmUp(doorConfig);
         if (agreement != null) {
-          agreement.awaitTold();
+          agreement.awaitOutStatus();
         }
         if (config.authorisation() != null) {
           LOG.info("warmed up by " + ExtAuthzGate.warmUp(AUTHORISATION_WARM_UP_MS) + " made-up checks");
@@ -72,28 +72,28 @@
       }
 
       @Override
-      public void found() {
+      public void onServing() {
         Thread opening = new Thread(Daemon.this::openControl, "control-socket");
         opening.setDaemon(true);
         opening.start();
       }
 
       @Override
-      public void changed(Phase phase) {
+      public void onPhaseChanged(Phase phase) {
         if (agreement != null) {
-          agreement.changed(phase);
+          agreement.phaseChanged(phase);
         }
       }
 
       @Override
-      public void resumed() {
-        if (control != null) {
-          control.reopen();
+      public void onResumed() {
+        if (controlSocket != null) {
+          controlSocket.reopen();
         }
       }
     });
     String path = config.takeOver().controlSocket();
-    control = path.isEmpty() ? null : new ControlSocket(door, instance, Path.of(path), config.takeOver()
+    controlSocket = path.isEmpty() ? null : new ControlSocket(door, instance, Path.of(path), config.takeOver()
         .readyLimitMs());
   }
 
@@ -116,38 +116,40 @@
    */
   public Daemon start(boolean mayTakeOver) throws IOException, InterruptedException {
     try {
-      guard();
+      openGates();
       listen(mayTakeOver);
-      agree();
+      startAgreement();
     } catch (IOException | RuntimeException e) {
       close();
       throw e;
     }
-    instance.tell(new SocketBound());
+    instance.post(new SocketBound());
     return this;
   }
 
   /** Without members that have authorisers, no class of that is loaded; nor of queues where none is on. */
-  private void guard() throws IOException, InterruptedException {
+  private void openGates() throws IOException, InterruptedException {
     if (config.authorisation() != null) {
-      gate = ExtAuthzGate.open(config.authorisation(), config.instance().name(), door.group(), door::now,
+      authorisationGate = ExtAuthzGate
+          .open(config.authorisation(), config.instance().name(), door.group(), door::now,
           new SecureRandom().nextLong());
-      ExtAuthzGate opened = gate;
-      door.loop().submit(() -> door.guard(opened)).sync();
+      ExtAuthzGate opened = authorisationGate;
+      door.loop().submit(() -> door.setFilter(opened)).sync();
     }
     if (config.fair() != null) {
-      fair = new FairGate(door.loop(), door::now, config.settings(), config.fair().settings(),
-          door::through, config.fair().clientBy(), config.fair().header());
-      Gate both = gate == null ? fair : new GateChain(gate, fair);
-      door.loop().submit(() -> door.guard(both)).sync();
+      fairGate = new FairGate(door.loop(), door::now, config.settings(), config.fair().settings(),
+          door::trafficShare, config.fair().clientBy(), config.fair().header());
+      RequestFilter chain = authorisationGate == null ? fairGate
+          : new RequestFilterChain(authorisationGate, fairGate);
+      door.loop().submit(() -> door.setFilter(chain)).sync();
     }
   }
 
   /** Without agreement none of its classes is loaded. */
-  private void agree() throws IOException, InterruptedException {
+  private void startAgreement() throws IOException, InterruptedException {
     if (config.agreement() != null) {
       if (!config.agreement().steward().isEmpty()) {
-        steward = new InnerSteward(settings(Path.of(config.agreement().steward())));
+        embeddedSteward = new EmbeddedSteward(readStewardSettings(Path.of(config.agreement().steward())));
       }
       agreement = new Agreement(door, instance, config, ProcessHandle.current().pid() + "-"
           + Long.toHexString(new SecureRandom().nextLong()), version);
@@ -158,7 +160,7 @@
    * A lone steward may begin on an empty disk, as there is nobody to whom it could have promised anything.
    * One of several has to be begun by {@code willowdoor steward --begin}.
    */
-  private static StewardProcess.Settings settings(Path file) throws IOException {
+  private static StewardProcess.Settings readStewardSettings(Path file) throws IOException {
     try {
       StewardProcess.Settings read = StewardConfig.read(file, StewardProcess.Start.GO_ON);
       return read.members().size() > 1 ? read : StewardConfig.read(file, StewardProcess.Start.BEGIN);
@@ -173,33 +175,35 @@
     if (agreement != null) {
       agreement.close();
     }
-    if (steward != null) {
-      steward.close();
+    if (embeddedSteward != null) {
+      embeddedSteward.close();
     }
     return code;
   }
 
   /** What waits and has waited for its turn; null where nothing does. */
   public FairCounts fairness() throws InterruptedException {
-    if (fair == null) {
+    if (fairGate == null) {
       return null;
     }
-    return door.loop().submit(fair::counts).sync().getNow();
+    return door.loop().submit(fairGate::counts).sync().getNow();
   }
 
   private void listen(boolean mayTakeOver) throws IOException, InterruptedException {
     InetSocketAddress address = config.instance().listen();
     if (mayTakeOver) {
-      if (control == null || !ControlSocket.available()) {
+      if (controlSocket == null || !ControlSocket.isAvailable()) {
         throw new IOException(
             "cannot take over: take_over.control_socket is not set, or this machine has no epoll");
       }
-      takeOver = TakeOver.ask(door.group(), Path.of(config.takeOver().controlSocket()), text(address),
-          () -> instance.tell(new FatalError("the running instance took its word back")), this::learn);
+      handoverClient = HandoverClient
+          .connect(door.group(), Path.of(config.takeOver().controlSocket()), formatAddress(address),
+          () -> instance.post(new FatalError("the running instance took its word back")),
+          this::inheritLearnedState);
     }
-    if (takeOver != null) {
-      door.adopt(takeOver.descriptor());
-      LOG.info("holds the listening socket of " + text(address) + " too; warming up");
+    if (handoverClient != null) {
+      door.adopt(handoverClient.descriptor());
+      LOG.info("holds the listening socket of " + formatAddress(address) + " too; warming up");
       return;
     }
     try {
@@ -208,39 +212,40 @@
       if (!String.valueOf(e.getMessage()).contains("in use")) {
         throw e;
       }
-      throw new IOException(text(address) + " is held by " + AddressHolder.of(address)
+      throw new IOException(formatAddress(address) + " is held by " + ListenerLookup.describe(address)
           + (mayTakeOver ? ", which hands nothing over" : "; --take-over replaces a running instance"), e);
     }
   }
 
-  private void learn(Learned told) {
+  private void inheritLearnedState(LearnedState learned) {
     door.loop().execute(() -> {
-      door.inherit(told, 0);
-      LOG.info("goes on from what the instance before it had learned: " + told.backends().size()
-          + " backends, " + told.taken().size() + " classes, " + told.owed().size() + " counts owed to");
+      door.restoreLearned(learned, 0);
+      LOG.info("goes on from what the instance before it had learned: " + learned.backends().size()
+          + " backends, " + learned.serviceTimes().size() + " classes, " + learned.pendingAdds().size()
+          + " counts owed to");
     });
   }
 
   /** What this instance would tell its successor now; then it owes nothing to shared counts. */
-  Learned learned() {
-    return door.loop().submit(door::learned).syncUninterruptibly().getNow();
+  LearnedState learned() {
+    return door.loop().submit(door::learnedState).syncUninterruptibly().getNow();
   }
 
   /** The control socket's file is this instance's from when it serves: a successor asks whoever serves. */
   private void openControl() {
-    if (control != null) {
+    if (controlSocket != null) {
       try {
-        control.open();
+        controlSocket.open();
       } catch (IOException e) {
         LOG.warning("no successor can take over: " + e.getMessage());
       }
     }
-    if (takeOver != null) {
-      takeOver.ready();
+    if (handoverClient != null) {
+      handoverClient.announceReady();
     }
   }
 
-  static String text(InetSocketAddress address) {
+  static String formatAddress(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ':' + address.getPort();
   }
 
@@ -250,8 +255,8 @@
   }
 
   /** A signal to end: the first drains, a second one shortens the bound. */
-  public void end() {
-    instance.tell(new EndSignal());
+  public void requestEnd() {
+    instance.post(new EndSignal());
   }
 
   /** Completed with the exit code when the instance has ended. */
@@ -261,11 +266,11 @@
 
   /** Ends the loop, with all that is left. */
   public void close() {
-    if (gate != null) {
-      gate.close();
+    if (authorisationGate != null) {
+      authorisationGate.close();
     }
-    if (steward != null) {
-      steward.close();
+    if (embeddedSteward != null) {
+      embeddedSteward.close();
     }
     door.stop();
   }
@@ -277,18 +282,19 @@
    * @return what was done, in words; also logged
    */
   public String reload() {
-    String done;
+    String result;
     try {
-      DaemonConfig fresh = DaemonConfig.read(file);
-      Set<String> changed = config.changedIn(fresh);
-      Set<String> restart = new TreeSet<>(changed);
-      restart.removeAll(DaemonConfig.RELOADABLE);
+      DaemonConfig fresh = DaemonConfig.read(configFile);
+      Set<String> changed = config.changedKeys(fresh);
+      Set<String> needsRestart = new TreeSet<>(changed);
+      needsRestart.removeAll(DaemonConfig.RELOADABLE);
       door.loop().execute(() -> door.moveTo(fresh.discovery(), fresh.counter().address()));
-      done = "reloaded " + file + (restart.isEmpty() ? "" : "; these keys need a restart: " + restart);
+      result = "reloaded " + configFile
+          + (needsRestart.isEmpty() ? "" : "; these keys need a restart: " + needsRestart);
     } catch (IOException | ConfigException e) {
-      done = "nothing is reloaded: " + e.getMessage();
+      result = "nothing is reloaded: " + e.getMessage();
     }
-    LOG.info(done);
-    return done;
+    LOG.info(result);
+    return result;
   }
 }
--- a/daemon/src/main/java/willowdoor/daemon/life/InnerSteward.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/EmbeddedSteward.java
@@ -9,35 +9,35 @@
  * daemon that takes over from another has the same steward; its disk and address are free when the other has
  * ended, so it is begun again and again until then.
  */
-final class InnerSteward implements AutoCloseable {
+final class EmbeddedSteward implements AutoCloseable {
 
-  private static final Logger LOG = Logger.getLogger(InnerSteward.class.getName());
-  private static final long AGAIN_MS = 100;
+  private static final Logger LOG = Logger.getLogger(EmbeddedSteward.class.getName());
+  private static final long RETRY_INTERVAL_MS = 100;
 
   private final StewardProcess.Settings settings;
-  private final Thread beginning = new Thread(this::begin, "inner-steward");
+  private final Thread startThread = new Thread(this::startWithRetries, "inner-steward");
   private StewardProcess process;
   private boolean closed;
-  private String said = "";
+  private String lastError = "";
 
   /** Begins at once, and doesn't wait for it. */
-  InnerSteward(StewardProcess.Settings settings) {
+  EmbeddedSteward(StewardProcess.Settings settings) {
     this.settings = settings;
-    beginning.setDaemon(true);
-    beginning.start();
+    startThread.setDaemon(true);
+    startThread.start();
   }
 
-  private void begin() {
+  private void startWithRetries() {
     try {
-      while (!tried()) {
-        Thread.sleep(AGAIN_MS);
+      while (!tryStart()) {
+        Thread.sleep(RETRY_INTERVAL_MS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private synchronized boolean tried() throws InterruptedException {
+  private synchronized boolean tryStart() throws InterruptedException {
     if (closed) {
       return true;
     }
@@ -47,9 +47,9 @@
       process.ended().thenAccept(code -> LOG.severe("the steward inside has ended; the door serves on"));
       return true;
     } catch (IOException e) {
-      if (!e.getMessage().equals(said)) {
-        said = e.getMessage();
-        LOG.info("the steward inside can't begin yet: " + said);
+      if (!e.getMessage().equals(lastError)) {
+        lastError = e.getMessage();
+        LOG.info("the steward inside can't begin yet: " + lastError);
       }
       return false;
     }
--- a/daemon/src/main/java/willowdoor/daemon/life/TakeOver.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/HandoverClient.java
@@ -19,114 +19,118 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
-import willowdoor.policy.Learned;
+import willowdoor.policy.LearnedState;
 
 /**
  * The successor's side of a handover: asks the running instance for its listening socket, and says when this
  * one takes connections. If the holder dies meanwhile, this process has the socket and goes on; if the holder
  * says no, it must not.
  */
-final class TakeOver {
+final class HandoverClient {
 
-  private static final Logger LOG = Logger.getLogger(TakeOver.class.getName());
-  private static final long ANSWER_LIMIT_MS = 5_000;
+  private static final Logger LOG = Logger.getLogger(HandoverClient.class.getName());
+  private static final long ANSWER_TIMEOUT_MS = 5_000;
 
   private final CompletableFuture<Integer> descriptor = new CompletableFuture<>();
-  private final CompletableFuture<Void> yours = new CompletableFuture<>();
-  private final Runnable refusedLater;
-  private final Consumer<Learned> learned;
-  private final LearnedLines lines = new LearnedLines();
+  private final CompletableFuture<Void> confirmed = new CompletableFuture<>();
+  private final Runnable onLateRefusal;
+  private final Consumer<LearnedState> onLearned;
+  private final LearnedStateLines learnedLines = new LearnedStateLines();
   private Channel channel;
-  private volatile boolean teaches;
-  private boolean listens = true;
+  private volatile boolean holderSendsLearnedState;
+  private boolean acceptsLearnedState = true;
 
-  private TakeOver(Runnable refusedLater, Consumer<Learned> learned) {
-    this.refusedLater = refusedLater;
-    this.learned = learned;
+  private HandoverClient(Runnable onLateRefusal, Consumer<LearnedState> onLearned) {
+    this.onLateRefusal = onLateRefusal;
+    this.onLearned = onLearned;
   }
 
   /**
    * Asks at the path; null when nobody answers there, so that there is nothing to take over.
    *
-   * @param refusedLater called when the holder says no after it has handed the socket over
-   * @param learned called with what the holder has learned, where it tells and its word is whole
+   * @param onLateRefusal called when the holder says no after it has handed the socket over
+   * @param onLearned called with what the holder has learned, where it tells and its word is whole
    */
-  static TakeOver ask(EventLoopGroup group, Path path, String listen, Runnable refusedLater,
-      Consumer<Learned> learned) throws IOException, InterruptedException {
+  static HandoverClient connect(EventLoopGroup group, Path path, String listenAddress, Runnable onLateRefusal,
+      Consumer<LearnedState> onLearned) throws IOException, InterruptedException {
     if (!Files.exists(path)) {
       return null;
     }
-    TakeOver ask = new TakeOver(refusedLater, learned);
+    HandoverClient client = new HandoverClient(onLateRefusal, onLearned);
     ChannelFuture connected = new Bootstrap().group(group).channel(EpollDomainSocketChannel.class)
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel ch) {
-            Handover.lines(ch.pipeline());
-            ch.pipeline().addLast(ask.new Holder());
+            HandoverProtocol.addLineCodec(ch.pipeline());
+            ch.pipeline().addLast(client.new HolderHandler());
           }
         }).connect(new DomainSocketAddress(path.toFile())).await();
     if (!connected.isSuccess()) {
       return null;
     }
-    ask.channel = connected.channel();
-    ask.channel.writeAndFlush(Handover.TAKE_OVER + " " + Handover.VERSION + " " + ProcessHandle.current()
+    client.channel = connected.channel();
+    client.channel
+        .writeAndFlush(HandoverProtocol.TAKE_OVER + " " + HandoverProtocol.VERSION + " "
+        + ProcessHandle.current()
         .pid()
-        + " " + listen + "\n");
-    return ask;
+        + " " + listenAddress + "\n");
+    return client;
   }
 
   /** The listening socket's descriptor in this process. */
   int descriptor() throws IOException, InterruptedException {
     try {
-      return descriptor.get(ANSWER_LIMIT_MS, TimeUnit.MILLISECONDS);
+      return descriptor.get(ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException e) {
       throw new IOException(e.getCause().getMessage(), e);
     } catch (TimeoutException e) {
       channel.close();
-      throw new IOException("the running instance did not hand over its socket in " + ANSWER_LIMIT_MS + " ms",
+      throw new IOException("the running instance did not hand over its socket in " + ANSWER_TIMEOUT_MS
+          + " ms",
           e);
     }
   }
 
   /** Says that this instance takes connections. */
-  void ready() {
-    channel.writeAndFlush((teaches ? Handover.READY_TO_LEARN : Handover.READY) + "\n");
+  void announceReady() {
+    channel.writeAndFlush(
+        (holderSendsLearnedState ? HandoverProtocol.READY_FOR_LEARNED_STATE : HandoverProtocol.READY) + "\n");
   }
 
   /** What the running instance says. */
-  private final class Holder extends ChannelInboundHandlerAdapter {
+  private final class HolderHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       if (message instanceof FileDescriptor fd) {
-        Handover.expectDescriptor(ctx, false);
+        HandoverProtocol.setDescriptorMode(ctx, false);
         descriptor.complete(fd.intValue());
       } else if (message instanceof String line) {
-        line(ctx, line);
+        handleLine(ctx, line);
       }
     }
 
-    private void line(ChannelHandlerContext ctx, String line) {
-      if (line.startsWith(Handover.HANDING + " ")) {
-        teaches = line.endsWith(" " + LearnedLines.WORD);
-        Handover.expectDescriptor(ctx, true);
-        Handover.say(ctx, Handover.SEND);
-      } else if (line.equals(Handover.YOURS)) {
-        yours.complete(null);
-      } else if (line.startsWith(LearnedLines.WORD + " ")) {
-        learn(line);
+    private void handleLine(ChannelHandlerContext ctx, String line) {
+      if (line.startsWith(HandoverProtocol.HANDING + " ")) {
+        holderSendsLearnedState = line.endsWith(" " + LearnedStateLines.LINE_PREFIX);
+        HandoverProtocol.setDescriptorMode(ctx, true);
+        HandoverProtocol.writeLine(ctx, HandoverProtocol.SEND);
+      } else if (line.equals(HandoverProtocol.CONFIRMED)) {
+        confirmed.complete(null);
+      } else if (line.startsWith(LearnedStateLines.LINE_PREFIX + " ")) {
+        handleLearnedLine(line);
       } else if (!descriptor.completeExceptionally(new IOException("the running instance says: " + line))) {
-        refusedLater.run();
+        onLateRefusal.run();
       }
     }
 
-    private void learn(String line) {
+    private void handleLearnedLine(String line) {
       try {
-        Learned whole = listens ? lines.next(line) : null;
-        if (whole != null) {
-          learned.accept(whole);
+        LearnedState learned = acceptsLearnedState ? learnedLines.read(line) : null;
+        if (learned != null) {
+          onLearned.accept(learned);
         }
       } catch (IOException e) {
-        listens = false;
+        acceptsLearnedState = false;
         LOG.warning("what the running instance has learned is left aside: " + e.getMessage());
       }
     }
--- a/daemon/src/main/java/willowdoor/daemon/life/Handover.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/HandoverProtocol.java
@@ -20,7 +20,7 @@
  *   holder -> successor   (the descriptor)
  *   successor -> holder   ready learned            it takes connections from here on
  *   holder -> successor   yours                    the holder drains
- *   holder -> successor   learned ...              what it has learned, in lines ({@link LearnedLines})
+ *   holder -> successor   learned ...              what it has learned, in lines ({@link LearnedStateLines})
  * </pre>
  *
  * <p>The word {@code learned} is said by who knows of such lines, and they come only where both have said it;
@@ -28,7 +28,7 @@
  *
  * <p>The connection stays open while the holder drains: its end tells each side of the other's death.
  */
-final class Handover {
+final class HandoverProtocol {
 
   static final String VERSION = "1";
   static final String TAKE_OVER = "takeover";
@@ -36,27 +36,27 @@
   static final String REFUSED = "refused";
   static final String SEND = "send";
   static final String READY = "ready";
-  static final String READY_TO_LEARN = READY + " " + LearnedLines.WORD;
-  static final String YOURS = "yours";
-  private static final int LONGEST_LINE = 512;
+  static final String READY_FOR_LEARNED_STATE = READY + " " + LearnedStateLines.LINE_PREFIX;
+  static final String CONFIRMED = "yours";
+  private static final int MAX_LINE_BYTES = 512;
 
-  private Handover() {
+  private HandoverProtocol() {
   }
 
   /** Sets a connection up for lines. */
-  static void lines(ChannelPipeline pipeline) {
-    pipeline.addLast("frames", new LineBasedFrameDecoder(LONGEST_LINE));
+  static void addLineCodec(ChannelPipeline pipeline) {
+    pipeline.addLast("frames", new LineBasedFrameDecoder(MAX_LINE_BYTES));
     pipeline.addLast("reader", new StringDecoder(StandardCharsets.UTF_8));
     pipeline.addLast("writer", new StringEncoder(StandardCharsets.UTF_8));
   }
 
   /** The next thing to come is a descriptor, or a line again. */
-  static void expectDescriptor(ChannelHandlerContext ctx, boolean on) {
+  static void setDescriptorMode(ChannelHandlerContext ctx, boolean on) {
     ((EpollDomainSocketChannel) ctx.channel()).config()
         .setReadMode(on ? DomainSocketReadMode.FILE_DESCRIPTORS : DomainSocketReadMode.BYTES);
   }
 
-  static void say(ChannelHandlerContext ctx, String line) {
+  static void writeLine(ChannelHandlerContext ctx, String line) {
     ctx.writeAndFlush(line + '\n');
   }
 }
--- a/daemon/src/main/java/willowdoor/daemon/life/Instance.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Instance.java
@@ -33,35 +33,35 @@
 
   private static final Logger LOG = Logger.getLogger(Instance.class.getName());
   /** How often it looks whether all that was taken is answered, once connections are no longer taken. */
-  private static final long LOOK_MS = 10;
+  private static final long IDLE_CHECK_INTERVAL_MS = 10;
 
   /** What an instance has done beside its door. */
-  interface Surroundings {
+  interface Listener {
     /** Warms the process up; on a thread of its own. */
     void warmUp();
 
     /** The instance serves. */
-    void found();
+    void onServing();
 
     /** It has come to another phase; on the door's loop. */
-    void changed(Phase phase);
+    void onPhaseChanged(Phase phase);
 
     /** The instance serves again after it had been left for a successor. */
-    void resumed();
+    void onResumed();
   }
 
   private final FrontDoor door;
   private final EventLoop loop;
-  private final InstanceLifecycle life;
-  private final Surroundings surroundings;
+  private final InstanceLifecycle lifecycle;
+  private final Listener listener;
   private final CompletableFuture<Integer> ended = new CompletableFuture<>();
-  private double wakeAt;
+  private double wakeAtMs;
 
-  Instance(FrontDoor door, InstanceLifecycle life, Surroundings surroundings) {
+  Instance(FrontDoor door, InstanceLifecycle lifecycle, Listener listener) {
     this.door = door;
     this.loop = door.loop();
-    this.life = life;
-    this.surroundings = surroundings;
+    this.lifecycle = lifecycle;
+    this.listener = listener;
   }
 
   /** Completed with the exit code. */
@@ -70,74 +70,75 @@
   }
 
   /** Tells an event, from any thread. */
-  void tell(LifecycleEvent event) {
-    loop.execute(() -> on(event));
+  void post(LifecycleEvent event) {
+    loop.execute(() -> handle(event));
   }
 
   /** Where it is in its life; on the loop only. */
   Phase phase() {
-    return life.phase();
+    return lifecycle.phase();
   }
 
-  private void on(LifecycleEvent event) {
-    Phase before = life.phase();
-    for (LifecycleAction action : life.on(door.now(), event)) {
+  private void handle(LifecycleEvent event) {
+    Phase before = lifecycle.phase();
+    for (LifecycleAction action : lifecycle.on(door.now(), event)) {
       execute(action);
     }
-    if (life.phase() != before) {
-      surroundings.changed(life.phase());
+    if (lifecycle.phase() != before) {
+      listener.onPhaseChanged(lifecycle.phase());
       LOG.log(Level.INFO, "{0} on {1}; {2} requests held",
-          new Object[] {life.phase().name().toLowerCase(java.util.Locale.ROOT), event, door.held()});
+          new Object[] {lifecycle.phase().name().toLowerCase(java.util.Locale.ROOT), event,
+          door.heldRequests()});
     }
   }
 
   private void execute(LifecycleAction action) {
     if (action instanceof WarmUp) {
-      Thread warming = new Thread(() -> {
-        surroundings.warmUp();
-        tell(new WarmUpEnded());
+      Thread warmUpThread = new Thread(() -> {
+        listener.warmUp();
+        post(new WarmUpEnded());
       }, "warm-up");
-      warming.setDaemon(true);
-      warming.start();
+      warmUpThread.setDaemon(true);
+      warmUpThread.start();
     } else if (action instanceof Accept) {
       door.accept();
     } else if (action instanceof AnnounceReady) {
-      door.beFound();
-      surroundings.found();
+      door.markReady();
+      listener.onServing();
     } else if (action instanceof BeginDrain) {
       door.beginDrain();
     } else if (action instanceof Resume) {
       door.resume();
-      surroundings.resumed();
+      listener.onResumed();
     } else if (action instanceof LeaveSocketToSuccessor) {
-      door.leaveListening();
+      door.pauseAccepting();
     } else if (action instanceof StopAccepting) {
       door.stopAccepting();
-      loop.execute(this::look);
+      loop.execute(this::checkAllAnswered);
     } else if (action instanceof FailPendingRequests) {
       door.failAll();
     } else if (action instanceof WakeAt a) {
-      wake(a.atMs());
+      scheduleWake(a.atMs());
     } else if (action instanceof Close a) {
       ended.complete(a.exitCode());
     }
   }
 
-  private void wake(double atMs) {
-    wakeAt = atMs;
+  private void scheduleWake(double atMs) {
+    wakeAtMs = atMs;
     loop.schedule(() -> {
-      if (wakeAt == atMs) {
-        on(new Woken());
+      if (wakeAtMs == atMs) {
+        handle(new Woken());
       }
     }, (long) Math.ceil(Math.max(0, atMs - door.now()) * 1000) + 1, TimeUnit.MICROSECONDS);
   }
 
   /** Looks until all that was taken is answered, and no earlier than it can be. */
-  private void look() {
-    if (door.idle()) {
-      on(new AllAnswered());
-    } else if (life.phase() != Phase.STOPPED) {
-      loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+  private void checkAllAnswered() {
+    if (door.hasNoConnections()) {
+      handle(new AllAnswered());
+    } else if (lifecycle.phase() != Phase.STOPPED) {
+      loop.schedule(this::checkAllAnswered, IDLE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/daemon/src/main/java/willowdoor/daemon/life/AddressHolder.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/ListenerLookup.java
@@ -15,29 +15,30 @@
  * the same user can be looked into; of another one the user's number is told. Without procfs it tells
  * nothing.
  */
-final class AddressHolder {
+final class ListenerLookup {
 
-  private static final String LISTENS = "0A";
+  private static final String LISTEN_STATE = "0A";
   /** A socket of the sixth family that is bound to an address of the fourth. */
-  private static final String MAPPED = "0000000000000000FFFF0000";
-  private static final int LOCAL = 1;
-  private static final int STATE = 3;
-  private static final int USER = 7;
-  private static final int INODE = 9;
-  private static final int LONGEST_COMMAND = 120;
+  private static final String IPV4_MAPPED_PREFIX = "0000000000000000FFFF0000";
+  private static final int LOCAL_ADDRESS_COLUMN = 1;
+  private static final int STATE_COLUMN = 3;
+  private static final int USER_COLUMN = 7;
+  private static final int INODE_COLUMN = 9;
+  private static final int MAX_COMMAND_LENGTH = 120;
 
-  private AddressHolder() {
+  private ListenerLookup() {
   }
 
   /** In words, such as "process 4711 (java -jar ...)". */
-  static String of(InetSocketAddress address) {
+  static String describe(InetSocketAddress address) {
     try {
       for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
         for (String line : Files.readAllLines(Path.of(table))) {
-          String[] f = line.trim().split("\\s+");
-          if (f.length > INODE && f[STATE].equals(LISTENS) && listensFor(f[LOCAL], address)) {
-            String process = process("socket:[" + f[INODE] + "]");
-            return process != null ? process : "a process of user number " + f[USER];
+          String[] columns = line.trim().split("\\s+");
+          if (columns.length > INODE_COLUMN && columns[STATE_COLUMN].equals(LISTEN_STATE)
+              && isBoundTo(columns[LOCAL_ADDRESS_COLUMN], address)) {
+            String process = findProcess("socket:[" + columns[INODE_COLUMN] + "]");
+            return process != null ? process : "a process of user number " + columns[USER_COLUMN];
           }
         }
       }
@@ -47,16 +48,17 @@
     return "an unknown process";
   }
 
-  private static boolean listensFor(String local, InetSocketAddress wanted) {
-    int colon = local.indexOf(':');
-    String ip = local.substring(0, colon);
-    boolean any = ip.chars().allMatch(c -> c == '0');
-    return Integer.parseInt(local.substring(colon + 1), 16) == wanted.getPort()
-        && (any || ip.equals(hex(wanted.getAddress())) || ip.equals(MAPPED + hex(wanted.getAddress())));
+  private static boolean isBoundTo(String localAddress, InetSocketAddress wanted) {
+    int colon = localAddress.indexOf(':');
+    String ip = localAddress.substring(0, colon);
+    boolean isWildcard = ip.chars().allMatch(c -> c == '0');
+    return Integer.parseInt(localAddress.substring(colon + 1), 16) == wanted.getPort()
+        && (isWildcard || ip.equals(kernelHex(wanted.getAddress()))
+        || ip.equals(IPV4_MAPPED_PREFIX + kernelHex(wanted.getAddress())));
   }
 
   /** As the kernel prints it: words of four bytes, each in the machine's (little-endian) order. */
-  private static String hex(InetAddress address) {
+  private static String kernelHex(InetAddress address) {
     byte[] b = address.getAddress();
     StringBuilder text = new StringBuilder();
     for (int word = 0; word < b.length; word += 4) {
@@ -67,22 +69,22 @@
     return text.toString();
   }
 
-  private static String process(String socket) throws IOException {
+  private static String findProcess(String socket) throws IOException {
     try (DirectoryStream<Path> processes = Files.newDirectoryStream(Path.of("/proc"), "[0-9]*")) {
       for (Path process : processes) {
-        if (holds(process.resolve("fd"), socket)) {
+        if (hasDescriptor(process.resolve("fd"), socket)) {
           String command = Files.readString(process.resolve("cmdline")).replace('\0', ' ').trim();
-          return "process " + process.getFileName() + " (" + (command.length() > LONGEST_COMMAND
-              ? command.substring(0, LONGEST_COMMAND) + "..." : command) + ")";
+          return "process " + process.getFileName() + " (" + (command.length() > MAX_COMMAND_LENGTH
+              ? command.substring(0, MAX_COMMAND_LENGTH) + "..." : command) + ")";
         }
       }
     }
     return null;
   }
 
-  private static boolean holds(Path descriptors, String socket) {
-    try (DirectoryStream<Path> all = Files.newDirectoryStream(descriptors)) {
-      for (Path fd : all) {
+  private static boolean hasDescriptor(Path descriptors, String socket) {
+    try (DirectoryStream<Path> links = Files.newDirectoryStream(descriptors)) {
+      for (Path fd : links) {
         if (Files.readSymbolicLink(fd).toString().equals(socket)) {
           return true;
         }
--- a/daemon/src/main/java/willowdoor/daemon/life/Management.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Management.java
@@ -18,12 +18,12 @@
 import willowdoor.agreement.Subject.Kind;
 import willowdoor.management.ManagementServer;
 import willowdoor.management.Operations;
-import willowdoor.management.Order;
+import willowdoor.management.ManagementCommand;
 import willowdoor.management.Reply;
 import willowdoor.net.FrontDoor;
 import willowdoor.net.EndpointUpdate;
 import willowdoor.steward.link.DoorLink;
-import willowdoor.steward.link.Standing;
+import willowdoor.steward.link.FleetStatus;
 
 /**
  * What operators call at a daemon that agrees with its fleet: each order asks for a permit or gives one back,
@@ -31,51 +31,52 @@
  * asks again by the same call, and it is the same request.
  *
  * <p>Guards against two processes of one door, of which one can have the address: the second tries until it
- * is free. Bound: {@value #MOST_REQUESTS} requests are remembered; the oldest goes first, and would be a new
+ * is free. Bound: {@value #MAX_REQUESTS} requests are remembered; the oldest goes first, and would be a new
  * one.
  */
 final class Management implements Operations, AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(Management.class.getName());
-  private static final int MOST_REQUESTS = 1_000;
-  private static final long ANSWER_MS = 900;
-  private static final long LOOK_MS = 100;
-  private static final long AGAIN_MS = 100;
-  private static final int NOT_YET = 503;
-  private static final int NO = 409;
+  private static final int MAX_REQUESTS = 1_000;
+  private static final long ANSWER_LIMIT_MS = 900;
+  private static final long POLL_INTERVAL_MS = 100;
+  private static final long BIND_RETRY_MS = 100;
+  private static final int UNAVAILABLE_STATUS = 503;
+  private static final int CONFLICT_STATUS = 409;
 
   private final EventLoop loop;
   private final String door;
   private final DoorLink link;
   private final BooleanSupplier ready;
   private final ManagementServer server = new ManagementServer(this);
-  private final Map<Subject, String> requests = new LinkedHashMap<>();
+  private final Map<Subject, String> requestIds = new LinkedHashMap<>();
   private volatile boolean closed;
 
   /** Listens as soon as the address is free. */
-  Management(FrontDoor front, InetSocketAddress at, String door, DoorLink link, BooleanSupplier ready) {
-    loop = front.loop();
+  Management(FrontDoor frontDoor, InetSocketAddress address, String door, DoorLink link,
+      BooleanSupplier ready) {
+    loop = frontDoor.loop();
     this.door = door;
     this.link = link;
     this.ready = ready;
-    Thread opening = new Thread(() -> open(front, at), "management");
+    Thread opening = new Thread(() -> open(frontDoor, address), "management");
     opening.setDaemon(true);
     opening.start();
   }
 
-  private void open(FrontDoor front, InetSocketAddress at) {
-    String said = "";
+  private void open(FrontDoor frontDoor, InetSocketAddress address) {
+    String lastError = "";
     try {
       while (!closed) {
         try {
-          front.manage(server, at);
+          frontDoor.manage(server, address);
           return;
         } catch (IOException e) {
-          if (!e.getMessage().equals(said)) {
-            said = e.getMessage();
-            LOG.info(said + "; tried again until it is free");
+          if (!e.getMessage().equals(lastError)) {
+            lastError = e.getMessage();
+            LOG.info(lastError + "; tried again until it is free");
           }
-          Thread.sleep(AGAIN_MS);
+          Thread.sleep(BIND_RETRY_MS);
         }
       }
     } catch (InterruptedException e) {
@@ -90,25 +91,25 @@
 
   @Override
   public Reply hello(String at, boolean serves) {
-    return new Reply(NO, "a daemon is replaced by --take-over");
+    return new Reply(CONFLICT_STATUS, "a daemon is replaced by --take-over");
   }
 
   @Override
-  public void carryOut(Order order, boolean forwarded, Consumer<Reply> told) {
-    double until = now() + ANSWER_MS;
-    Consumer<Reply> onLoop = reply -> loop.execute(() -> told.accept(reply));
-    if (order instanceof Order.Drain) {
-      ask(new Subject(Kind.DOOR, door), until, true, onLoop);
-    } else if (order instanceof Order.Undrain) {
+  public void carryOut(ManagementCommand order, boolean forwarded, Consumer<Reply> onReply) {
+    double untilMs = nowMs() + ANSWER_LIMIT_MS;
+    Consumer<Reply> onLoop = reply -> loop.execute(() -> onReply.accept(reply));
+    if (order instanceof ManagementCommand.Drain) {
+      ask(new Subject(Kind.DOOR, door), untilMs, true, onLoop);
+    } else if (order instanceof ManagementCommand.Undrain) {
       giveBack(new Subject(Kind.DOOR, door), onLoop);
-    } else if (order instanceof Order.Disable e) {
-      ask(backend(e.member()), until, true, onLoop);
+    } else if (order instanceof ManagementCommand.Disable e) {
+      ask(backend(e.member()), untilMs, true, onLoop);
     } else {
-      giveBack(backend(((Order.Enable) order).member()), onLoop);
+      giveBack(backend(((ManagementCommand.Enable) order).member()), onLoop);
     }
   }
 
-  private static double now() {
+  private static double nowMs() {
     return System.nanoTime() / 1e6;
   }
 
@@ -116,71 +117,77 @@
     return new Subject(Kind.BACKEND, Long.toHexString(EndpointUpdate.idOf(member)));
   }
 
-  private String by() {
+  private String operatorName() {
     return "an operator at " + door;
   }
 
   /** On the door's loop. */
-  private void ask(Subject subject, double until, boolean again, Consumer<Reply> told) {
-    String request = requests.computeIfAbsent(subject, x -> door + "-" + UUID.randomUUID());
-    if (requests.size() > MOST_REQUESTS) {
-      requests.remove(requests.keySet().iterator().next());
+  private void ask(Subject subject, double untilMs, boolean mayRetry, Consumer<Reply> onReply) {
+    String request = requestIds.computeIfAbsent(subject, x -> door + "-" + UUID.randomUUID());
+    if (requestIds.size() > MAX_REQUESTS) {
+      requestIds.remove(requestIds.keySet().iterator().next());
     }
-    link.ask(request, subject, by(), "called at " + door, false).thenAccept(outcome -> loop.execute(() -> {
+    link.requestPermit(request, subject, operatorName(), "called at " + door, false)
+        .thenAccept(outcome -> loop.execute(() -> {
       if (outcome instanceof Outcome.Granted e) {
-        granted(subject, e.permit(), until, told);
+        awaitOut(subject, e.permit(), untilMs, onReply);
       } else if (outcome instanceof Outcome.Waiting e) {
-        told.accept(new Reply(NOT_YET, "waits as number " + e.place() + ": " + e.why()));
-      } else if (outcome instanceof Outcome.Refused e && e.why().endsWith(" is over") && again) {
+        onReply.accept(new Reply(UNAVAILABLE_STATUS, "waits as number " + e.place() + ": " + e.why()));
+      } else if (outcome instanceof Outcome.Refused e && e.why().endsWith(" is over") && mayRetry) {
         // What was asked for by an earlier call has come back since.
-        requests.remove(subject);
-        ask(subject, until, false, told);
+        requestIds.remove(subject);
+        ask(subject, untilMs, false, onReply);
       } else {
-        told.accept(new Reply(NO, outcome instanceof Outcome.Refused e ? e.why() : outcome.toString()));
+        onReply.accept(
+            new Reply(CONFLICT_STATUS, outcome instanceof Outcome.Refused e ? e.why() : outcome.toString()));
       }
     }));
   }
 
-  private void granted(Subject subject, long permit, double until, Consumer<Reply> told) {
+  private void awaitOut(Subject subject, long permit, double untilMs, Consumer<Reply> onReply) {
     if (subject.kind() == Kind.DOOR) {
-      told.accept(Reply.yes("goes out by permit " + permit));
+      onReply.accept(Reply.ok("goes out by permit " + permit));
       return;
     }
-    link.look().thenAccept(standing -> {
-      Reply reply = out(standing, permit);
-      if (reply.isYes() || now() + LOOK_MS >= until) {
-        told.accept(reply);
+    link.status().thenAccept(standing -> {
+      Reply reply = outReply(standing, permit);
+      if (reply.isOk() || nowMs() + POLL_INTERVAL_MS >= untilMs) {
+        onReply.accept(reply);
       } else {
-        loop.schedule(() -> granted(subject, permit, until, told), LOOK_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> awaitOut(subject, permit, untilMs, onReply), POLL_INTERVAL_MS,
+            TimeUnit.MILLISECONDS);
       }
     });
   }
 
-  private static Reply out(Standing standing, long permit) {
+  private static Reply outReply(FleetStatus standing, long permit) {
     List<Permit> permits = standing == null ? List.of() : standing.permits();
     for (int i = 0; i < permits.size(); i++) {
       if (permits.get(i).id() == permit) {
-        return permits.get(i).stage() == Stage.OUT ? Reply.yes("out by permit " + permit) : new Reply(NOT_YET,
+        return permits.get(i).stage() == Stage.OUT ? Reply.ok("out by permit " + permit)
+            : new Reply(UNAVAILABLE_STATUS,
             "goes out by permit " + permit + ", held up by " + String.join(", ", standing.held().get(i)));
       }
     }
-    return new Reply(NOT_YET, "goes out by permit " + permit
+    return new Reply(UNAVAILABLE_STATUS, "goes out by permit " + permit
         + "; the stewards don't say how far it has come");
   }
 
-  private void giveBack(Subject subject, Consumer<Reply> told) {
-    requests.remove(subject);
-    link.look().thenAccept(standing -> {
+  private void giveBack(Subject subject, Consumer<Reply> onReply) {
+    requestIds.remove(subject);
+    link.status().thenAccept(standing -> {
       Permit permit = standing == null ? null : standing.permits().stream()
           .filter(x -> x.subject().equals(subject)).findFirst().orElse(null);
       if (standing == null) {
-        told.accept(new Reply(NOT_YET, "no steward says how it stands"));
+        onReply.accept(new Reply(UNAVAILABLE_STATUS, "no steward says how it stands"));
       } else if (permit == null) {
-        told.accept(Reply.yes("not out on purpose"));
+        onReply.accept(Reply.ok("not out on purpose"));
       } else {
-        link.giveBack(subject, permit.id(), by()).thenAccept(outcome -> told.accept(outcome == null
-            ? new Reply(NOT_YET, "no steward says what came of it; it may be agreed on yet")
-            : outcome instanceof Outcome.Refused e ? new Reply(NO, e.why()) : Reply.yes("comes back")));
+        link.returnPermit(subject, permit.id(), operatorName())
+            .thenAccept(outcome -> onReply.accept(outcome == null
+            ? new Reply(UNAVAILABLE_STATUS, "no steward says what came of it; it may be agreed on yet")
+            : outcome instanceof Outcome.Refused e ? new Reply(CONFLICT_STATUS, e.why())
+            : Reply.ok("comes back")));
       }
     });
   }
--- a/daemon/src/main/java/willowdoor/daemon/life/ProcessLocks.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/ProcessLocks.java
@@ -19,40 +19,41 @@
  * after it, so nobody's holding shows that it is gone, and it would hold up what it might still send to.
  *
  * <p>A file comes to its name locked, so that none is found unlocked while its process lives. Bound: so many
- * files are looked at a time, {@value #MOST_FILES}.
+ * files are looked at a time, {@value #MAX_FILES}.
  */
 final class ProcessLocks implements Closeable {
 
-  private static final int MOST_FILES = 100;
+  private static final int MAX_FILES = 100;
 
   private final Path folder;
   private final String prefix;
-  private final Path own;
+  private final Path ownFile;
   private final FileChannel channel;
 
   /** Locks this process's file, beside the door's lock file. */
   ProcessLocks(Path lockFile, String incarnation) throws IOException {
     folder = lockFile.toAbsolutePath().getParent();
     prefix = lockFile.getFileName() + ".process.";
-    own = folder.resolve(prefix + incarnation);
-    Path fresh = folder.resolve(lockFile.getFileName() + ".begins." + incarnation);
-    channel = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    ownFile = folder.resolve(prefix + incarnation);
+    Path temporary = folder.resolve(lockFile.getFileName() + ".begins." + incarnation);
+    channel = FileChannel.open(temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     FileLock lock = channel.tryLock();
     if (lock == null) {
       channel.close();
-      throw new IOException("the file " + fresh + " is locked by another process (expected: no other process "
+      throw new IOException("the file " + temporary
+          + " is locked by another process (expected: no other process "
           + incarnation + ")");
     }
-    Files.move(fresh, own, StandardCopyOption.ATOMIC_MOVE);
+    Files.move(temporary, ownFile, StandardCopyOption.ATOMIC_MOVE);
   }
 
   /** The incarnations of processes that have ended and were not {@link #forget forgotten}. */
   List<String> ended() throws IOException {
     List<String> ended = new ArrayList<>();
-    int looked = 0;
+    int checked = 0;
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, prefix + "*")) {
       for (Path file : files) {
-        if (!file.equals(own) && looked++ < MOST_FILES && isFree(file)) {
+        if (!file.equals(ownFile) && checked++ < MAX_FILES && isUnlocked(file)) {
           ended.add(file.getFileName().toString().substring(prefix.length()));
         }
       }
@@ -60,9 +61,9 @@
     return ended;
   }
 
-  private static boolean isFree(Path file) throws IOException {
-    try (FileChannel other = FileChannel.open(file, StandardOpenOption.WRITE)) {
-      FileLock lock = other.tryLock();
+  private static boolean isUnlocked(Path file) throws IOException {
+    try (FileChannel fileChannel = FileChannel.open(file, StandardOpenOption.WRITE)) {
+      FileLock lock = fileChannel.tryLock();
       return lock != null;
     } catch (OverlappingFileLockException e) {
       // Held in this very process.
--- a/daemon/src/test/java/willowdoor/daemon/agreement/ReleaseCommandTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/agreement/ReleaseCommandTest.java
@@ -44,10 +44,10 @@
     Budget one = new Budget(OutageLimit.of(1), OutageLimit.UNLIMITED, 0);
     steward = new StewardProcess(new StewardProcess.Settings("fleet", self, any, folder.resolve("a.db"),
         Map.of(self, any), new FleetSettings(one, one, 1_500), StewardProcess.Start.BEGIN));
-    door = new DoorLink(new DoorLink.Self("fleet", "d1", "x", "a", 1, "1", 0), List.of(steward.address()),
+    door = new DoorLink(new DoorLink.Identity("fleet", "d1", "x", "a", 1, "1", 0), List.of(steward.address()),
         0.01,
         folder.resolve("d1"), 1, new Nothing());
-    door.does(Activity.READY);
+    door.reportState(Activity.READY);
     while (permits("status") != 0 || !printed.contains("doors: 1, of them out: 0")) {
       Thread.sleep(20);
     }
@@ -59,7 +59,7 @@
     steward.close();
   }
 
-  private static final class Nothing implements DoorLink.Hands {
+  private static final class Nothing implements DoorLink.DoorControl {
     @Override
     public void takeOut(String backend) { }
 
--- a/daemon/src/test/java/willowdoor/daemon/config/DaemonConfigTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/config/DaemonConfigTest.java
@@ -139,7 +139,7 @@
   void aChangeIsNamedByItsKey() throws Exception {
     DaemonConfig a = DaemonConfig.parse(FILE, GOOD);
     DaemonConfig b = DaemonConfig.parse(FILE, GOOD.replace("8500", "8501") + "[limits]\nmemory_mb = 64\n");
-    assertEquals(Set.of("discovery.address", "limits.memory_mb"), a.changedIn(b));
+    assertEquals(Set.of("discovery.address", "limits.memory_mb"), a.changedKeys(b));
   }
 
   /** Every key that the daemon knows stands in the file that documents them, and that file is good. */
--- a/daemon/src/test/java/willowdoor/daemon/config/StewardConfigTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/config/StewardConfigTest.java
@@ -35,17 +35,17 @@
     StewardProcess.Settings s = StewardConfig.read(Path.of("..", "deploy", "steward.toml"), Start.GO_ON);
     assertEquals(3, s.members().size());
     assertEquals(new StewardId("a", "1"), s.self());
-    assertEquals(3_000, s.first().leaseMs());
-    assertEquals(OutageLimit.of(1), s.first().doors().inAll());
+    assertEquals(3_000, s.initialTerms().leaseMs());
+    assertEquals(OutageLimit.of(1), s.initialTerms().doors().inAll());
   }
 
   @Test
   void sharesAndNumbersAreRead() throws Exception {
     StewardProcess.Settings s = read(STEWARD + MEMBER
         + "[terms]\ndoors_out = \"10%\"\nbackends_out = 3\nbackends_least_weight = 12.5\nlease_ms = 800\n");
-    assertEquals(OutageLimit.ofShare(0.1), s.first().doors().inAll());
-    assertEquals(OutageLimit.of(3), s.first().backends().inAll());
-    assertEquals(12.5, s.first().backends().leastWeight());
+    assertEquals(OutageLimit.ofShare(0.1), s.initialTerms().doors().inAll());
+    assertEquals(OutageLimit.of(3), s.initialTerms().backends().inAll());
+    assertEquals(12.5, s.initialTerms().backends().leastWeight());
   }
 
   @Test
--- a/daemon/src/test/java/willowdoor/daemon/fleet/AgreedTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/AgreedTest.java
@@ -30,8 +30,8 @@
 import willowdoor.agreement.Subject.Kind;
 import willowdoor.net.EndpointUpdate;
 import willowdoor.steward.link.Answer;
-import willowdoor.steward.link.Operator;
-import willowdoor.steward.link.Standing;
+import willowdoor.steward.link.OperatorClient;
+import willowdoor.steward.link.FleetStatus;
 import willowdoor.testkit.BackendPark;
 import willowdoor.testkit.ClientFleet;
 import willowdoor.testkit.DoorProcess;
@@ -52,7 +52,7 @@
   private final AtomicInteger requests = new AtomicInteger();
   private FleetRun run;
   private Stewards stewards;
-  private Operator operator;
+  private OperatorClient operator;
 
   @BeforeEach
   void open() throws IOException {
@@ -65,7 +65,7 @@
     run.clients().begin();
     operator = stewards.operator("ana");
     await("all doors and backends known", () -> {
-      Standing s = stewards.look();
+      FleetStatus s = stewards.look();
       return s != null && s.doors() == 3 && s.doorsOut() == 0 && s.backends() == 4 && s.backendsOut() == 0;
     });
   }
@@ -111,7 +111,7 @@
   }
 
   private Stage stage(Subject subject) {
-    Standing s = stewards.look();
+    FleetStatus s = stewards.look();
     return s == null ? null : s.permits().stream().filter(x -> x.subject().equals(subject))
         .map(x -> x.stage()).findFirst().orElse(null);
   }
@@ -122,7 +122,7 @@
   }
 
   private boolean says(int door, Activity what) {
-    Standing s = stewards.look();
+    FleetStatus s = stewards.look();
     return s != null && s.lives().stream().anyMatch(x -> x.door().equals("d" + door) && x.doing() == what);
   }
 
@@ -166,7 +166,7 @@
     stewards.processes().get(stewards.leader()).kill();
     assertInstanceOf(Waiting.class, ask(door(1)));
     stewards.processes().forEach(DoorProcess::kill);
-    assertInstanceOf(Answer.Failed.class, operator.look(500));
+    assertInstanceOf(Answer.Failed.class, operator.status(500));
     stewards.mend();
     await("back", () -> stewards.look() != null);
     assertNotEquals(null, stage(door(0)));
@@ -181,7 +181,7 @@
     stewards.door(1, Relay.Mode.SILENT);
     granted(backend(0), "b0");
     await("held up by d1 alone", () -> {
-      Standing s = stewards.look();
+      FleetStatus s = stewards.look();
       return s != null && s.held().get(0).size() == 1 && s.held().get(0).get(0).startsWith("d1/");
     });
     FleetRun.sleep(2_500);
--- a/daemon/src/test/java/willowdoor/daemon/fleet/InnerStewardTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/InnerStewardTest.java
@@ -17,8 +17,8 @@
 import willowdoor.agreement.Subject.Kind;
 import willowdoor.net.EndpointUpdate;
 import willowdoor.steward.link.Answer;
-import willowdoor.steward.link.Operator;
-import willowdoor.steward.link.Standing;
+import willowdoor.steward.link.OperatorClient;
+import willowdoor.steward.link.FleetStatus;
 import willowdoor.testkit.BackendPark;
 import willowdoor.testkit.ClientFleet;
 import willowdoor.testkit.Judge;
@@ -31,10 +31,10 @@
 
   private static final long LIMIT_MS = 20_000;
 
-  private static void await(Operator operator, String what, Predicate<Standing> condition) {
+  private static void await(OperatorClient operator, String what, Predicate<FleetStatus> condition) {
     assertTrue(FleetRun.until(() -> {
       try {
-        return operator.look(1_000) instanceof Answer.Stands s && condition.test(s.standing());
+        return operator.status(1_000) instanceof Answer.Stands s && condition.test(s.standing());
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return false;
@@ -55,7 +55,7 @@
       run.start(new ClientFleet.Load(40, 10, 0.1, 5, 1));
       run.clients().begin();
       Subject b0 = new Subject(Kind.BACKEND, Long.toHexString(EndpointUpdate.idOf("b0")));
-      try (Operator ana = new Operator("fleet", "ana", List.of(run.address(0, 7_101)))) {
+      try (OperatorClient ana = new OperatorClient("fleet", "ana", List.of(run.address(0, 7_101)))) {
         await(ana, "all known", s -> s.backends() == 3 && s.doorsOut() == 0);
         Answer answer = ana.put(new RequestPermit(0, "r1", b0, "ana", "disk", false), LIMIT_MS);
         Granted granted = assertInstanceOf(Granted.class,
--- a/daemon/src/test/java/willowdoor/daemon/life/AuthorisedWorld.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/AuthorisedFixture.java
@@ -13,18 +13,18 @@
 import willowdoor.testkit.StandIns;
 import willowdoor.testkit.StandInAuthoriser;
 
-/** A {@link World} whose buys need the allow of stand-in authorisers. */
-final class AuthorisedWorld implements AutoCloseable {
+/** A {@link DaemonFixture} whose buys need the allow of stand-in authorisers. */
+final class AuthorisedFixture implements AutoCloseable {
 
-  final World world;
+  final DaemonFixture daemons;
   final Path log;
   private final StringBuilder authorisers = new StringBuilder();
   private final List<String> names = new ArrayList<>();
 
-  AuthorisedWorld(int backends, double workMs, boolean idempotent) throws Exception {
-    world = new World(backends, workMs);
-    world.rig.authorise(new Judge.Authorisation(a -> a.kind() == RequestKind.BUY, idempotent));
-    log = world.folder.resolve("decisions.jsonl");
+  AuthorisedFixture(int backends, double workMs, boolean idempotent) throws Exception {
+    daemons = new DaemonFixture(backends, workMs);
+    daemons.rig.authorise(new Judge.Authorisation(a -> a.kind() == RequestKind.BUY, idempotent));
+    log = daemons.folder.resolve("decisions.jsonl");
   }
 
   StandInAuthoriser authoriser(String name, String more) {
@@ -32,12 +32,12 @@
   }
 
   StandInAuthoriser authoriser(String name, Http2Settings settings, String more) {
-    StandInAuthoriser made = world.rig.authoriser(name, settings, null);
-    named(made, more);
+    StandInAuthoriser made = daemons.rig.authoriser(name, settings, null);
+    addAuthoriser(made, more);
     return made;
   }
 
-  void named(StandInAuthoriser made, String more) {
+  void addAuthoriser(StandInAuthoriser made, String more) {
     authorisers.append(String.format(Locale.ROOT,
         "[[authoriser]]%nname = \"%s\"%naddress = \"%s\"%n"
         + "%s%n", made.name(), StandIns.text(made.address()), more));
@@ -45,32 +45,32 @@
   }
 
   /** A daemon that has every authoriser made so far asked by one member, with further keys of its table. */
-  Daemon started(String member, String end) throws Exception {
-    Daemon daemon = world.daemon(new InetSocketAddress("127.0.0.1", 0), "[end]\n" + (end.isEmpty()
+  Daemon startDaemon(String member, String end) throws Exception {
+    Daemon daemon = daemons.createDaemon(new InetSocketAddress("127.0.0.1", 0), "[end]\n" + (end.isEmpty()
         ? "accept_ms = 150\n" : end) + "[authorisation]\nlog = \"" + log + "\"\neject_spread = 0\n"
             + authorisers
         + (member.contains("[[member]]") ? member : "[[member]]\nname = \"all\"\nauthorisers = " + names
             + "\n"
         + member)).start(false);
-    World.awaitUp(daemon.address());
+    DaemonFixture.awaitUp(daemon.address());
     return daemon;
   }
 
-  World.Caller caller(Daemon daemon) throws Exception {
-    return world.new Caller(daemon.address(), "d0");
+  DaemonFixture.Caller caller(Daemon daemon) throws Exception {
+    return daemons.new Caller(daemon.address(), "d0");
   }
 
-  boolean sentOn(String id) {
-    return world.saw(id, Kind.FIRST_BYTE);
+  boolean reachedBackend(String id) {
+    return daemons.recorded(id, Kind.FIRST_BYTE);
   }
 
   long count(String id, Kind kind) {
-    return world.history(id).stream().filter(e -> e.kind() == kind).count();
+    return daemons.history(id).stream().filter(e -> e.kind() == kind).count();
   }
 
   /** The log's line of a request, once it is written. */
   String logged(String id) throws Exception {
-    World.await("log of " + id, () -> line(id) != null);
+    DaemonFixture.await("log of " + id, () -> line(id) != null);
     return line(id);
   }
 
@@ -85,6 +85,6 @@
 
   @Override
   public void close() throws java.io.IOException {
-    world.close();
+    daemons.close();
   }
 }
