--- a/daemon/src/test/java/willowdoor/daemon/life/AuthoriserTlsTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/AuthoriserTlsTest.java
@@ -32,20 +32,20 @@
 
   @TempDir
   private Path folder;
-  private AuthorisedWorld at;
+  private AuthorisedFixture fixture;
   private X509Bundle trusted;
   private X509Bundle stranger;
 
   @BeforeEach
   void open() throws Exception {
-    at = new AuthorisedWorld(2, 20, false);
+    fixture = new AuthorisedFixture(2, 20, false);
     trusted = authority("CN=members");
     stranger = authority("CN=strangers");
   }
 
   @AfterEach
   void close() throws Exception {
-    at.close();
+    fixture.close();
   }
 
   private static X509Bundle authority(String name) throws Exception {
@@ -65,7 +65,7 @@
         .applicationProtocolConfig(new ApplicationProtocolConfig(ApplicationProtocolConfig.Protocol.ALPN,
             ApplicationProtocolConfig.SelectorFailureBehavior.NO_ADVERTISE,
             ApplicationProtocolConfig.SelectedListenerFailureBehavior.ACCEPT, "h2")).build();
-    return at.world.rig.authoriser("one", new Http2Settings(), tls);
+    return fixture.daemons.rig.authoriser("one", new Http2Settings(), tls);
   }
 
   private void write(String name, String pem) throws IOException {
@@ -90,14 +90,14 @@
   }
 
   private int asked(Daemon daemon, String id) throws Exception {
-    try (World.Caller caller = at.caller(daemon)) {
+    try (DaemonFixture.Caller caller = fixture.caller(daemon)) {
       caller.send(id, RequestKind.BUY, 2_000);
       return caller.receive();
     }
   }
 
   private void awaitStatus(Daemon daemon, int status) {
-    World.await("status " + status, () -> {
+    DaemonFixture.await("status " + status, () -> {
       try {
         return asked(daemon, "p" + System.nanoTime()) == status;
       } catch (Exception e) {
@@ -111,8 +111,8 @@
     trusts(trusted);
     doorIs(trusted, "door");
     StandInAuthoriser one = server(trusted, trusted);
-    at.named(one, keys("policy.acme"));
-    Daemon daemon = at.started("limit_ms = 1000\n", "");
+    fixture.addAuthoriser(one, keys("policy.acme"));
+    Daemon daemon = fixture.startDaemon("limit_ms = 1000\n", "");
     assertEquals(200, asked(daemon, "r1"));
     int before = one.connections();
     // Files that can't be used change nothing.
@@ -123,14 +123,14 @@
     assertEquals(before, one.connections());
     // Good ones are taken over a new connection.
     doorIs(trusted, "door-renewed");
-    World.await("a new connection", () -> one.connections() > before);
+    DaemonFixture.await("a new connection", () -> one.connections() > before);
     awaitStatus(daemon, 200);
     // A door that the server does not know is turned away, and nothing is sent on.
     doorIs(stranger, "door");
     awaitStatus(daemon, 503);
     doorIs(trusted, "door");
     awaitStatus(daemon, 200);
-    assertTrue(at.world.verdict().kept(), () -> at.world.verdict().toString());
+    assertTrue(fixture.daemons.verdict().kept(), () -> fixture.daemons.verdict().toString());
   }
 
   @Test
@@ -138,20 +138,20 @@
     trusts(stranger);
     doorIs(trusted, "door");
     StandInAuthoriser one = server(trusted, trusted);
-    at.named(one, keys("policy.acme"));
-    Daemon daemon = at.started("", "");
+    fixture.addAuthoriser(one, keys("policy.acme"));
+    Daemon daemon = fixture.startDaemon("", "");
     assertEquals(503, asked(daemon, "r1"));
     trusts(trusted);
     awaitStatus(daemon, 200);
-    Daemon other = new AuthorisedWorldPart(at, one, keys("policy.other")).started();
+    Daemon other = new AuthorisedWorldPart(fixture, one, keys("policy.other")).started();
     assertEquals(503, asked(other, "r2"));
-    assertTrue(at.world.verdict().kept(), () -> at.world.verdict().toString());
+    assertTrue(fixture.daemons.verdict().kept(), () -> fixture.daemons.verdict().toString());
   }
 
   /** A second daemon of the same world that names its authoriser otherwise. */
-  private record AuthorisedWorldPart(AuthorisedWorld at, StandInAuthoriser one, String keys) {
+  private record AuthorisedWorldPart(AuthorisedFixture at, StandInAuthoriser one, String keys) {
     Daemon started() throws Exception {
-      return at.started("[[authoriser]]\nname = \"again\"\naddress = \"" + StandIns.text(one.address())
+      return at.startDaemon("[[authoriser]]\nname = \"again\"\naddress = \"" + StandIns.text(one.address())
           + "\"\n" + keys + "[[member]]\nname = \"all\"\nauthorisers = [\"again\"]\n", "");
     }
   }
@@ -161,8 +161,8 @@
     write("ca.pem", "nothing");
     write("cert.pem", "nothing");
     write("key.pem", "nothing");
-    at.named(server(trusted, trusted), keys("policy.acme"));
-    IOException told = assertThrows(IOException.class, () -> at.started("", ""));
+    fixture.addAuthoriser(server(trusted, trusted), keys("policy.acme"));
+    IOException told = assertThrows(IOException.class, () -> fixture.startDaemon("", ""));
     assertTrue(told.getMessage().contains("ca.pem"), told.getMessage());
   }
 }
--- a/daemon/src/test/java/willowdoor/daemon/life/CounterLossTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/CounterLossTest.java
@@ -17,49 +17,49 @@
 class CounterLossTest {
 
   private static final String FIRM = Long.toString(0x42, 36);
-  private static final int ASKED = 8;
+  private static final int REQUESTS = 8;
   private static final int TRIALS = 12;
 
-  private World world;
+  private DaemonFixture fixture;
   private Daemon daemon;
-  private World.Caller caller;
+  private DaemonFixture.Caller caller;
   private int number;
   private int served;
 
   /** One of forty doors, so that a window is counted by its total alone. */
   @BeforeEach
   void open() throws Exception {
-    world = new World(2, 5);
-    world.rig.park().exact();
-    daemon = world.daemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n",
+    fixture = new DaemonFixture(2, 5);
+    fixture.rig.park().exact();
+    daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n",
         text -> text.replace("doors = 1\n", "doors = 40\n")).start(false);
-    World.awaitUp(daemon.address());
-    caller = world.new Caller(daemon.address(), "d0");
+    DaemonFixture.awaitUp(daemon.address());
+    caller = fixture.new Caller(daemon.address(), "d0");
   }
 
   @AfterEach
   void close() throws Exception {
-    world.close();
+    fixture.close();
   }
 
   private int ask() throws Exception {
     String id = "r" + number++;
     caller.raw(caller.message(id, RequestKind.BUY, 2_000).replace("spread=1", "spread=40"));
-    world.rig.ledger().request(Kind.ASKED, id, "d0", 0, "");
+    fixture.rig.ledger().request(Kind.ASKED, id, "d0", 0, "");
     return caller.receive(id);
   }
 
   /** Asks some, has the counter replaced, and tells whether all came to stand at the new one unasked. */
   private boolean putBack(Runnable replace) throws Exception {
-    for (int i = 0; i < ASKED; i++) {
+    for (int i = 0; i < REQUESTS; i++) {
       assertEquals(200, ask());
     }
-    double before = world.rig.counter().total(FIRM);
-    world.rig.counter().lose();
+    double before = fixture.rig.counter().total(FIRM);
+    fixture.rig.counter().lose();
     replace.run();
-    double limit = world.rig.ledger().now() + 700;
-    while (world.rig.ledger().now() < limit) {
-      if (before >= ASKED && world.rig.counter().total(FIRM) >= ASKED) {
+    double limit = fixture.rig.ledger().now() + 700;
+    while (fixture.rig.ledger().now() < limit) {
+      if (before >= REQUESTS && fixture.rig.counter().total(FIRM) >= REQUESTS) {
         return true;
       }
       Thread.onSpinWait();
@@ -71,7 +71,7 @@
   private void putBackInAnyTrial(Runnable replace) throws Exception {
     for (int i = 0; i < TRIALS; i++) {
       if (putBack(replace)) {
-        assertTrue(world.verdict().kept(), () -> world.verdict().toString());
+        assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
         return;
       }
     }
@@ -80,14 +80,14 @@
 
   @Test
   void whatTheDoorHadAddedIsPutBackAtAnEmptyCounter() throws Exception {
-    putBackInAnyTrial(() -> world.rig.counter().comeBackEmpty());
+    putBackInAnyTrial(() -> fixture.rig.counter().comeBackEmpty());
   }
 
   /** The copy is of before the trial, so it lacks what the trial added, and the checks since. */
   @Test
   void whatAnOldCopyLacksIsPutBack() throws Exception {
-    world.rig.counter().keepCopy();
-    putBackInAnyTrial(() -> world.rig.counter().comeBackWithCopy());
+    fixture.rig.counter().keepCopy();
+    putBackInAnyTrial(() -> fixture.rig.counter().comeBackWithCopy());
   }
 
   private interface Mood {
@@ -96,18 +96,19 @@
 
   /** What is served counts once: less would be a gift, and what was refused may be in it, as it was added. */
   private void countsAllThatWasServed(Mood mood) throws Exception {
-    World.await("counter used", () -> asked200() && world.rig.counter().added(FIRM) > 0);
-    mood.of(world.rig.counter(), true);
-    for (int i = 0; i < 3 * ASKED; i++) {
+    DaemonFixture.await("counter used", () -> asked200() && fixture.rig.counter().added(FIRM) > 0);
+    mood.of(fixture.rig.counter(), true);
+    for (int i = 0; i < 3 * REQUESTS; i++) {
       served += ask() == 200 ? 1 : 0;
     }
-    mood.of(world.rig.counter(), false);
-    double before = world.rig.counter().added(FIRM);
-    World.await("counter used again", () -> asked200() && world.rig.counter().added(FIRM) > before);
-    World.await("all of it counted", () -> asked200() && world.rig.counter().added(FIRM) >= served - 1e-6);
-    double added = world.rig.counter().added(FIRM);
+    mood.of(fixture.rig.counter(), false);
+    double before = fixture.rig.counter().added(FIRM);
+    DaemonFixture.await("counter used again", () -> asked200() && fixture.rig.counter().added(FIRM) > before);
+    DaemonFixture
+        .await("all of it counted", () -> asked200() && fixture.rig.counter().added(FIRM) >= served - 1e-6);
+    double added = fixture.rig.counter().added(FIRM);
     assertTrue(added <= number + 1e-6, () -> added + " added, " + number + " asked, " + served + " served");
-    assertTrue(world.verdict().kept(), () -> world.verdict().toString());
+    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
   }
 
   private boolean asked200() {
@@ -126,43 +127,43 @@
   }
 
   @Test
-  void soDoAddsWhoseConnectionsAreReset() throws Exception {
+  void addsWhoseConnectionsAreResetCountOnce() throws Exception {
     countsAllThatWasServed(StandInCounter::reset);
   }
 
   /** An answer too many is out of step: all that follows on its connection would be another call's. */
   @Test
-  void soDoAddsThatAreAnsweredTwice() throws Exception {
+  void addsThatAreAnsweredTwiceCountOnce() throws Exception {
     countsAllThatWasServed(StandInCounter::answerTwice);
   }
 
   @Test
-  void soDoAddsThatAreAnsweredBeyondTheLimit() throws Exception {
+  void addsThatAreAnsweredAfterTheTimeoutCountOnce() throws Exception {
     countsAllThatWasServed((counter, on) -> counter.delay(on ? 90 : 1));
   }
 
   /** Two calls a second, and a queue before them. */
   @Test
-  void soDoAddsThatWaitForTheirTurn() throws Exception {
+  void queuedAddsCountOnce() throws Exception {
     countsAllThatWasServed((counter, on) -> counter.rate(on ? 20 : Double.POSITIVE_INFINITY));
   }
 
   @Test
   void theSameCounterThatWasOnlyUnreachableGetsNothingTwice() throws Exception {
-    for (int i = 0; i < ASKED; i++) {
+    for (int i = 0; i < REQUESTS; i++) {
       assertEquals(200, ask());
     }
-    double added = world.rig.counter().added(FIRM);
-    world.rig.counter().lose();
-    world.rig.counter().comeBack();
-    World.await("counter used again", () -> {
+    double added = fixture.rig.counter().added(FIRM);
+    fixture.rig.counter().lose();
+    fixture.rig.counter().comeBack();
+    DaemonFixture.await("counter used again", () -> {
       try {
-        return ask() == 200 && world.rig.counter().added(FIRM) > added;
+        return ask() == 200 && fixture.rig.counter().added(FIRM) > added;
       } catch (Exception e) {
         throw new AssertionError(e);
       }
     });
-    assertTrue(world.rig.counter().added(FIRM) <= number + 1e-6, () -> world.rig.counter().added(FIRM)
+    assertTrue(fixture.rig.counter().added(FIRM) <= number + 1e-6, () -> fixture.rig.counter().added(FIRM)
         + " of "
         + number);
   }
--- a/daemon/src/test/java/willowdoor/daemon/life/World.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/DaemonFixture.java
@@ -31,9 +31,9 @@
 import willowdoor.testkit.Terms;
 
 /** A rig with daemons inside this process, and single clients whose every step a test decides. */
-final class World implements AutoCloseable {
+final class DaemonFixture implements AutoCloseable {
 
-  static final long LIMIT_MS = 20_000;
+  static final long TIMEOUT_MS = 20_000;
 
   final Rig rig;
   final Path folder;
@@ -41,19 +41,19 @@
   private final List<Daemon> daemons = new ArrayList<>();
   private final List<Caller> callers = new ArrayList<>();
 
-  World(int backends, double workMs) throws IOException {
+  DaemonFixture(int backends, double workMs) throws IOException {
     rig = new Rig(Terms.usual(), new BackendPark.Make(backends, 4, 32, workMs, workMs + 1), 11);
     folder = Files.createTempDirectory("willowdoor-test");
     files = new DoorFiles(rig, folder, 1);
   }
 
   /** A daemon on that address by the rig's terms, with other lines in its file's place for some. */
-  Daemon daemon(InetSocketAddress listen, String end) throws Exception {
-    return daemon(listen, end, text -> text);
+  Daemon createDaemon(InetSocketAddress listen, String end) throws Exception {
+    return createDaemon(listen, end, text -> text);
   }
 
   /** The same with a change of the text before. */
-  Daemon daemon(InetSocketAddress listen, String end, UnaryOperator<String> change) throws Exception {
+  Daemon createDaemon(InetSocketAddress listen, String end, UnaryOperator<String> change) throws Exception {
     Path file = files.write(0, listen);
     Files.writeString(file, change.apply(Files.readString(file)) + end);
     Daemon daemon = Daemon.create(DaemonConfig.read(file), file, "unnamed");
@@ -61,17 +61,18 @@
     return daemon;
   }
 
-  Daemon started() throws Exception {
-    Daemon daemon = daemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n").start(false);
+  Daemon startDaemon() throws Exception {
+    Daemon daemon = createDaemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n")
+        .start(false);
     awaitUp(daemon.address());
     return daemon;
   }
 
   static void awaitUp(InetSocketAddress address) {
-    await("door up at " + address, () -> up(address));
+    await("door up at " + address, () -> isUp(address));
   }
 
-  static boolean up(InetSocketAddress address) {
+  static boolean isUp(InetSocketAddress address) {
     try (Socket s = new Socket(address.getAddress(), address.getPort())) {
       s.setSoTimeout(2_000);
       s.getOutputStream().write("GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".getBytes(
@@ -83,17 +84,17 @@
   }
 
   static void await(String what, BooleanSupplier condition) {
-    if (!FleetRun.until(condition, LIMIT_MS)) {
-      throw new AssertionError("not within " + LIMIT_MS + " ms: " + what);
+    if (!FleetRun.until(condition, TIMEOUT_MS)) {
+      throw new AssertionError("not within " + TIMEOUT_MS + " ms: " + what);
     }
   }
 
-  boolean saw(String id, Kind kind) {
+  boolean recorded(String id, Kind kind) {
     return rig.ledger().history(id).stream().anyMatch(e -> e.kind() == kind);
   }
 
-  void awaitSaw(String id, Kind kind) {
-    await(id + " " + kind, () -> saw(id, kind));
+  void awaitRecorded(String id, Kind kind) {
+    await(id + " " + kind, () -> recorded(id, kind));
   }
 
   Judge.Verdict verdict() {
@@ -113,7 +114,7 @@
     Caller(InetSocketAddress address, String door) throws IOException {
       this.door = door;
       socket = new Socket(address.getAddress(), address.getPort());
-      socket.setSoTimeout((int) LIMIT_MS);
+      socket.setSoTimeout((int) TIMEOUT_MS);
       in = new BufferedInputStream(socket.getInputStream());
       callers.add(this);
     }
--- a/daemon/src/test/java/willowdoor/daemon/life/ExternalAuthorisationTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ExternalAuthorisationTest.java
@@ -39,30 +39,30 @@
 @Timeout(60)
 class ExternalAuthorisationTest {
 
-  private AuthorisedWorld at;
+  private AuthorisedFixture fixture;
   private StandInAuthoriser one;
 
   private void open(boolean idempotent) throws Exception {
-    at = new AuthorisedWorld(2, 20, idempotent);
-    one = at.authoriser("one", "");
+    fixture = new AuthorisedFixture(2, 20, idempotent);
+    one = fixture.authoriser("one", "");
   }
 
   @AfterEach
   void close() throws Exception {
-    at.close();
+    fixture.close();
   }
 
-  private void kept() {
-    assertTrue(at.world.verdict().kept(), () -> at.world.verdict().toString());
+  private void assertRulesKept() {
+    assertTrue(fixture.daemons.verdict().kept(), () -> fixture.daemons.verdict().toString());
   }
 
-  private int asked(World.Caller caller, String id, int timeoutMs) throws IOException {
+  private int asked(DaemonFixture.Caller caller, String id, int timeoutMs) throws IOException {
     caller.send(id, RequestKind.BUY, timeoutMs);
     return caller.receive();
   }
 
   private int asked(Daemon daemon, String id) throws Exception {
-    try (World.Caller caller = at.caller(daemon)) {
+    try (DaemonFixture.Caller caller = fixture.caller(daemon)) {
       return asked(caller, id, 2_000);
     }
   }
@@ -83,8 +83,8 @@
   @Test
   void anAllowedBuyIsServedAndWhatNeedsNoAllowIsNotAsked() throws Exception {
     open(false);
-    Daemon daemon = at.started("headers = [\"x-plan\", \"content-type\"]\nbody_bytes = 3\n", "");
-    World.Caller caller = at.caller(daemon);
+    Daemon daemon = fixture.startDaemon("headers = [\"x-plan\", \"content-type\"]\nbody_bytes = 3\n", "");
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     assertEquals(200, asked(caller, "r1", 2_000));
     CheckRequest seen = one.seen();
     AttributeContext.HttpRequest http = seen.getAttributes().getRequest().getHttp();
@@ -103,10 +103,10 @@
     caller.send("r2", RequestKind.QUOTE, 2_000);
     assertEquals(200, caller.receive());
     assertEquals(1, one.checks());
-    String line = at.logged("r1");
+    String line = fixture.logged("r1");
     assertTrue(line.contains("\"decision\":\"ALLOWED\"") && line.contains("\"end\":\"SERVED\"")
         && line.contains("\"to\":\"one\""), line);
-    kept();
+    assertRulesKept();
   }
 
   @Test
@@ -116,30 +116,30 @@
         StandInAuthoriser.deny(402, "no credit").getDeniedResponse().toBuilder()
             .addHeaders(header("X-Why", "credit")).addHeaders(header("Content-Length", "3"))
             .addHeaders(header("X-Bad", "a\r\nSet-Cookie: b"))).build());
-    Daemon daemon = at.started("", "");
-    World.Caller caller = at.caller(daemon);
+    Daemon daemon = fixture.startDaemon("", "");
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     assertEquals(402, asked(caller, "r1", 2_000));
     assertEquals("no credit", caller.body());
     assertEquals("credit", caller.headers().get("x-why"));
     assertNull(caller.headers().get("x-bad"));
     assertNull(caller.headers().get("set-cookie"));
-    assertFalse(at.sentOn("r1"));
-    assertEquals(0, at.world.rig.counter().calls());
-    assertTrue(at.logged("r1").contains("\"decision\":\"DENIED 402\""));
-    kept();
+    assertFalse(fixture.reachedBackend("r1"));
+    assertEquals(0, fixture.daemons.rig.counter().calls());
+    assertTrue(fixture.logged("r1").contains("\"decision\":\"DENIED 402\""));
+    assertRulesKept();
   }
 
   @Test
   void anAuthoriserThatChangesItsMindIsAskedOnceARequest() throws Exception {
     open(false);
     one.mood(Mood.FLIPS);
-    Daemon daemon = at.started("", "");
-    World.Caller caller = at.caller(daemon);
+    Daemon daemon = fixture.startDaemon("", "");
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     for (int i = 0; i < 10; i++) {
       assertEquals(i % 2 == 0 ? 200 : 403, asked(caller, "r" + i, 2_000));
     }
     assertEquals(10, one.checks());
-    kept();
+    assertRulesKept();
   }
 
   /** The limit is far off: only the client's own time bounds the call. */
@@ -147,23 +147,23 @@
   void anAuthoriserThatHangsPastTheClientsDeadline() throws Exception {
     open(false);
     one.mood(Mood.STALLS);
-    Daemon daemon = at.started("limit_ms = 60000\nbackends_share = 0\n", "");
-    World.Caller caller = at.caller(daemon);
+    Daemon daemon = fixture.startDaemon("limit_ms = 60000\nbackends_share = 0\n", "");
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     assertEquals(503, asked(caller, "r1", 400));
-    World.await("the call given up", () -> one.abandoned() == 1);
-    assertFalse(at.sentOn("r1"));
-    assertEquals(0, at.world.rig.counter().calls());
-    kept();
+    DaemonFixture.await("the call given up", () -> one.abandoned() == 1);
+    assertFalse(fixture.reachedBackend("r1"));
+    assertEquals(0, fixture.daemons.rig.counter().calls());
+    assertRulesKept();
   }
 
   @Test
   void aNodeThatFailsAfterTheAllowIsRetriedUnderItAndAnotherIdIsAskedAnew() throws Exception {
     open(false);
-    Daemon daemon = at.started("", "");
-    at.world.rig.park().backend(0).mood(StandInBackend.Mood.RESETS);
-    World.Caller caller = at.caller(daemon);
+    Daemon daemon = fixture.startDaemon("", "");
+    fixture.daemons.rig.park().backend(0).mood(StandInBackend.Mood.RESETS);
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     int asked = 0;
-    while (asked == 0 || at.count("r" + (asked - 1), Kind.LAST_BYTE) < 2) {
+    while (asked == 0 || fixture.count("r" + (asked - 1), Kind.LAST_BYTE) < 2) {
       assertEquals(200, asked(caller, "r" + asked, 3_000));
       asked++;
       assertTrue(asked < 100, "none met the failing node");
@@ -171,7 +171,7 @@
     assertEquals(asked, one.checks());
     assertEquals(200, asked(caller, "other", 3_000));
     assertEquals(asked + 1, one.checks());
-    kept();
+    assertRulesKept();
   }
 
   @ParameterizedTest
@@ -181,9 +181,9 @@
     open(false);
     one.mood(mood);
     one.delay(mood == Mood.LATE ? 600 : 0);
-    StandInAuthoriser two = at.authoriser("two", "");
-    Daemon daemon = at.started("limit_ms = 200\n", "");
-    World.Caller caller = at.caller(daemon);
+    StandInAuthoriser two = fixture.authoriser("two", "");
+    Daemon daemon = fixture.startDaemon("limit_ms = 200\n", "");
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     assertEquals(503, asked(caller, "r1", 2_000));
     assertTrue(Double.parseDouble(caller.headers().get("retry-after")) > 0);
     assertEquals(1, one.checks());
@@ -192,9 +192,9 @@
     one.mood(Mood.ALLOWS);
     one.delay(0);
     assertEquals(200, asked(daemon, "r2"));
-    assertFalse(at.sentOn("r1"), () -> at.world.history("r1").toString());
-    assertTrue(at.logged("r1").contains("\"decision\":\"REFUSED FAILED\""), () -> "" + at.log);
-    kept();
+    assertFalse(fixture.reachedBackend("r1"), () -> fixture.daemons.history("r1").toString());
+    assertTrue(fixture.logged("r1").contains("\"decision\":\"REFUSED FAILED\""), () -> "" + fixture.log);
+    assertRulesKept();
   }
 
   @ParameterizedTest
@@ -204,18 +204,18 @@
     open(true);
     one.mood(mood);
     one.delay(mood == Mood.LATE ? 600 : 0);
-    StandInAuthoriser two = at.authoriser("two", "");
-    Daemon daemon = at.started("limit_ms = 200\nidempotent = true\n", "");
+    StandInAuthoriser two = fixture.authoriser("two", "");
+    Daemon daemon = fixture.startDaemon("limit_ms = 200\nidempotent = true\n", "");
     assertEquals(200, asked(daemon, "r1"));
     assertEquals(1, two.checks());
-    kept();
+    assertRulesKept();
   }
 
   @Test
   void anAuthoriserThatIsGoneWasNeverReachedSoTheOtherIsAsked() throws Exception {
     open(false);
-    StandInAuthoriser two = at.authoriser("two", "");
-    Daemon daemon = at.started("", "");
+    StandInAuthoriser two = fixture.authoriser("two", "");
+    Daemon daemon = fixture.startDaemon("", "");
     assertEquals(200, asked(daemon, "r1"));
     one.die();
     for (int i = 2; i < 12; i++) {
@@ -224,66 +224,66 @@
     assertEquals(10, two.checks());
     // It is asked again, by a probe, after it came back.
     one.comeBack();
-    World.await("asked again", () -> {
+    DaemonFixture.await("asked again", () -> {
       try {
         return asked(daemon, "p" + System.nanoTime()) == 200 && one.checks() > 1;
       } catch (Exception e) {
         throw new AssertionError(e);
       }
     });
-    kept();
+    assertRulesKept();
   }
 
   @ParameterizedTest
   @EnumSource(value = Mood.class, names = {"GOES_AWAY", "GOES_AWAY_UNSEEN", "REFUSES_STREAMS"})
   void anAuthoriserThatEndsItsConnectionsInOrderLosesNoCheck(Mood mood) throws Exception {
     open(false);
-    Daemon daemon = at.started("", "");
+    Daemon daemon = fixture.startDaemon("", "");
     assertEquals(200, asked(daemon, "r0"));
     one.mood(mood);
-    World.Caller caller = at.caller(daemon);
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     for (int i = 1; i <= 5; i++) {
       int status = asked(caller, "r" + i, 2_000);
       assertTrue(mood == Mood.GOES_AWAY ? status == 200 : status == 503, mood + " " + status);
     }
     one.mood(Mood.ALLOWS);
-    World.await("allowed again", () -> {
+    DaemonFixture.await("allowed again", () -> {
       try {
         return asked(daemon, "p" + System.nanoTime()) == 200;
       } catch (Exception e) {
         throw new AssertionError(e);
       }
     });
-    kept();
+    assertRulesKept();
   }
 
   @Test
   void aClientThatLeavesWhileItsCheckIsOut() throws Exception {
     open(false);
     one.mood(Mood.STALLS);
-    Daemon daemon = at.started("limit_ms = 60000\n", "");
-    World.Caller caller = at.caller(daemon);
+    Daemon daemon = fixture.startDaemon("limit_ms = 60000\n", "");
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     caller.send("r1", RequestKind.BUY, 4_000);
-    at.world.awaitSaw("r1", Kind.CHECKED);
-    at.world.rig.ledger().request(Kind.LEFT, "r1", "d0", 0, "");
+    fixture.daemons.awaitRecorded("r1", Kind.CHECKED);
+    fixture.daemons.rig.ledger().request(Kind.LEFT, "r1", "d0", 0, "");
     caller.close();
-    World.await("the call given up", () -> one.abandoned() == 1);
-    assertFalse(at.sentOn("r1"));
-    assertEquals(0, at.world.rig.counter().calls());
-    assertTrue(at.logged("r1").contains("\"end\":\"LEFT\""));
-    kept();
+    DaemonFixture.await("the call given up", () -> one.abandoned() == 1);
+    assertFalse(fixture.reachedBackend("r1"));
+    assertEquals(0, fixture.daemons.rig.counter().calls());
+    assertTrue(fixture.logged("r1").contains("\"end\":\"LEFT\""));
+    assertRulesKept();
   }
 
   @Test
   void aClientThatLeavesJustAsTheAllowArrives() throws Exception {
     open(false);
-    Daemon daemon = at.started("", "");
+    Daemon daemon = fixture.startDaemon("", "");
     for (int i = 0; i < 30; i++) {
-      World.Caller caller = at.caller(daemon);
+      DaemonFixture.Caller caller = fixture.caller(daemon);
       String id = "r" + i;
       one.script(r -> {
         try {
-          at.world.rig.ledger().request(Kind.LEFT, id, "d0", 0, "");
+          fixture.daemons.rig.ledger().request(Kind.LEFT, id, "d0", 0, "");
           caller.close();
         } catch (IOException e) {
           throw new java.io.UncheckedIOException(e);
@@ -291,18 +291,19 @@
         return StandInAuthoriser.allow();
       });
       caller.send(id, RequestKind.BUY, 2_000);
-      at.world.awaitSaw(id, Kind.ALLOWED);
+      fixture.daemons.awaitRecorded(id, Kind.ALLOWED);
     }
     one.script(null);
     assertEquals(200, asked(daemon, "last"));
     for (int i = 0; i < 30; i++) {
-      at.logged("r" + i);
+      fixture.logged("r" + i);
     }
-    at.logged("last");
-    assertEquals(31, java.nio.file.Files.readAllLines(at.log).size(), "each ended once");
-    daemon.end();
-    assertEquals(InstanceLifecycle.EXIT_ORDERLY, daemon.ended().get(World.LIMIT_MS, TimeUnit.MILLISECONDS));
-    kept();
+    fixture.logged("last");
+    assertEquals(31, java.nio.file.Files.readAllLines(fixture.log).size(), "each ended once");
+    daemon.requestEnd();
+    assertEquals(InstanceLifecycle.EXIT_ORDERLY,
+        daemon.ended().get(DaemonFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+    assertRulesKept();
   }
 
   @Test
@@ -310,65 +311,67 @@
     open(false);
     one.delay(1_300);
     one.script(r -> StandInAuthoriser.allow());
-    Daemon daemon = at.started("limit_ms = 3000\nbackends_share = 0\n", "");
-    World.Caller caller = at.caller(daemon);
+    Daemon daemon = fixture.startDaemon("limit_ms = 3000\nbackends_share = 0\n", "");
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     caller.send("r1", RequestKind.BUY, 3_500);
-    at.world.awaitSaw("r1", Kind.CHECKED);
-    at.world.rig.park().all().forEach(b -> at.world.rig.park().drain(b));
+    fixture.daemons.awaitRecorded("r1", Kind.CHECKED);
+    fixture.daemons.rig.park().all().forEach(b -> fixture.daemons.rig.park().drain(b));
     int status = caller.receive();
     assertTrue(status == 503 || status == 429, () -> "status " + status);
-    assertFalse(at.sentOn("r1"));
-    kept();
+    assertFalse(fixture.reachedBackend("r1"));
+    assertRulesKept();
   }
 
   @Test
   void toldToEndWhileAHundredChecksAreOut() throws Exception {
     open(false);
     one.mood(Mood.STALLS);
-    Daemon daemon = at.started("limit_ms = 60000\nbackends_share = 0\n",
+    Daemon daemon = fixture.startDaemon("limit_ms = 60000\nbackends_share = 0\n",
         "accept_ms = 50\nanswer_ms = 400\n");
-    List<World.Caller> callers = new ArrayList<>();
+    List<DaemonFixture.Caller> callers = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
-      World.Caller caller = at.caller(daemon);
+      DaemonFixture.Caller caller = fixture.caller(daemon);
       callers.add(caller);
       caller.send("r" + i, RequestKind.BUY, 4_000);
     }
-    World.await("all asked", () -> one.checks() == 100);
-    daemon.end();
-    for (World.Caller caller : callers) {
+    DaemonFixture.await("all asked", () -> one.checks() == 100);
+    daemon.requestEnd();
+    for (DaemonFixture.Caller caller : callers) {
       assertEquals(503, caller.receive());
       assertTrue(caller.ended());
     }
-    assertEquals(InstanceLifecycle.EXIT_ORDERLY, daemon.ended().get(World.LIMIT_MS, TimeUnit.MILLISECONDS));
-    assertEquals(0, at.world.rig.counter().calls());
-    kept();
+    assertEquals(InstanceLifecycle.EXIT_ORDERLY,
+        daemon.ended().get(DaemonFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+    assertEquals(0, fixture.daemons.rig.counter().calls());
+    assertRulesKept();
   }
 
   @Test
   void aMemberWhoseAuthoriserIsFullIsRefusedAtOnceAndNoOtherWaits() throws Exception {
-    at = new AuthorisedWorld(2, 20, false);
-    one = at.authoriser("one", "most_calls = 3\n");
-    StandInAuthoriser two = at.authoriser("two", "");
+    fixture = new AuthorisedFixture(2, 20, false);
+    one = fixture.authoriser("one", "most_calls = 3\n");
+    StandInAuthoriser two = fixture.authoriser("two", "");
     one.mood(Mood.STALLS);
-    Daemon daemon = at.started("[[member]]\nname = \"a\"\nfirms = [\"42\"]\nauthorisers = [\"one\"]\n"
+    Daemon daemon = fixture
+        .startDaemon("[[member]]\nname = \"a\"\nfirms = [\"42\"]\nauthorisers = [\"one\"]\n"
         + "limit_ms = 60000\n[[member]]\nname = \"b\"\nfirms = [\"43-4f\"]\nauthorisers = [\"two\"]\n", "");
-    List<World.Caller> callers = new ArrayList<>();
+    List<DaemonFixture.Caller> callers = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      World.Caller caller = at.caller(daemon);
+      DaemonFixture.Caller caller = fixture.caller(daemon);
       callers.add(caller);
       caller.send("r" + i, RequestKind.BUY, 1_000);
     }
-    World.await("all asked", () -> one.checks() == 3);
+    DaemonFixture.await("all asked", () -> one.checks() == 3);
     assertEquals(503, asked(daemon, "fourth"));
-    assertTrue(at.logged("fourth").contains("REFUSED BUSY"));
-    World.Caller other = at.caller(daemon);
+    assertTrue(fixture.logged("fourth").contains("REFUSED BUSY"));
+    DaemonFixture.Caller other = fixture.caller(daemon);
     other.send("other", RequestKind.BUY, 1_000, "0000000000000043");
     assertEquals(200, other.receive());
     assertEquals(1, two.checks());
-    for (World.Caller caller : callers) {
+    for (DaemonFixture.Caller caller : callers) {
       assertEquals(503, caller.receive());
     }
-    kept();
+    assertRulesKept();
   }
 
   @Test
@@ -386,13 +389,13 @@
         .addResponseHeadersToAdd(header("X-Policy", "7")).addResponseHeadersToAdd(header("Content-Length",
             "0"))
     ).build());
-    Daemon daemon = at.started("", "");
-    World.Caller caller = at.caller(daemon);
+    Daemon daemon = fixture.startDaemon("", "");
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     assertEquals(200, asked(caller, "r1", 2_000));
     assertEquals("7", caller.headers().get("x-policy"));
     assertTrue(caller.body().startsWith("made for r1 by"));
     String by = caller.body().substring(caller.body().lastIndexOf(' ') + 1);
-    HttpHeaders sent = at.world.rig.park().all().stream().filter(b -> b.name().equals(by)).findFirst()
+    HttpHeaders sent = fixture.daemons.rig.park().all().stream().filter(b -> b.name().equals(by)).findFirst()
         .orElseThrow().lastHeaders();
     assertEquals("4", sent.get("Content-Length"));
     assertNull(sent.get("Transfer-Encoding"));
@@ -402,7 +405,7 @@
     assertEquals("b", sent.get("Host"));
     assertNull(sent.get("X-Units-Charged"));
     assertEquals(List.of("one", "one"), sent.getAll("X-Approved-By"));
-    kept();
+    assertRulesKept();
   }
 
   @Test
@@ -412,55 +415,55 @@
         .setRawValue(ByteString.copyFromUtf8("a\nb"))).build();
     List<CheckResponse> answers = List.of(ok(header("X-A", "a\r\nRequest-Id: forged")), ok(raw),
         ok(header("X-A\r\nB", "c")), ok(header("", "c")), ok(header("X-A", "\0")));
-    Daemon daemon = at.started("", "");
-    World.Caller caller = at.caller(daemon);
+    Daemon daemon = fixture.startDaemon("", "");
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     for (int i = 0; i < answers.size(); i++) {
       CheckResponse answer = answers.get(i);
       one.script(r -> answer);
       // Protobuf's own text refuses some of these before the door reads them: a failed call all the same.
       assertEquals(503, asked(caller, "r" + i, 2_000));
-      assertFalse(at.sentOn("r" + i));
+      assertFalse(fixture.reachedBackend("r" + i));
     }
-    assertTrue(at.logged("r0").contains("BAD_ANSWER"), () -> "" + at.log);
-    kept();
+    assertTrue(fixture.logged("r0").contains("BAD_ANSWER"), () -> "" + fixture.log);
+    assertRulesKept();
   }
 
   @Test
   void oneStreamAtMostAndTinyWindows() throws Exception {
-    at = new AuthorisedWorld(2, 20, false);
-    one = at.authoriser("one", new Http2Settings().maxConcurrentStreams(1).initialWindowSize(16)
+    fixture = new AuthorisedFixture(2, 20, false);
+    one = fixture.authoriser("one", new Http2Settings().maxConcurrentStreams(1).initialWindowSize(16)
         .maxFrameSize(16_384), "");
     one.delay(5);
     one.script(r -> ok(header("X-Long", "y".repeat(3_000))));
-    Daemon daemon = at.started("limit_ms = 3000\nbody_bytes = 4\nheaders = [\"x-quota\"]\n", "");
+    Daemon daemon = fixture.startDaemon("limit_ms = 3000\nbody_bytes = 4\nheaders = [\"x-quota\"]\n", "");
     assertEquals(200, asked(daemon, "first"));
-    List<World.Caller> callers = new ArrayList<>();
+    List<DaemonFixture.Caller> callers = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      World.Caller caller = at.caller(daemon);
+      DaemonFixture.Caller caller = fixture.caller(daemon);
       callers.add(caller);
       caller.send("r" + i, RequestKind.BUY, 4_000);
     }
-    for (World.Caller caller : callers) {
+    for (DaemonFixture.Caller caller : callers) {
       assertEquals(200, caller.receive());
     }
     assertEquals(21, one.checks());
     assertEquals(1, one.connections());
-    kept();
+    assertRulesKept();
   }
 
   @Test
   void anAllowIsUsedAgainOnlyAsItsAnswerPermits() throws Exception {
     open(false);
-    at.world.rig.authorise(null);
+    fixture.daemons.rig.authorise(null);
     one.script(r -> ok(header("X-A", "a")).toBuilder().setDynamicMetadata(Struct.newBuilder().putFields(
         "allow_for_ms", Value.newBuilder().setNumberValue(60_000).build())).build());
-    Daemon daemon = at.started("most_cached_ms = 60000\n", "");
-    World.Caller caller = at.caller(daemon);
+    Daemon daemon = fixture.startDaemon("most_cached_ms = 60000\n", "");
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     assertEquals(200, asked(caller, "r1", 2_000));
     assertEquals(200, asked(caller, "r2", 2_000));
     assertEquals(1, one.checks());
-    assertTrue(at.logged("r2").contains("ALLOWED_BEFORE"));
-    assertTrue(at.logged("r1").contains("allow_for_ms"));
+    assertTrue(fixture.logged("r2").contains("ALLOWED_BEFORE"));
+    assertTrue(fixture.logged("r1").contains("allow_for_ms"));
     caller.send("r3", RequestKind.BUY, 2_000, "0000000000000043");
     assertEquals(200, caller.receive());
     assertEquals(2, one.checks());
@@ -469,8 +472,8 @@
   @Test
   void statusesMeanWhatTheySay() throws Exception {
     open(false);
-    Daemon daemon = at.started("", "");
-    World.Caller caller = at.caller(daemon);
+    Daemon daemon = fixture.startDaemon("", "");
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     int[][] told = {{7, 403}, {16, 401}, {8, 429}, {3, 400}, {5, 404}, {14, 503}, {13, 503}, {2, 503}};
     for (int[] t : told) {
       one.script(r -> CheckResponse.newBuilder().setStatus(com.google.rpc.Status.newBuilder().setCode(t[0]))
@@ -482,15 +485,15 @@
     one.script(r -> CheckResponse.newBuilder().setDeniedResponse(DeniedHttpResponse.getDefaultInstance())
         .build());
     assertEquals(503, asked(caller, "both", 2_000), "neither an allow nor a denial");
-    kept();
+    assertRulesKept();
   }
 
   /** A firm that is spent is refused before anybody is asked. */
   @Test
   void aFloodBeyondTheQuotaDoesNotReachTheAuthoriser() throws Exception {
     open(false);
-    Daemon daemon = at.started("", "");
-    World.Caller caller = at.caller(daemon);
+    Daemon daemon = fixture.startDaemon("", "");
+    DaemonFixture.Caller caller = fixture.caller(daemon);
     int refused = 0;
     int sent = 0;
     for (int i = 0; i < 400 && refused < 40; i++) {
@@ -499,46 +502,47 @@
     }
     assertEquals(40, refused);
     assertTrue(one.checks() < sent - 20, one.checks() + " checks of " + sent + " tries");
-    kept();
+    assertRulesKept();
   }
 
   @Test
   void withoutAuthorisersOfTheMemberUpABuyIsRefusedAndAnOpenClassGoesOn() throws Exception {
     open(false);
     one.die();
-    at.world.rig.authorise(null);
-    Daemon closed = at.started("", "");
+    fixture.daemons.rig.authorise(null);
+    Daemon closed = fixture.startDaemon("", "");
     assertEquals(503, asked(closed, "r1"));
-    assertEquals(0, at.world.rig.counter().calls());
-    Daemon open = at.started("fail_open = [\"register-buy\"]\n", "");
+    assertEquals(0, fixture.daemons.rig.counter().calls());
+    Daemon open = fixture.startDaemon("fail_open = [\"register-buy\"]\n", "");
     assertEquals(200, asked(open, "r2"));
-    assertTrue(at.logged("r2").contains("FAILED_OPEN"));
+    assertTrue(fixture.logged("r2").contains("FAILED_OPEN"));
   }
 
   @Test
   void aConnectionThatFellSilentIsFoundByPings() throws Exception {
-    at = new AuthorisedWorld(2, 20, false);
-    one = at.world.rig.authoriser("one", new Http2Settings(), null);
-    try (Deaf deaf = new Deaf(one.address())) {
+    fixture = new AuthorisedFixture(2, 20, false);
+    one = fixture.daemons.rig.authoriser("one", new Http2Settings(), null);
+    try (SilencingProxy deaf = new SilencingProxy(one.address())) {
       StandInAuthoriser named = one;
-      at.named(named, "");
-      Daemon daemon = at.world.daemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n"
+      fixture.addAuthoriser(named, "");
+      Daemon daemon = fixture.daemons
+          .createDaemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n"
           + "[[authoriser]]\nname = \"one\"\naddress = \"127.0.0.1:" + deaf.port()
               + "\"\nkeepalive_ms = 10000\n"
           + "keepalive_answer_ms = 100\n[[member]]\nname = \"all\"\nauthorisers = [\"one\"]\n").start(false);
-      World.awaitUp(daemon.address());
+      DaemonFixture.awaitUp(daemon.address());
       assertEquals(200, asked(daemon, "r1"));
       int before = deaf.connections();
-      deaf.silence();
-      World.await("a new connection", () -> deaf.connections() > before);
-      World.await("allowed again", () -> {
+      deaf.silenceOpenConnections();
+      DaemonFixture.await("a new connection", () -> deaf.connections() > before);
+      DaemonFixture.await("allowed again", () -> {
         try {
           return asked(daemon, "p" + System.nanoTime()) == 200;
         } catch (Exception e) {
           throw new AssertionError(e);
         }
       });
-      kept();
+      assertRulesKept();
     }
   }
 }
--- a/daemon/src/test/java/willowdoor/daemon/life/FairGateTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/FairGateTest.java
@@ -31,32 +31,32 @@
       most_out = 1
       """;
 
-  private World world;
+  private DaemonFixture fixture;
   private final ExecutorService clients = Executors.newCachedThreadPool();
 
   @BeforeEach
   void open() throws Exception {
-    world = new World(2, 5);
-    world.rig.park().exact();
+    fixture = new DaemonFixture(2, 5);
+    fixture.rig.park().exact();
   }
 
   @AfterEach
   void close() throws Exception {
     clients.shutdownNow();
-    world.close();
+    fixture.close();
   }
 
   private Daemon daemon(String tables) throws Exception {
-    Daemon daemon = world.daemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n",
+    Daemon daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n",
         text -> text + tables).start(false);
-    World.awaitUp(daemon.address());
+    DaemonFixture.awaitUp(daemon.address());
     return daemon;
   }
 
   private CompletableFuture<Integer> ask(Daemon daemon, String id) throws Exception {
-    World.Caller caller = world.new Caller(daemon.address(), "d0");
+    DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
     caller.raw(caller.message(id, RequestKind.QUOTE, 3_000));
-    world.rig.ledger().request(Kind.ASKED, id, "d0", 0, "");
+    fixture.rig.ledger().request(Kind.ASKED, id, "d0", 0, "");
     return CompletableFuture.supplyAsync(() -> {
       try {
         return caller.receive(id);
@@ -77,29 +77,29 @@
       assertEquals(200, a.get());
     }
     FairCounts c = daemon.fairness();
-    assertEquals(20, c.released(), c.words());
-    assertTrue(c.released() > c.atOnce(), "none waited: " + c.words());
-    assertEquals(0, c.waiting() + c.out() + c.waitingBytes(), c.words());
-    assertTrue(world.verdict().kept(), () -> world.verdict().toString());
+    assertEquals(20, c.released(), c.summary());
+    assertTrue(c.released() > c.atOnce(), "none waited: " + c.summary());
+    assertEquals(0, c.waiting() + c.out() + c.waitingBytes(), c.summary());
+    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
   }
 
   @Test
   void aDrainEmptiesTheQueueTruthfully() throws Exception {
     Daemon daemon = daemon(QUEUE);
-    world.rig.park().all().forEach(b -> b.mood(Mood.STALLS));
+    fixture.rig.park().all().forEach(b -> b.mood(Mood.STALLS));
     CompletableFuture<Integer> out = ask(daemon, "out");
-    World.await("one out", () -> counts(daemon).out() == 1);
+    DaemonFixture.await("one out", () -> counts(daemon).out() == 1);
     List<CompletableFuture<Integer>> waiting = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       waiting.add(ask(daemon, "w" + i));
     }
-    World.await("five wait", () -> counts(daemon).waiting() == 5);
-    daemon.end();
+    DaemonFixture.await("five wait", () -> counts(daemon).waiting() == 5);
+    daemon.requestEnd();
     for (CompletableFuture<Integer> w : waiting) {
       assertEquals(503, w.get(), "nothing of it has run, and nothing can be said of when to come back");
     }
     out.get();
-    assertTrue(world.verdict().kept(), () -> world.verdict().toString());
+    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
   }
 
   private static FairCounts counts(Daemon daemon) {
--- a/daemon/src/test/java/willowdoor/daemon/life/ForeignAuthoriserTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ForeignAuthoriserTest.java
@@ -15,21 +15,22 @@
   @Test
   void itsAllowsAndDenialsAreUnderstood() throws Exception {
     int port = Integer.getInteger("foreign.port");
-    try (AuthorisedWorld at = new AuthorisedWorld(2, 20, false)) {
-      at.world.rig.authorise(null);
-      Daemon daemon = at.started("[[authoriser]]\nname = \"foreign\"\naddress = \"127.0.0.1:" + port
+    try (AuthorisedFixture at = new AuthorisedFixture(2, 20, false)) {
+      at.daemons.rig.authorise(null);
+      Daemon daemon = at.startDaemon("[[authoriser]]\nname = \"foreign\"\naddress = \"127.0.0.1:" + port
           + "\"\n[[member]]\nname = \"all\"\nauthorisers = [\"foreign\"]\n", "");
-      World.Caller caller = at.caller(daemon);
+      DaemonFixture.Caller caller = at.caller(daemon);
       for (int i = 0; i < 50; i++) {
         caller.send("foreign-" + i, RequestKind.BUY, 2_000);
         boolean denied = i % 10 == 7;
         assertEquals(denied ? 402 : 200, caller.receive(), "request " + i);
-        assertEquals(denied, !at.sentOn("foreign-" + i));
+        assertEquals(denied, !at.reachedBackend("foreign-" + i));
         if (denied) {
           assertEquals("not this one", caller.body());
         }
       }
-      assertEquals("node", at.world.rig.park().all().stream().filter(b -> b.lastHeaders() != null).findFirst()
+      assertEquals("node",
+          at.daemons.rig.park().all().stream().filter(b -> b.lastHeaders() != null).findFirst()
           .orElseThrow().lastHeaders().get("X-Approved-By"));
     }
   }
--- /dev/null
+++ b/daemon/src/test/java/willowdoor/daemon/life/GracefulShutdownTest.java
@@ -0,0 +1,213 @@
+package willowdoor.daemon.life;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.channels.SocketChannel;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import willowdoor.life.InstanceLifecycle;
+import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.RequestKind;
+import willowdoor.testkit.StandInBackend.Mood;
+import willowdoor.testkit.StandInDiscovery.Listed;
+
+/** Ends that meet a request, or a start, at the worst moment; each is held to the five rules. */
+@Timeout(60)
+class GracefulShutdownTest {
+
+  private DaemonFixture fixture;
+
+  @BeforeEach
+  void open() throws Exception {
+    fixture = new DaemonFixture(2, 300);
+  }
+
+  @AfterEach
+  void close() throws Exception {
+    fixture.close();
+  }
+
+  private static void assertExitCode(int code, Daemon daemon) throws Exception {
+    assertEquals(code, daemon.ended().get(DaemonFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+  }
+
+  private void assertRulesKept() {
+    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
+  }
+
+  /** The attempt hangs in a connect that never comes up, so not a byte of it is written. */
+  @Test
+  void endsBeforeTheLastByteOfABuyIsWritten() throws Exception {
+    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      List<SocketChannel> fill = new ArrayList<>();
+      for (int i = 0; i < 8; i++) {
+        SocketChannel c = SocketChannel.open();
+        c.configureBlocking(false);
+        c.connect(full.getLocalSocketAddress());
+        fill.add(c);
+      }
+      fixture.rig.park().all().forEach(b -> fixture.rig.discovery().state(b.name(), "left"));
+      fixture.rig.discovery().put(new Listed("full", (InetSocketAddress) full.getLocalSocketAddress(), "a",
+          "active",
+          0));
+      Daemon daemon = fixture.startDaemon();
+      DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
+      caller.send("r1", RequestKind.BUY, 2_000);
+      daemon.requestEnd();
+      assertEquals(429, caller.receive());
+      assertTrue(Double.parseDouble(caller.headers().get("retry-after")) > 0);
+      assertTrue(caller.ended());
+      assertExitCode(InstanceLifecycle.EXIT_ORDERLY, daemon);
+      assertFalse(fixture.recorded("r1", Kind.FIRST_BYTE));
+      for (SocketChannel c : fill) {
+        c.close();
+      }
+    }
+    assertRulesKept();
+  }
+
+  @Test
+  void endsAfterTheLastByteOfABuyIsWritten() throws Exception {
+    Daemon daemon = fixture.startDaemon();
+    DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
+    caller.send("r1", RequestKind.BUY, 3_000);
+    fixture.awaitRecorded("r1", Kind.LAST_BYTE);
+    daemon.requestEnd();
+    assertEquals(200, caller.receive());
+    assertTrue(caller.ended());
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, daemon);
+    assertEquals(1, fixture.history("r1").stream().filter(e -> e.kind() == Kind.EFFECT).count());
+    assertRulesKept();
+  }
+
+  /** The backend writes half of its answer and no more: the repeat goes on, and there is one answer. */
+  @Test
+  void endsWhileTheAnswerToABuyIsHalfWritten() throws Exception {
+    Daemon daemon = fixture.startDaemon();
+    fixture.rig.park().all().forEach(b -> b.mood(Mood.HALF_ANSWERS));
+    DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
+    caller.send("r1", RequestKind.BUY, 3_000);
+    fixture.awaitRecorded("r1", Kind.EFFECT);
+    daemon.requestEnd();
+    fixture.rig.park().all().forEach(b -> b.mood(Mood.WELL));
+    assertEquals(200, caller.receive());
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, daemon);
+    assertEquals(1, fixture.history("r1").stream().filter(e -> e.kind() == Kind.EFFECT).count());
+    assertRulesKept();
+  }
+
+  @Test
+  void requestsUnfinishedAtTheDeadlineAreAnsweredAsFailed() throws Exception {
+    Daemon daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0),
+        "[end]\naccept_ms = 50\nanswer_ms = 400\n").start(false);
+    DaemonFixture.awaitUp(daemon.address());
+    fixture.rig.park().all().forEach(b -> b.mood(Mood.SLOW));
+    DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
+    caller.send("r1", RequestKind.TRANSFER, 4_000);
+    fixture.awaitRecorded("r1", Kind.LAST_BYTE);
+    daemon.requestEnd();
+    assertEquals(502, caller.receive());
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, daemon);
+    assertRulesKept();
+  }
+
+  @Test
+  void aSecondSignalShortensTheDeadline() throws Exception {
+    Daemon daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0),
+        "[end]\naccept_ms = 50\nanswer_ms = 60000\nhurried_ms = 100\n").start(false);
+    DaemonFixture.awaitUp(daemon.address());
+    fixture.rig.park().all().forEach(b -> b.mood(Mood.SLOW));
+    DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
+    caller.send("r1", RequestKind.TRANSFER, 4_000);
+    fixture.awaitRecorded("r1", Kind.LAST_BYTE);
+    daemon.requestEnd();
+    daemon.requestEnd();
+    assertEquals(502, caller.receive());
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, daemon);
+    assertFalse(fixture.recorded("r1", Kind.REPLIED));
+    assertRulesKept();
+  }
+
+  /** A signal that comes before there is a socket: what connects in the accept window is still answered. */
+  @Test
+  void endsBeforeTheSocketIsBound() throws Exception {
+    Daemon daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 600\n");
+    daemon.requestEnd();
+    daemon.start(false);
+    DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
+    caller.send("r1", RequestKind.BUY, 3_000);
+    assertEquals(200, caller.receive());
+    assertTrue(caller.ended());
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, daemon);
+    assertRulesKept();
+  }
+
+  /** The connection waits in the accept queue, as nothing is taken while the process warms up. */
+  @Test
+  void endsDuringTheWarmUp() throws Exception {
+    Daemon daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0), "").start(false);
+    DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
+    caller.send("r1", RequestKind.BUY, 3_000);
+    daemon.requestEnd();
+    assertEquals(200, caller.receive());
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, daemon);
+    assertRulesKept();
+  }
+
+  @Test
+  void endsWhileTheCounterAndDiscoveryHang() throws Exception {
+    Daemon daemon = fixture.startDaemon();
+    fixture.rig.counter().hang(true);
+    fixture.rig.discovery().hang(true);
+    DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
+    caller.send("r1", RequestKind.BUY, 3_000);
+    daemon.requestEnd();
+    assertEquals(200, caller.receive());
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, daemon);
+    assertRulesKept();
+  }
+
+  /** In the accept window a kept connection may ask once more; its answer ends it. */
+  @Test
+  void aRequestOnAKeepAliveConnectionDuringTheDrainIsAnswered() throws Exception {
+    Daemon daemon = fixture.startDaemon();
+    DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
+    caller.send("r1", RequestKind.QUOTE, 3_000);
+    assertEquals(200, caller.receive());
+    daemon.requestEnd();
+    caller.send("r2", RequestKind.BUY, 3_000);
+    assertEquals(200, caller.receive());
+    assertTrue(caller.ended());
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, daemon);
+    assertRulesKept();
+  }
+
+  @Test
+  void aDrainingDoorIsNotFoundAndAnIdleConnectionEnds() throws Exception {
+    Daemon daemon = fixture.startDaemon();
+    DaemonFixture.Caller idle = fixture.new Caller(daemon.address(), "d0");
+    DaemonFixture.Caller busy = fixture.new Caller(daemon.address(), "d0");
+    busy.send("r1", RequestKind.BUY, 3_000);
+    fixture.awaitRecorded("r1", Kind.LAST_BYTE);
+    daemon.requestEnd();
+    DaemonFixture.await("not up", () -> !DaemonFixture.isUp(daemon.address()));
+    assertTrue(idle.ended());
+    assertEquals(200, busy.receive());
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, daemon);
+    assertThrows(IOException.class, () -> new Socket("127.0.0.1", daemon.address().getPort()).close());
+    assertRulesKept();
+  }
+}
--- /dev/null
+++ b/daemon/src/test/java/willowdoor/daemon/life/HandoverTest.java
@@ -0,0 +1,369 @@
+package willowdoor.daemon.life;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.BufferedReader;
+import java.io.Closeable;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.io.UncheckedIOException;
+import java.net.InetSocketAddress;
+import java.net.StandardProtocolFamily;
+import java.net.UnixDomainSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.Channels;
+import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import java.util.function.UnaryOperator;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import willowdoor.daemon.config.DaemonConfig;
+import willowdoor.life.InstanceLifecycle;
+import willowdoor.policy.LearnedState;
+import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.RequestKind;
+
+/** One instance takes the place of another, or fails to at the worst moment. */
+@Timeout(60)
+class HandoverTest {
+
+  private DaemonFixture fixture;
+
+  @BeforeEach
+  void open() throws Exception {
+    fixture = new DaemonFixture(2, 100);
+  }
+
+  @AfterEach
+  void close() throws Exception {
+    fixture.close();
+  }
+
+  private Path control() {
+    return fixture.files.control(0);
+  }
+
+  private Daemon startWithControlSocket() throws Exception {
+    Daemon daemon = fixture.startDaemon();
+    DaemonFixture.await("control socket", () -> Files.exists(control()));
+    return daemon;
+  }
+
+  private void assertServes(InetSocketAddress at, String id) throws IOException {
+    DaemonFixture.Caller caller = fixture.new Caller(at, "d0");
+    caller.send(id, RequestKind.BUY, 3_000);
+    assertEquals(200, caller.receive());
+  }
+
+  private void assertRulesKept() {
+    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
+  }
+
+  private static void assertExitCode(int code, Daemon daemon) throws Exception {
+    assertEquals(code, daemon.ended().get(DaemonFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+  }
+
+  @Test
+  void successorServesAndPredecessorAnswersItsRequestsAndEnds() throws Exception {
+    Daemon old = startWithControlSocket();
+    InetSocketAddress address = old.address();
+    DaemonFixture.Caller caller = fixture.new Caller(address, "d0");
+    caller.send("r1", RequestKind.BUY, 3_000);
+    fixture.awaitRecorded("r1", Kind.LAST_BYTE);
+    Daemon fresh = fixture.createDaemon(address, "").start(true);
+    assertEquals(200, caller.receive());
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, old);
+    old.close();
+    assertServes(address, "r2");
+    fresh.requestEnd();
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, fresh);
+    assertRulesKept();
+  }
+
+  /** From the hand-over on the old life sends on nothing under a ceiling, and the new one what it may. */
+  @Test
+  void onlyOneProcessSpendsACeilingAtATime() throws Exception {
+    String end = "[end]\naccept_ms = 3000\n";
+    UnaryOperator<String> ofTwo = text -> text.replace("doors = 1\n", "doors = 2\n")
+        .replace("units_per_s = 5.0\n", "units_per_s = 0\n");
+    Daemon old = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0), end, ofTwo).start(false);
+    InetSocketAddress address = old.address();
+    DaemonFixture.awaitUp(address);
+    DaemonFixture.await("control socket", () -> Files.exists(control()));
+    DaemonFixture.Caller asking = fixture.new Caller(address, "d0");
+    awaitServed(asking, "a");
+    List<DaemonFixture.Caller> kept = new ArrayList<>();
+    for (int i = 0; i < 20; i++) {
+      kept.add(fixture.new Caller(address, "d0"));
+      assertEquals(200, status(kept.get(i)), "a connection that the old life has accepted");
+    }
+    Daemon fresh = fixture.createDaemon(address, end, ofTwo).start(true);
+    DaemonFixture.await("old one drains", () -> status(asking) != 200);
+    for (int i = 0; i < kept.size(); i++) {
+      assertEquals(429, ask(kept.get(i), "o" + i), "the old life's request " + i);
+    }
+    awaitServed(fixture.new Caller(address, "d0"), "n");
+    fresh.requestEnd();
+  }
+
+  private void awaitServed(DaemonFixture.Caller caller, String ids) {
+    int[] asked = new int[1];
+    DaemonFixture.await("served under its ceiling", () -> {
+      try {
+        return ask(caller, ids + asked[0]++) == 200;
+      } catch (IOException e) {
+        throw new UncheckedIOException(e);
+      }
+    });
+  }
+
+  private static int status(DaemonFixture.Caller caller) {
+    try {
+      caller.raw("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+      return caller.receive("up");
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
+  private int ask(DaemonFixture.Caller caller, String id) throws IOException {
+    caller.raw(caller.message(id, RequestKind.BUY, 3_000).replace("X-Plan: full", "X-Plan: basic")
+        .replace("spread=1", "spread=2"));
+    fixture.rig.ledger().request(Kind.ASKED, id, "d0", 0, "");
+    return caller.receive(id);
+  }
+
+  @Test
+  void handoversCanFollowEachOther() throws Exception {
+    Daemon first = startWithControlSocket();
+    InetSocketAddress address = first.address();
+    Daemon last = first;
+    for (int i = 0; i < 3; i++) {
+      Daemon next = fixture.createDaemon(address, "[end]\naccept_ms = 50\n").start(true);
+      assertExitCode(InstanceLifecycle.EXIT_ORDERLY, last);
+      last.close();
+      assertServes(address, "r" + i);
+      last = next;
+    }
+    assertRulesKept();
+  }
+
+  @Test
+  void withoutTakeOverASecondProcessFailsAndNamesAddressAndOwner() throws Exception {
+    Daemon old = startWithControlSocket();
+    Daemon second = fixture.createDaemon(old.address(), "");
+    IOException e = assertThrows(IOException.class, () -> second.start(false));
+    assertTrue(e.getMessage().contains("127.0.0.1:" + old.address().getPort()), e.getMessage());
+    assertTrue(e.getMessage().contains("process " + ProcessHandle.current().pid()), e.getMessage());
+    assertServes(old.address(), "r1");
+    assertRulesKept();
+  }
+
+  @Test
+  void bindsWhenThereIsNothingToTakeOver() throws Exception {
+    Daemon only = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0), "").start(true);
+    DaemonFixture.awaitUp(only.address());
+    assertServes(only.address(), "r1");
+  }
+
+  /** A killed instance leaves the file of its control socket behind. */
+  @Test
+  void aStaleControlSocketFileIsReplaced() throws Exception {
+    Files.createFile(control());
+    Daemon only = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0), "").start(true);
+    DaemonFixture.awaitUp(only.address());
+    DaemonFixture.await("taken over", () -> !Files.isRegularFile(control()));
+    try (ScriptedSuccessor peer = new ScriptedSuccessor()) {
+      assertEquals(HandoverProtocol.HANDING, peer.ask(only.address()).split(" ")[0]);
+    }
+  }
+
+  @Test
+  void aSuccessorThatDiesBeforeTheSocketIsHandedOverChangesNothing() throws Exception {
+    Daemon old = startWithControlSocket();
+    try (ScriptedSuccessor peer = new ScriptedSuccessor()) {
+      peer.ask(old.address());
+    }
+    stillServesAndCanBeReplaced(old);
+  }
+
+  @Test
+  void aSuccessorThatDiesWithTheSocketInHandChangesNothing() throws Exception {
+    Daemon old = startWithControlSocket();
+    try (ScriptedSuccessor peer = new ScriptedSuccessor()) {
+      peer.ask(old.address());
+      peer.say(HandoverProtocol.SEND);
+      peer.readDescriptor();
+    }
+    stillServesAndCanBeReplaced(old);
+  }
+
+  @Test
+  void predecessorServesAgainWhenTheReadySuccessorDies() throws Exception {
+    Daemon old = startWithControlSocket();
+    DaemonFixture.Caller queued;
+    try (ScriptedSuccessor peer = new ScriptedSuccessor()) {
+      peer.ask(old.address());
+      peer.say(HandoverProtocol.SEND);
+      peer.readDescriptor();
+      peer.say(HandoverProtocol.READY);
+      assertEquals(HandoverProtocol.CONFIRMED, peer.line());
+      // Nobody accepts now: this one waits in the queue that both hold.
+      queued = fixture.new Caller(old.address(), "d0");
+      queued.send("queued", RequestKind.BUY, 3_000);
+    }
+    assertEquals(200, queued.receive());
+    stillServesAndCanBeReplaced(old);
+  }
+
+  private void stillServesAndCanBeReplaced(Daemon old) throws Exception {
+    DaemonFixture.awaitUp(old.address());
+    assertServes(old.address(), "still");
+    assertFalse(old.ended().isDone());
+    DaemonFixture.await("free for a successor", () -> {
+      try (ScriptedSuccessor peer = new ScriptedSuccessor()) {
+        return peer.ask(old.address()).startsWith(HandoverProtocol.HANDING);
+      } catch (IOException e) {
+        return false;
+      }
+    });
+    DaemonFixture.await("replaced", () -> {
+      try {
+        fixture.createDaemon(old.address(), "[end]\naccept_ms = 50\n").start(true);
+        return true;
+      } catch (Exception e) {
+        return false;
+      }
+    });
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, old);
+    old.close();
+    DaemonFixture.awaitUp(old.address());
+    assertRulesKept();
+  }
+
+  @Test
+  void aSuccessorThatIsNotReadyInTimeIsToldToGiveUp() throws Exception {
+    Path file = fixture.files.write(0, new InetSocketAddress("127.0.0.1", 0));
+    Files.writeString(file, Files.readString(file).replace("[take_over]",
+        "[take_over]\nready_limit_ms = 200"));
+    Daemon old = Daemon.create(DaemonConfig.read(file), file, "unnamed").start(false);
+    try {
+      DaemonFixture.awaitUp(old.address());
+      DaemonFixture.await("control socket", () -> Files.exists(control()));
+      try (ScriptedSuccessor peer = new ScriptedSuccessor()) {
+        peer.ask(old.address());
+        assertTrue(peer.line().startsWith(HandoverProtocol.REFUSED + " not ready"));
+      }
+      assertServes(old.address(), "r1");
+    } finally {
+      old.close();
+    }
+  }
+
+  /** One that asks is told what was learned; one of an older version hears nothing that it can't read. */
+  @Test
+  void learnedStateIsSentToASuccessorThatAsksForIt() throws Exception {
+    Daemon old = startWithControlSocket();
+    assertServes(old.address(), "r1");
+    try (ScriptedSuccessor peer = new ScriptedSuccessor()) {
+      assertTrue(peer.ask(old.address()).endsWith(" " + LearnedStateLines.LINE_PREFIX));
+      peer.say(HandoverProtocol.SEND);
+      peer.readDescriptor();
+      peer.say(HandoverProtocol.READY_FOR_LEARNED_STATE);
+      assertEquals(HandoverProtocol.CONFIRMED, peer.line());
+      LearnedStateLines lines = new LearnedStateLines();
+      LearnedState told = null;
+      while (told == null) {
+        told = lines.read(peer.line());
+      }
+      assertEquals(2, told.backends().size());
+      assertTrue(told.backends().stream().anyMatch(x -> x.slowness() > 0), told::toString);
+      assertTrue(told.serviceTimes().stream().anyMatch(x -> x.answers() > 0), told::toString);
+    }
+    DaemonFixture.await("serves on, as its successor is gone", () -> DaemonFixture.isUp(old.address()));
+  }
+
+  @Test
+  void successorUsesTheLearnedState() throws Exception {
+    Daemon old = startWithControlSocket();
+    assertServes(old.address(), "r1");
+    Daemon fresh = fixture.createDaemon(old.address(), "").start(true);
+    DaemonFixture
+        .await("learned", () -> fresh.learned().serviceTimes().stream().anyMatch(x -> x.answers() > 0));
+    assertExitCode(InstanceLifecycle.EXIT_ORDERLY, old);
+    assertServes(fresh.address(), "r2");
+    assertRulesKept();
+  }
+
+  @Test
+  void onlyOneSuccessorAtATimeAndOnlyForTheSameAddress() throws Exception {
+    Daemon old = startWithControlSocket();
+    try (ScriptedSuccessor first = new ScriptedSuccessor(); ScriptedSuccessor second =
+        new ScriptedSuccessor(); ScriptedSuccessor other = new ScriptedSuccessor(); ScriptedSuccessor junk =
+        new ScriptedSuccessor()) {
+      assertTrue(first.ask(old.address()).startsWith(HandoverProtocol.HANDING));
+      assertTrue(second.ask(old.address()).contains("is taking over already"));
+      assertTrue(other.ask(new InetSocketAddress("127.0.0.1", 1)).contains("not on 127.0.0.1:1"));
+      junk.say("give me all");
+      assertTrue(junk.line().startsWith(HandoverProtocol.REFUSED + " not understood"));
+    }
+    assertServes(old.address(), "r1");
+  }
+
+  @Test
+  void aDrainingInstanceHandsNothingOver() throws Exception {
+    Daemon old = startWithControlSocket();
+    old.requestEnd();
+    DaemonFixture.await("refused", () -> {
+      try (ScriptedSuccessor peer = new ScriptedSuccessor()) {
+        return peer.ask(old.address()).startsWith(HandoverProtocol.REFUSED);
+      } catch (IOException e) {
+        return true;
+      }
+    });
+  }
+
+  /** A scripted successor; the descriptor that comes to it is dropped unread, as by a process that dies. */
+  private final class ScriptedSuccessor implements Closeable {
+    private final SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX);
+    private final BufferedReader in;
+
+    ScriptedSuccessor() throws IOException {
+      channel.connect(UnixDomainSocketAddress.of(control()));
+      in = new BufferedReader(new InputStreamReader(Channels.newInputStream(channel), StandardCharsets.UTF_8),
+          1);
+    }
+
+    void say(String line) throws IOException {
+      channel.write(ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8)));
+    }
+
+    String line() throws IOException {
+      return String.valueOf(in.readLine());
+    }
+
+    String ask(InetSocketAddress address) throws IOException {
+      say(HandoverProtocol.TAKE_OVER + " 1 99999 127.0.0.1:" + address.getPort());
+      return line();
+    }
+
+    void readDescriptor() throws IOException {
+      assertTrue(in.read() >= 0);
+    }
+
+    @Override
+    public void close() throws IOException {
+      channel.close();
+    }
+  }
+}
--- a/daemon/src/test/java/willowdoor/daemon/life/PinnedHandoverFormsTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/PinnedHandoverFormsTest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import willowdoor.policy.Learned;
+import willowdoor.policy.LearnedState;
 
 /** Pins the lines of a handover as an earlier build wrote them: old and new processes replace each other. */
 class PinnedHandoverFormsTest {
@@ -18,18 +18,19 @@
     try (InputStream in = getClass().getResourceAsStream("/pinned/learned.txt")) {
       lines = new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
     }
-    LearnedLines reader = new LearnedLines();
-    Learned whole = null;
+    LearnedStateLines reader = new LearnedStateLines();
+    LearnedState whole = null;
     for (String line : lines) {
-      whole = reader.next(line);
+      whole = reader.read(line);
     }
-    assertEquals(lines, LearnedLines.of(whole));
+    assertEquals(lines, LearnedStateLines.encode(whole));
   }
 
   @Test
   void wordsOfTheHandoverAreThoseOfBefore() {
     assertEquals(List.of("1", "takeover", "handing", "refused", "send", "ready", "ready learned", "yours"),
-        List.of(Handover.VERSION, Handover.TAKE_OVER, Handover.HANDING, Handover.REFUSED, Handover.SEND,
-            Handover.READY, Handover.READY_TO_LEARN, Handover.YOURS));
+        List.of(HandoverProtocol.VERSION, HandoverProtocol.TAKE_OVER, HandoverProtocol.HANDING,
+        HandoverProtocol.REFUSED, HandoverProtocol.SEND,
+            HandoverProtocol.READY, HandoverProtocol.READY_FOR_LEARNED_STATE, HandoverProtocol.CONFIRMED));
   }
 }
--- a/daemon/src/test/java/willowdoor/daemon/life/ProcessTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ProcessTest.java
@@ -29,26 +29,26 @@
 
   private static final long STOPPED_MS = 5_000;
 
-  private World world;
+  private DaemonFixture fixture;
   private InetSocketAddress address;
   private DoorProcess door;
   private File log;
 
   @BeforeEach
   void open() throws Exception {
-    world = new World(2, 100);
+    fixture = new DaemonFixture(2, 100);
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
     }
-    log = world.folder.resolve("d0.log").toFile();
-    door = new DoorProcess("d0", address, world.rig.ledger(),
-        () -> FleetRun.command(world.files.write(0, address), false), Map.of(), log);
+    log = fixture.folder.resolve("d0.log").toFile();
+    door = new DoorProcess("d0", address, fixture.rig.ledger(),
+        () -> FleetRun.command(fixture.files.write(0, address), false), Map.of(), log);
   }
 
   @AfterEach
   void close() throws Exception {
     door.close();
-    world.close();
+    fixture.close();
   }
 
   private String printed() {
@@ -61,70 +61,70 @@
 
   private void started() {
     door.start();
-    World.awaitUp(address);
+    DaemonFixture.awaitUp(address);
   }
 
-  private void kept() {
-    assertTrue(world.verdict().kept(), () -> world.verdict().toString());
+  private void assertRulesKept() {
+    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
   }
 
   @Test
   void sigtermAnswersWhatIsOutAndExitsWithNought() throws Exception {
     started();
-    World.Caller caller = world.new Caller(address, "d0");
+    DaemonFixture.Caller caller = fixture.new Caller(address, "d0");
     caller.send("r1", RequestKind.BUY, 3_000);
-    world.awaitSaw("r1", Kind.LAST_BYTE);
+    fixture.awaitRecorded("r1", Kind.LAST_BYTE);
     door.terminate();
     assertEquals(200, caller.receive());
-    assertTrue(DoorProcess.join(door.process(), World.LIMIT_MS));
+    assertTrue(DoorProcess.join(door.process(), DaemonFixture.TIMEOUT_MS));
     assertEquals(0, door.process().exitValue());
-    kept();
+    assertRulesKept();
   }
 
   @Test
   void aBadFileOrAHeldAddressEndsTheStartWithItsCode() throws Exception {
     started();
-    Path bad = world.folder.resolve("bad.toml");
+    Path bad = fixture.folder.resolve("bad.toml");
     Files.writeString(bad, "[instance]\nname = 3\n");
     assertEquals(2, run(FleetRun.command(bad, false)));
-    assertEquals(1, run(FleetRun.command(world.files.write(0, address), false)));
+    assertEquals(1, run(FleetRun.command(fixture.files.write(0, address), false)));
     assertTrue(printed().contains("is held by process " + door.process().pid()), this::printed);
-    World.awaitUp(address);
+    DaemonFixture.awaitUp(address);
   }
 
   private int run(List<String> words) throws IOException {
     Process p = new ProcessBuilder(words).redirectErrorStream(true)
         .redirectOutput(ProcessBuilder.Redirect.appendTo(log)).start();
-    assertTrue(DoorProcess.join(p, World.LIMIT_MS));
+    assertTrue(DoorProcess.join(p, DaemonFixture.TIMEOUT_MS));
     return p.exitValue();
   }
 
   @Test
   void ofTwoStartedInTheSameInstantOneServesAndTheOtherSaysWhy() throws Exception {
-    List<String> words = FleetRun.command(world.files.write(0, address), false);
+    List<String> words = FleetRun.command(fixture.files.write(0, address), false);
     Process[] both = new Process[2];
     for (int i = 0; i < 2; i++) {
       both[i] = new ProcessBuilder(words).redirectErrorStream(true)
           .redirectOutput(ProcessBuilder.Redirect.appendTo(log)).start();
     }
     try {
-      World.await("one has ended", () -> both[0].isAlive() != both[1].isAlive());
+      DaemonFixture.await("one has ended", () -> both[0].isAlive() != both[1].isAlive());
       Process loser = both[0].isAlive() ? both[1] : both[0];
       Process winner = both[0].isAlive() ? both[0] : both[1];
       assertEquals(1, loser.exitValue());
       assertTrue(printed().contains(address.getPort() + " is held by process " + winner.pid()),
           this::printed);
-      World.awaitUp(address);
-      World.Caller caller = world.new Caller(address, "d0");
+      DaemonFixture.awaitUp(address);
+      DaemonFixture.Caller caller = fixture.new Caller(address, "d0");
       caller.send("r1", RequestKind.BUY, 3_000);
       assertEquals(200, caller.receive());
     } finally {
       for (Process p : both) {
         p.destroyForcibly();
-        DoorProcess.join(p, World.LIMIT_MS);
+        DoorProcess.join(p, DaemonFixture.TIMEOUT_MS);
       }
     }
-    kept();
+    assertRulesKept();
   }
 
   /**
@@ -133,35 +133,35 @@
   @Test
   void theOldOneIsKilledWhileTheNewOneWarmsUpWithTheSocketInHand() throws Exception {
     started();
-    World.await("control socket", () -> Files.exists(world.files.control(0)));
+    DaemonFixture.await("control socket", () -> Files.exists(fixture.files.control(0)));
     Process old = door.process();
-    Process fresh = door.replace(FleetRun.command(world.files.write(0, address), true));
-    World.await("socket in hand", () -> printed().contains("holds the listening socket"));
+    Process fresh = door.replace(FleetRun.command(fixture.files.write(0, address), true));
+    DaemonFixture.await("socket in hand", () -> printed().contains("holds the listening socket"));
     old.destroyForcibly();
-    assertTrue(DoorProcess.join(old, World.LIMIT_MS));
-    World.Caller queued = world.new Caller(address, "d0");
+    assertTrue(DoorProcess.join(old, DaemonFixture.TIMEOUT_MS));
+    DaemonFixture.Caller queued = fixture.new Caller(address, "d0");
     queued.send("queued", RequestKind.BUY, 4_000);
     assertEquals(200, queued.receive());
     assertTrue(fresh.isAlive());
-    World.awaitUp(address);
-    kept();
+    DaemonFixture.awaitUp(address);
+    assertRulesKept();
   }
 
   /** The new process dies by a signal, with the socket in its hand. */
   @Test
   void theNewOneIsKilledWhileItWarmsUpAndTheOldOneServesOn() throws Exception {
     started();
-    World.await("control socket", () -> Files.exists(world.files.control(0)));
+    DaemonFixture.await("control socket", () -> Files.exists(fixture.files.control(0)));
     Process old = door.process();
-    Process fresh = door.replace(FleetRun.command(world.files.write(0, address), true));
-    World.await("socket in hand", () -> printed().contains("holds the listening socket"));
+    Process fresh = door.replace(FleetRun.command(fixture.files.write(0, address), true));
+    DaemonFixture.await("socket in hand", () -> printed().contains("holds the listening socket"));
     fresh.destroyForcibly();
-    assertTrue(DoorProcess.join(fresh, World.LIMIT_MS));
-    World.Caller caller = world.new Caller(address, "d0");
+    assertTrue(DoorProcess.join(fresh, DaemonFixture.TIMEOUT_MS));
+    DaemonFixture.Caller caller = fixture.new Caller(address, "d0");
     caller.send("r1", RequestKind.BUY, 3_000);
     assertEquals(200, caller.receive());
     assertTrue(old.isAlive());
-    kept();
+    assertRulesKept();
   }
 
   /**
@@ -171,46 +171,46 @@
   @Test
   void aStoppedDoorThatWakesSendsNothingForTheGoneNorToTheDrained() throws Exception {
     started();
-    World.await("watch", () -> world.rig.discovery().watches() == 1);
+    DaemonFixture.await("watch", () -> fixture.rig.discovery().watches() == 1);
     door.stopped(true);
-    World.Caller gone = world.new Caller(address, "d0");
+    DaemonFixture.Caller gone = fixture.new Caller(address, "d0");
     gone.send("gone", RequestKind.BUY, 1_000);
-    world.rig.park().drain(world.rig.park().backend(0));
-    World.await("told", () -> world.rig.ledger().machines().stream()
+    fixture.rig.park().drain(fixture.rig.park().backend(0));
+    DaemonFixture.await("told", () -> fixture.rig.ledger().machines().stream()
         .anyMatch(e -> e.kind() == Kind.TOLD_DRAIN && e.other().equals("b0")));
-    double toldAt = world.rig.ledger().now();
+    double toldAt = fixture.rig.ledger().now();
     gone.close();
-    World.Caller[] waiting = new World.Caller[8];
-    World.await("five seconds", () -> world.rig.ledger().now() > toldAt + STOPPED_MS);
+    DaemonFixture.Caller[] waiting = new DaemonFixture.Caller[8];
+    DaemonFixture.await("five seconds", () -> fixture.rig.ledger().now() > toldAt + STOPPED_MS);
     for (int i = 0; i < waiting.length; i++) {
-      waiting[i] = world.new Caller(address, "d0");
+      waiting[i] = fixture.new Caller(address, "d0");
       waiting[i].send("w" + i, i % 2 == 0 ? RequestKind.BUY : RequestKind.QUOTE, 3_000);
     }
     door.stopped(false);
     for (int i = 0; i < waiting.length; i++) {
       assertEquals(200, waiting[i].receive(), "w" + i);
     }
-    assertFalse(world.saw("gone", Kind.FIRST_BYTE), () -> world.history("gone").toString());
-    assertTrue(world.rig.ledger().histories().values().stream().flatMap(List::stream)
+    assertFalse(fixture.recorded("gone", Kind.FIRST_BYTE), () -> fixture.history("gone").toString());
+    assertTrue(fixture.rig.ledger().histories().values().stream().flatMap(List::stream)
         .noneMatch(e -> e.kind() == Kind.FIRST_BYTE && e.other().equals("b0")),
-        () -> world.rig.ledger().machines() + "\n" + world.rig.ledger().histories());
-    kept();
+        () -> fixture.rig.ledger().machines() + "\n" + fixture.rig.ledger().histories());
+    assertRulesKept();
   }
 
   @Test
   void sighupTakesNewAddressesAndABadFileChangesNothing() throws Exception {
     started();
-    Path file = world.files.write(0, address);
+    Path file = fixture.files.write(0, address);
     Files.writeString(file, Files.readString(file).replace("[limits]", "[limits]\nmemroy_mb = 3"));
     door.signal("HUP");
-    World.await("refused", () -> printed().contains("did you mean limits.memory_mb?"));
-    world.files.write(0, address);
+    DaemonFixture.await("refused", () -> printed().contains("did you mean limits.memory_mb?"));
+    fixture.files.write(0, address);
     Files.writeString(file, Files.readString(file).replace("descriptors = 1024", "descriptors = 2048"));
     door.signal("HUP");
-    World.await("told", () -> printed().contains("need a restart: [limits.descriptors]"));
-    World.Caller caller = world.new Caller(address, "d0");
+    DaemonFixture.await("told", () -> printed().contains("need a restart: [limits.descriptors]"));
+    DaemonFixture.Caller caller = fixture.new Caller(address, "d0");
     caller.send("r1", RequestKind.BUY, 3_000);
     assertEquals(200, caller.receive());
-    kept();
+    assertRulesKept();
   }
 }
--- a/daemon/src/test/java/willowdoor/daemon/life/Deaf.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/SilencingProxy.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** Passes bytes both ways until it is told to swallow all of its open connections; new ones pass. */
-final class Deaf implements AutoCloseable {
+final class SilencingProxy implements AutoCloseable {
 
-  private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-  private final InetSocketAddress to;
+  private final ServerSocket serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+  private final InetSocketAddress target;
   private final AtomicInteger connections = new AtomicInteger();
-  private final AtomicInteger silentUpTo = new AtomicInteger();
+  private final AtomicInteger silencedUpTo = new AtomicInteger();
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
-  Deaf(InetSocketAddress to) throws IOException {
-    this.to = to;
+  SilencingProxy(InetSocketAddress to) throws IOException {
+    this.target = to;
     run(() -> {
       while (true) {
-        Socket from = listening.accept();
+        Socket from = serverSocket.accept();
         Socket onward = new Socket(to.getAddress(), to.getPort());
         sockets.add(from);
         sockets.add(onward);
@@ -54,27 +54,27 @@
     byte[] bytes = new byte[4_096];
     InputStream in = from.getInputStream();
     for (int n = in.read(bytes); n >= 0; n = in.read(bytes)) {
-      if (number > silentUpTo.get()) {
+      if (number > silencedUpTo.get()) {
         onward.getOutputStream().write(bytes, 0, n);
       }
     }
   }
 
   int port() {
-    return listening.getLocalPort();
+    return serverSocket.getLocalPort();
   }
 
   int connections() {
     return connections.get();
   }
 
-  void silence() {
-    silentUpTo.set(connections.get());
+  void silenceOpenConnections() {
+    silencedUpTo.set(connections.get());
   }
 
   @Override
   public void close() throws IOException {
-    listening.close();
+    serverSocket.close();
     for (Socket s : sockets) {
       s.close();
     }
--- a/daemon/src/test/java/willowdoor/daemon/life/ValkeyCountsTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ValkeyCountsTest.java
@@ -19,43 +19,43 @@
 @Timeout(60)
 class ValkeyCountsTest {
 
-  private static final int ASKED = 8;
+  private static final int REQUESTS = 8;
   private static final int TRIALS = 12;
   private static final String COUNTS = "willowdoor:" + Long.toString(0x42, 36) + ":";
 
   private StandInValkey server;
-  private World world;
+  private DaemonFixture fixture;
   private int number;
 
   @BeforeEach
   void open() throws Exception {
     server = new StandInValkey();
-    world = new World(2, 5);
-    world.rig.park().exact();
+    fixture = new DaemonFixture(2, 5);
+    fixture.rig.park().exact();
   }
 
   @AfterEach
   void close() throws Exception {
-    world.close();
+    fixture.close();
     server.close();
   }
 
   /** One of forty doors, so that a window is counted by its total alone. */
-  private World.Caller door(int name) throws Exception {
-    Daemon daemon = world.daemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n",
+  private DaemonFixture.Caller door(int name) throws Exception {
+    Daemon daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n",
         text -> text.replace("doors = 1\n",
             "doors = 40\n").replaceFirst("\\[counter\\]\naddress = \"[^\"]*\"",
             "[counter]\nstore = \"valkey\"\naddress = \"" + StandIns.text(server.address()) + "\""))
         .start(false);
-    World.awaitUp(daemon.address());
-    return world.new Caller(daemon.address(), "d" + name);
+    DaemonFixture.awaitUp(daemon.address());
+    return fixture.new Caller(daemon.address(), "d" + name);
   }
 
-  private int ask(World.Caller caller, int units) throws Exception {
+  private int ask(DaemonFixture.Caller caller, int units) throws Exception {
     String id = "r" + number++;
     caller.raw(caller.message(id, RequestKind.BUY, 2_000)
         .replace("units=1,spread=1", "units=" + units + ",spread=40"));
-    world.rig.ledger().request(Kind.ASKED, id, caller.door, 0, "");
+    fixture.rig.ledger().request(Kind.ASKED, id, caller.door, 0, "");
     return caller.receive(id);
   }
 
@@ -69,9 +69,9 @@
 
   @Test
   void whatTwoDoorsLetInIsOneCountAndAFirmBeyondItsQuotaIsRefused() throws Exception {
-    World.Caller one = door(0);
-    World.Caller other = door(1);
-    World.await("both count", () -> {
+    DaemonFixture.Caller one = door(0);
+    DaemonFixture.Caller other = door(1);
+    DaemonFixture.await("both count", () -> {
       try {
         double before = sum();
         return ask(one, 1) == 200 && sum() > before && ask(other, 1) == 200 && sum() > before + 1.5;
@@ -85,17 +85,17 @@
       refused += ask(i % 2 == 0 ? one : other, 8) == 200 ? 0 : 1;
     }
     assertEquals(1, refused, "400 units in some 3 s, " + sum() + " counted");
-    assertTrue(world.verdict().kept(), () -> world.verdict().toString());
+    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
   }
 
   /** A window is 2 s long: a trial that its edge meets has nothing to put back, so there are some. */
   @Test
   void whatADoorHadAddedIsPutBackAtAServerThatBeganAnew() throws Exception {
-    World.Caller caller = door(0);
+    DaemonFixture.Caller caller = door(0);
     for (int trial = 0; trial < TRIALS; trial++) {
-      for (int i = 0; i < ASKED; i++) {
+      for (int i = 0; i < REQUESTS; i++) {
         // Before the door is back at the counts of the last trial it has its small part only.
-        World.await("served", () -> {
+        DaemonFixture.await("served", () -> {
           try {
             return ask(caller, 1) == 200;
           } catch (Exception e) {
@@ -106,9 +106,9 @@
       double before = sum();
       server.kill();
       server.start();
-      double limit = world.rig.ledger().now() + 1_500;
-      while (world.rig.ledger().now() < limit) {
-        if (before >= ASKED && sum() >= ASKED) {
+      double limit = fixture.rig.ledger().now() + 1_500;
+      while (fixture.rig.ledger().now() < limit) {
+        if (before >= REQUESTS && sum() >= REQUESTS) {
           return;
         }
         Thread.onSpinWait();
@@ -119,16 +119,16 @@
 
   @Test
   void withoutTheServerTheDoorServesOnByItsPart() throws Exception {
-    World.Caller caller = door(0);
+    DaemonFixture.Caller caller = door(0);
     server.kill();
     // Its part of the quota, which it may begin with nothing of, gives a unit in less than 2 s.
-    World.await("served unasked", () -> {
+    DaemonFixture.await("served unasked", () -> {
       try {
         return ask(caller, 1) == 200;
       } catch (Exception e) {
         throw new AssertionError(e);
       }
     });
-    assertTrue(world.verdict().kept(), () -> world.verdict().toString());
+    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
   }
 }
--- a/door/src/main/java/willowdoor/benchlink/BenchLink.java
+++ b/door/src/main/java/willowdoor/benchlink/BenchLink.java
@@ -35,7 +35,7 @@
 import willowdoor.policy.GatewayApi.RosterForm;
 import willowdoor.policy.GatewayApi.Send;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.GatewayApi.StreamBegan;
+import willowdoor.policy.GatewayApi.StreamStarted;
 import willowdoor.policy.GatewayApi.WakeAt;
 import willowdoor.policy.GatewayApi.Woken;
 import willowdoor.policy.QuotaPolicy;
@@ -53,7 +53,7 @@
   private final JsonParser in;
   private final JsonGenerator out;
   private final Map<Integer, QuotaPolicy> policies = new HashMap<>();
-  private final Map<Integer, List<BackendEntry>> lists = new HashMap<>();
+  private final Map<Integer, List<BackendEntry>> backendLists = new HashMap<>();
 
   public BenchLink(InputStream input, OutputStream output) throws IOException {
     JsonFactory factory = new JsonFactory();
@@ -76,7 +76,7 @@
           now = number(message, "ClockMs");
           number = (long) number(message, "n");
         }
-        case "List" -> lists.put((int) number(message, "Bank"), entries(message));
+        case "List" -> backendLists.put((int) number(message, "Bank"), entries(message));
         case "Go" -> {
           acknowledge(number);
           faulty = false;
@@ -120,26 +120,30 @@
     return policy == null || event == null ? List.of() : policy.on(now, event);
   }
 
-  private Event event(String name, Map<String, Object> m) {
+  private Event event(String name, Map<String, Object> message) {
     return switch (name) {
-      case "Discovery" -> new Roster(switch (text(m, "Form")) {
+      case "Discovery" -> new Roster(switch (text(message, "Form")) {
         case "changes" -> RosterForm.CHANGES;
         case "all" -> RosterForm.COMPLETE;
         case "remembered" -> RosterForm.REMEMBERED;
         default -> RosterForm.FAILED;
-      }, lists.getOrDefault((int) number(m, "Bank"), List.of()));
-      case "Req" -> new Request(text(m, "Tid"), text(m, "Kind"), text(m, "Package"),
-          (long) number(m, "Customer"), (int) number(m, "EntryPoints"), number(m, "CostUnits"),
-          number(m, "GiveUpAtMs"));
-      case "Accepted" -> new StreamBegan(text(m, "Tid"), (int) number(m, "SendNo"));
-      case "Result" -> new Outcome(text(m, "Tid"), (int) number(m, "SendNo"), (long) number(m, "Backend"),
-          STATUSES.getOrDefault(text(m, "StateCode"), Status.ERROR), number(m, "LatencyMs"), flag(m, "Last"),
-          number(m, "FinalUnits"), load(child(m, "Load")));
-      case "Gone" -> new ClientLeft(text(m, "Tid"));
-      case "Reckoned" -> new Counted(text(m, "Book"),
-          STATUSES.getOrDefault(text(m, "StateCode"), Status.ERROR), number(m, "Value"),
-          number(m, "LatencyMs"));
-      case "Elapsed" -> new Woken(text(m, "Label"));
+      }, backendLists.getOrDefault((int) number(message, "Bank"), List.of()));
+      case "Req" -> new Request(text(message, "Tid"), text(message, "Kind"), text(message, "Package"),
+          (long) number(message, "Customer"), (int) number(message, "EntryPoints"),
+          number(message, "CostUnits"),
+          number(message, "GiveUpAtMs"));
+      case "Accepted" -> new StreamStarted(text(message, "Tid"), (int) number(message, "SendNo"));
+      case "Result" ->
+          new Outcome(text(message, "Tid"), (int) number(message, "SendNo"),
+              (long) number(message, "Backend"),
+          STATUSES.getOrDefault(text(message, "StateCode"), Status.ERROR), number(message, "LatencyMs"),
+          flag(message, "Last"),
+          number(message, "FinalUnits"), load(child(message, "Load")));
+      case "Gone" -> new ClientLeft(text(message, "Tid"));
+      case "Reckoned" -> new Counted(text(message, "Book"),
+          STATUSES.getOrDefault(text(message, "StateCode"), Status.ERROR), number(message, "Value"),
+          number(message, "LatencyMs"));
+      case "Elapsed" -> new Woken(text(message, "Label"));
       default -> null;
     };
   }
@@ -175,8 +179,8 @@
     } else if (action instanceof Refuse a) {
       begin("Deny", door);
       out.writeStringField("Tid", a.request());
-      if (a.holdOffMs() > 0) {
-        out.writeNumberField("HoldOffMs", a.holdOffMs());
+      if (a.retryAfterMs() > 0) {
+        out.writeNumberField("HoldOffMs", a.retryAfterMs());
       }
     } else if (action instanceof Fail a) {
       begin("Lose", door);
--- a/door/src/main/java/willowdoor/management/Call.java
+++ b/door/src/main/java/willowdoor/management/Call.java
@@ -14,31 +14,31 @@
   record Ready() implements Call { }
 
   /** An order to carry out. */
-  record Ordered(Order order) implements Call { }
+  record Execute(ManagementCommand command) implements Call { }
 
   /**
    * The other process of this front door tells of itself.
    *
-   * @param at where it is managed
+   * @param address where it is managed
    * @param serves whether it takes clients
    */
-  record Hello(String at, boolean serves) implements Call { }
+  record Hello(String address, boolean serves) implements Call { }
 
   /** None of the calls there are. */
-  record Bad(Reply reply) implements Call { }
+  record Invalid(Reply reply) implements Call { }
 
   /** The longest name of a backend that is looked at. */
-  int MOST_MEMBER = 256;
+  int MAX_MEMBER_LENGTH = 256;
 
   static Call read(FullHttpRequest message) {
     if (message.decoderResult().isFailure()) {
-      return bad(400, "not a request of HTTP/1.1");
+      return invalid(400, "not a request of HTTP/1.1");
     }
     if (!message.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
-      return bad(400, "HTTP/1.1 is expected, not " + message.protocolVersion().text());
+      return invalid(400, "HTTP/1.1 is expected, not " + message.protocolVersion().text());
     }
     if (message.content().isReadable()) {
-      return bad(400, "no body is expected");
+      return invalid(400, "no body is expected");
     }
     String path;
     Map<String, List<String>> fields;
@@ -47,42 +47,45 @@
       path = target.path();
       fields = target.parameters();
     } catch (IllegalArgumentException e) {
-      return bad(400, "the target's percent-encoding is broken");
+      return invalid(400, "the target's percent-encoding is broken");
     }
     return switch (path) {
-      case "/ready" -> with(message, HttpMethod.GET, new Ready());
-      case "/drain" -> with(message, HttpMethod.POST, new Ordered(new Order.Drain()));
-      case "/undrain" -> with(message, HttpMethod.POST, new Ordered(new Order.Undrain()));
+      case "/ready" -> requireMethod(message, HttpMethod.GET, new Ready());
+      case "/drain" -> requireMethod(message, HttpMethod.POST, new Execute(new ManagementCommand.Drain()));
+      case "/undrain" ->
+          requireMethod(message, HttpMethod.POST, new Execute(new ManagementCommand.Undrain()));
       case "/twin" -> fields.getOrDefault("at", List.of()).size() != 1
-          || fields.getOrDefault("serves", List.of()).size() != 1 ? bad(400, "expected one at and one serves")
-          : with(message, HttpMethod.POST, new Hello(fields.get("at").get(0),
+          || fields.getOrDefault("serves", List.of()).size() != 1
+          ? invalid(400, "expected one at and one serves")
+          : requireMethod(message, HttpMethod.POST, new Hello(fields.get("at").get(0),
               Boolean.parseBoolean(fields.get("serves").get(0))));
-      case "/backends/disable", "/backends/enable" -> member(message, path, fields.get("member"));
-      default -> bad(404, "no such call: expected /ready, /backends/disable, /backends/enable, /drain or"
+      case "/backends/disable", "/backends/enable" -> memberCall(message, path, fields.get("member"));
+      default -> invalid(404, "no such call: expected /ready, /backends/disable, /backends/enable, /drain or"
           + " /undrain");
     };
   }
 
-  private static Call member(FullHttpRequest message, String path, List<String> named) {
+  private static Call memberCall(FullHttpRequest message, String path, List<String> values) {
     if (!message.method().equals(HttpMethod.POST)) {
-      return bad(405, "POST is expected");
+      return invalid(405, "POST is expected");
     }
-    if (named == null || named.size() != 1 || named.get(0).isEmpty()) {
-      return bad(400, "expected one member=ID, found " + (named == null ? "none" : named.size() > 1
-          ? named.size() + " of them" : "an empty one"));
+    if (values == null || values.size() != 1 || values.get(0).isEmpty()) {
+      return invalid(400, "expected one member=ID, found " + (values == null ? "none" : values.size() > 1
+          ? values.size() + " of them" : "an empty one"));
     }
-    String member = named.get(0);
-    if (member.length() > MOST_MEMBER) {
-      return bad(400, "the member's id is longer than " + MOST_MEMBER + " characters");
+    String member = values.get(0);
+    if (member.length() > MAX_MEMBER_LENGTH) {
+      return invalid(400, "the member's id is longer than " + MAX_MEMBER_LENGTH + " characters");
     }
-    return new Ordered(path.endsWith("disable") ? new Order.Disable(member) : new Order.Enable(member));
+    return new Execute(path.endsWith("disable") ? new ManagementCommand.Disable(member)
+        : new ManagementCommand.Enable(member));
   }
 
-  private static Call with(FullHttpRequest message, HttpMethod method, Call call) {
-    return message.method().equals(method) ? call : bad(405, method + " is expected");
+  private static Call requireMethod(FullHttpRequest message, HttpMethod method, Call call) {
+    return message.method().equals(method) ? call : invalid(405, method + " is expected");
   }
 
-  private static Call bad(int status, String text) {
-    return new Bad(new Reply(status, text));
+  private static Call invalid(int status, String text) {
+    return new Invalid(new Reply(status, text));
   }
 }
--- a/door/src/main/java/willowdoor/management/Caller.java
+++ b/door/src/main/java/willowdoor/management/ManagementClient.java
@@ -23,82 +23,84 @@
 import java.util.function.Consumer;
 
 /** Makes calls at another process's management address, one to a connection, as an operator would. */
-public final class Caller {
+public final class ManagementClient {
 
   /** What came of a call: an answer; or nobody listens there; or none in time. */
-  public enum Came { ANSWER, NOBODY, NOTHING }
+  public enum CallOutcome { ANSWER, NOBODY, NOTHING }
 
   /**
    * The end of a call.
    *
    * @param reply null unless an answer came
    */
-  public record End(Came came, Reply reply) { }
+  public record CallResult(CallOutcome outcome, Reply reply) { }
 
-  private static final int MOST_ANSWER = 1 << 20;
+  private static final int MAX_ANSWER_BYTES = 1 << 20;
 
   private final EventLoop loop;
-  private final Class<? extends SocketChannel> type;
+  private final Class<? extends SocketChannel> channelType;
 
-  public Caller(EventLoop loop, Class<? extends SocketChannel> type) {
+  public ManagementClient(EventLoop loop, Class<? extends SocketChannel> channelType) {
     this.loop = loop;
-    this.type = type;
+    this.channelType = channelType;
   }
 
   /** Calls, on the loop; told is called there once, after the limit at the latest. */
   public void call(InetSocketAddress address, HttpMethod method, String target, long limitMs,
-      Consumer<End> told) {
-    One one = new One(told);
-    ChannelFuture connecting = new Bootstrap().group(loop).channel(type)
+      Consumer<CallResult> callback) {
+    PendingCall pendingCall = new PendingCall(callback);
+    ChannelFuture connecting = new Bootstrap().group(loop).channel(channelType)
         .option(ChannelOption.TCP_NODELAY, true)
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_ANSWER), one);
+            channel.pipeline()
+                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER_BYTES), pendingCall);
           }
         }).connect(address);
-    loop.schedule(() -> one.end(connecting.channel(), new End(Came.NOTHING, null)), limitMs,
+    loop.schedule(() -> pendingCall.finish(connecting.channel(), new CallResult(CallOutcome.NOTHING, null)),
+        limitMs,
         TimeUnit.MILLISECONDS);
     connecting.addListener((ChannelFuture f) -> {
       if (!f.isSuccess()) {
-        one.end(f.channel(), new End(Came.NOBODY, null));
+        pendingCall.finish(f.channel(), new CallResult(CallOutcome.NOBODY, null));
         return;
       }
       DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, target);
       request.headers().set(HttpHeaderNames.HOST, address.getAddress().getHostAddress())
           .set(HttpHeaderNames.CONTENT_LENGTH, 0).set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
-          .set(ManagementServer.FORWARDED, "1");
+          .set(ManagementServer.FORWARDED_HEADER, "1");
       f.channel().writeAndFlush(request);
     });
   }
 
   /** One call, ended once. */
-  private static final class One extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private final Consumer<End> told;
+  private static final class PendingCall extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final Consumer<CallResult> callback;
     private boolean ended;
 
-    One(Consumer<End> told) {
-      this.told = told;
+    PendingCall(Consumer<CallResult> callback) {
+      this.callback = callback;
     }
 
-    void end(Channel channel, End end) {
+    void finish(Channel channel, CallResult result) {
       channel.close();
       if (!ended) {
         ended = true;
-        told.accept(end);
+        callback.accept(result);
       }
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-      end(ctx.channel(), new End(Came.ANSWER, new Reply(answer.status().code(),
+      finish(ctx.channel(), new CallResult(CallOutcome.ANSWER, new Reply(answer.status().code(),
           answer.content().toString(StandardCharsets.UTF_8))));
     }
 
     /** A process that dies under a call is nobody. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      end(ctx.channel(), new End(Came.NOBODY, null));
+      finish(ctx.channel(), new CallResult(CallOutcome.NOBODY, null));
     }
 
     @Override
--- a/door/src/main/java/willowdoor/management/ManagementServer.java
+++ b/door/src/main/java/willowdoor/management/ManagementServer.java
@@ -39,30 +39,30 @@
 
   private static final Logger LOG = Logger.getLogger(ManagementServer.class.getName());
   /** Connections held at once; a front door's descriptors are counted with these. */
-  public static final int MOST_CONNECTIONS = 16;
+  public static final int MAX_CONNECTIONS = 16;
   /** A caller that has not finished its call by then is cut off. */
-  private static final long SILENT_MS = 5_000;
-  private static final int MOST_LINE = 1_024;
-  private static final int MOST_HEADERS = 4_096;
-  private static final int MOST_BODY = 1_024;
+  private static final long CALL_TIMEOUT_MS = 5_000;
+  private static final int MAX_LINE_BYTES = 1_024;
+  private static final int MAX_HEADER_BYTES = 4_096;
+  private static final int MAX_BODY_BYTES = 1_024;
   /** Marks a call that the other process of this front door hands on. */
-  static final String FORWARDED = "Door-Forwarded";
+  static final String FORWARDED_HEADER = "Door-Forwarded";
 
   private final Operations operations;
   /** Callers without a whole call, the oldest first. */
-  private final ArrayDeque<Channel> asking = new ArrayDeque<>();
-  private Channel listening;
+  private final ArrayDeque<Channel> incompleteCallers = new ArrayDeque<>();
+  private Channel serverChannel;
 
   public ManagementServer(Operations operations) {
     this.operations = operations;
   }
 
   /** Listens; not for the loop's thread. */
-  public void listen(EventLoopGroup loop, Class<? extends ServerSocketChannel> type,
+  public void listen(EventLoopGroup loop, Class<? extends ServerSocketChannel> channelType,
       InetSocketAddress address) throws IOException, InterruptedException {
     try {
-      listening = new ServerBootstrap().group(loop).channel(type)
-          .option(ChannelOption.SO_BACKLOG, 4 * MOST_CONNECTIONS)
+      serverChannel = new ServerBootstrap().group(loop).channel(channelType)
+          .option(ChannelOption.SO_BACKLOG, 4 * MAX_CONNECTIONS)
           .option(ChannelOption.SO_REUSEADDR, true)
           .childOption(ChannelOption.TCP_NODELAY, true)
           .childHandler(new ChannelInitializer<Channel>() {
@@ -79,46 +79,47 @@
   }
 
   public SocketAddress address() {
-    return listening.localAddress();
+    return serverChannel.localAddress();
   }
 
   private void open(Channel channel) {
-    if (asking.size() >= MOST_CONNECTIONS) {
-      asking.poll().close();
+    if (incompleteCallers.size() >= MAX_CONNECTIONS) {
+      incompleteCallers.poll().close();
     }
-    asking.add(channel);
+    incompleteCallers.add(channel);
     channel.pipeline().addLast(new HttpRequestDecoder(new HttpDecoderConfig()
-        .setMaxInitialLineLength(MOST_LINE).setMaxHeaderSize(MOST_HEADERS)), new HttpResponseEncoder(),
-        new HttpObjectAggregator(MOST_BODY, true), new Asked());
+        .setMaxInitialLineLength(MAX_LINE_BYTES).setMaxHeaderSize(MAX_HEADER_BYTES)),
+        new HttpResponseEncoder(),
+        new HttpObjectAggregator(MAX_BODY_BYTES, true), new CallHandler());
     channel.eventLoop().schedule(() -> {
-      if (asking.remove(channel)) {
+      if (incompleteCallers.remove(channel)) {
         channel.close();
       }
-    }, SILENT_MS, TimeUnit.MILLISECONDS);
+    }, CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   /** One caller, and its one call. */
-  private final class Asked extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private boolean called;
+  private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private boolean callReceived;
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest message) {
-      if (called) {
+      if (callReceived) {
         return;
       }
-      called = true;
-      asking.remove(ctx.channel());
+      callReceived = true;
+      incompleteCallers.remove(ctx.channel());
       Call call = Call.read(message);
       if (call instanceof Call.Ready) {
-        answer(ctx, operations.ready() ? Reply.yes("ready") : new Reply(503, "not ready"));
+        answer(ctx, operations.ready() ? Reply.ok("ready") : new Reply(503, "not ready"));
       } else if (call instanceof Call.Hello hello) {
-        answer(ctx, operations.hello(hello.at(), hello.serves()));
-      } else if (call instanceof Call.Bad bad) {
-        answer(ctx, bad.reply());
-      } else if (call instanceof Call.Ordered ordered) {
-        operations.carryOut(ordered.order(), message.headers().contains(FORWARDED), reply -> {
+        answer(ctx, operations.hello(hello.address(), hello.serves()));
+      } else if (call instanceof Call.Invalid invalid) {
+        answer(ctx, invalid.reply());
+      } else if (call instanceof Call.Execute execute) {
+        operations.carryOut(execute.command(), message.headers().contains(FORWARDED_HEADER), reply -> {
           LOG.log(Level.INFO, "management: {0}: {1} {2}",
-              new Object[] {ordered.order(), reply.status(), reply.text()});
+              new Object[] {execute.command(), reply.status(), reply.text()});
           answer(ctx, reply);
         });
       }
@@ -136,7 +137,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      asking.remove(ctx.channel());
+      incompleteCallers.remove(ctx.channel());
     }
 
     /** A caller whose connection breaks is gone; no other hears of it. */
--- a/door/src/main/java/willowdoor/management/Operations.java
+++ b/door/src/main/java/willowdoor/management/Operations.java
@@ -11,17 +11,17 @@
   /**
    * The other process of this front door tells of itself.
    *
-   * @param at where it is managed
+   * @param address where it is managed
    * @param serves whether it takes clients
    * @return with a yes, the state that it has to go on from
    */
-  Reply hello(String at, boolean serves);
+  Reply hello(String address, boolean serves);
 
   /**
    * Has the order hold for whatever begins after it.
    *
    * @param forwarded it comes from the other process of this front door, which has it hold there by itself
-   * @param told called once, on the loop, when it holds or cannot
+   * @param callback called once, on the loop, when it holds or cannot
    */
-  void carryOut(Order order, boolean forwarded, Consumer<Reply> told);
+  void carryOut(ManagementCommand command, boolean forwarded, Consumer<Reply> callback);
 }
--- a/door/src/main/java/willowdoor/management/Reply.java
+++ b/door/src/main/java/willowdoor/management/Reply.java
@@ -9,11 +9,11 @@
 public record Reply(int status, String text) {
 
   /** Yes. */
-  public static Reply yes(String text) {
+  public static Reply ok(String text) {
     return new Reply(200, text);
   }
 
-  public boolean isYes() {
+  public boolean isOk() {
     return status / 100 == 2;
   }
 }
--- a/door/src/main/java/willowdoor/net/BackendPool.java
+++ b/door/src/main/java/willowdoor/net/BackendPool.java
@@ -53,10 +53,10 @@
   private final Clock clock;
   private final Dialer dialer;
   private final double retireAfterMs;
-  private final Places places;
+  private final ConnectionBudget places;
   private final Map<Long, Backend> backends = new HashMap<>();
 
-  BackendPool(EventLoop loop, Clock clock, Dialer dialer, double idleLimitMs, Places places) {
+  BackendPool(EventLoop loop, Clock clock, Dialer dialer, double idleLimitMs, ConnectionBudget places) {
     this.loop = loop;
     this.clock = clock;
     this.retireAfterMs = idleLimitMs * RETIRE_SHARE;
@@ -128,7 +128,7 @@
     BackendConnection connection = takeIdle(backend);
     if (connection != null) {
       connection.start(attempt);
-    } else if (!places.roomForBackend() && !closeAnyIdle()) {
+    } else if (!places.hasRoomForBackend() && !closeAnyIdle()) {
       attempt.end(Status.NOT_SENT, null);
     } else {
       connect(backend, attempt);
@@ -158,7 +158,7 @@
   }
 
   private void connect(Backend backend, Attempt attempt) {
-    places.backend(1);
+    places.addBackends(1);
     RequestLog.note(attempt.requestId(), "connecting");
     backend.connecting.add(attempt);
     ResponseDecoder decoder = new ResponseDecoder();
@@ -178,7 +178,7 @@
         attempt.end(connectFailureStatus(f.cause()), null);
       }
     });
-    connected.channel().closeFuture().addListener(f -> places.backend(-1));
+    connected.channel().closeFuture().addListener(f -> places.addBackends(-1));
   }
 
   /**
--- a/door/src/main/java/willowdoor/net/CeilingShares.java
+++ b/door/src/main/java/willowdoor/net/CeilingShares.java
@@ -71,7 +71,8 @@
   Request withShare(Request request) {
     Plan plan = plansWithCeiling.get(request.planName());
     return plan == null ? request
-        : request.with(dispatch(new Requested(request.customer(), request.entryPoints(), request.place(),
+        : request.withCeilingShare(
+        dispatch(new Requested(request.customer(), request.entryPoints(), request.entryPointIndex(),
         plan.ceilingRate(), plan.ceilingBurst(), maxUnits, request.units())));
   }
 
--- a/door/src/main/java/willowdoor/net/ClientConnection.java
+++ b/door/src/main/java/willowdoor/net/ClientConnection.java
@@ -43,43 +43,43 @@
    * head, which may take it 2 s, and more by what has come, as a body may come at 64 kB a second. A trickle
    * does not extend it: each held connection is one that another client cannot have.
    */
-  private static final double REQUEST_MS = 2_600;
-  private static final double LEAST_BYTES_PER_MS = 40;
+  private static final double REQUEST_TIMEOUT_MS = 2_600;
+  private static final double MIN_BYTES_PER_MS = 40;
   /** Between requests a connection may be ended after this, if another wants its place. */
-  private static final double EVICT_MS = 2_050;
+  private static final double EVICT_IDLE_MS = 2_050;
   /** One with no whole request in so long goes sooner: clients connect in order to ask, and ask at once. */
   private static final double EVICT_SILENT_MS = 300;
   /** Between requests a connection is ended after this in any case: some clients never come back. */
-  private static final double IDLE_MS = 10_000;
+  private static final double IDLE_TIMEOUT_MS = 10_000;
   /** Requests kept behind the one under way; a client with more gets no further answers. */
-  private static final int MOST_BEHIND = 16;
+  private static final int MAX_PENDING = 16;
 
   private final ClientServer server;
   private Channel channel;
   /** One connection too many: its first request is refused, and it ends. */
-  private boolean over;
+  private boolean overLimit;
   /** The request that is being worked on, and whether its connection is kept after it. */
-  private String current;
+  private String currentRequestId;
   private boolean keepAlive;
   /** Whether its client reads chunks. */
-  private boolean chunks;
+  private boolean acceptsChunked;
   /** The answer that passes through, or null. */
-  private AnswerPipe passing;
-  private boolean ending;
+  private AnswerPipe streamedAnswer;
+  private boolean closing;
   /** When it was opened or last answered. */
-  private double quietSince;
-  private boolean asked;
+  private double idleSinceMs;
+  private boolean requestSeen;
   /** When the request that is being received began, or NaN; and how many bytes have come of it. */
-  private double receivingSince = Double.NaN;
+  private double receivingSinceMs = Double.NaN;
   private int receivedBytes;
   /** Nothing more is taken: the requests kept are answered, and then the connection ends. */
-  private boolean overrun;
+  private boolean closeAfterPending;
   /** Requests that wait their turn, and whether the first of them is about to have it. */
-  private final ArrayDeque<Waiting> waiting = new ArrayDeque<>(1);
-  private boolean proceeding;
+  private final ArrayDeque<PendingRequest> pending = new ArrayDeque<>(1);
+  private boolean nextScheduled;
 
   /** A request and when its last byte came to this machine: from then on its time counts. */
-  private record Waiting(FullHttpRequest message, double arrivedAt) { }
+  private record PendingRequest(FullHttpRequest message, double arrivedMs) { }
 
   ClientConnection(ClientServer server) {
     super(false);
@@ -89,82 +89,82 @@
   @Override
   public void handlerAdded(ChannelHandlerContext ctx) {
     channel = ctx.channel();
-    quietSince = server.now();
-    over = server.opened(this);
+    idleSinceMs = server.now();
+    overLimit = server.register(this);
   }
 
   /** Called with the size of what has come, before it is decoded; false when nothing more is wanted. */
-  boolean receives(int bytes) {
-    if (ending || overrun) {
+  boolean acceptsBytes(int bytes) {
+    if (closing || closeAfterPending) {
       return false;
     }
-    if (Double.isNaN(receivingSince)) {
-      receivingSince = server.now();
+    if (Double.isNaN(receivingSinceMs)) {
+      receivingSinceMs = server.now();
     }
     receivedBytes += bytes;
-    if (server.receiving(bytes) && receivedBytes > bytes) {
-      endWith(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much is being received");
+    if (server.addReceivingBytes(bytes) && receivedBytes > bytes) {
+      closeWith(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much is being received");
       return false;
     }
     return true;
   }
 
   /** Called after that has been decoded; begun: part of a further request is among it. */
-  void received(boolean begun) {
-    if (begun && Double.isNaN(receivingSince)) {
-      receivingSince = server.now();
+  void onDecoded(boolean nextRequestBegun) {
+    if (nextRequestBegun && Double.isNaN(receivingSinceMs)) {
+      receivingSinceMs = server.now();
     }
   }
 
-  private void receivedAll() {
-    receivingSince = Double.NaN;
-    server.receiving(-receivedBytes);
+  private void onRequestComplete() {
+    receivingSinceMs = Double.NaN;
+    server.addReceivingBytes(-receivedBytes);
     receivedBytes = 0;
   }
 
-  double quietSince() {
-    return quietSince;
+  double idleSinceMs() {
+    return idleSinceMs;
   }
 
   /** Whether no request is on it, and has not been for long enough to end it for another's sake. */
-  boolean evictable(double now) {
-    if (current != null || ending) {
+  boolean isEvictable(double nowMs) {
+    if (currentRequestId != null || closing) {
       return false;
     }
-    if (asked && Double.isNaN(receivingSince)) {
-      return now - quietSince > EVICT_MS;
+    if (requestSeen && Double.isNaN(receivingSinceMs)) {
+      return nowMs - idleSinceMs > EVICT_IDLE_MS;
     }
-    return now - (asked ? receivingSince : quietSince) > EVICT_SILENT_MS;
+    return nowMs - (requestSeen ? receivingSinceMs : idleSinceMs) > EVICT_SILENT_MS;
   }
 
   /** Guards against clients that never finish a request, say nothing, or never come back. */
-  void endIfOverdue(double now) {
-    if (current != null || ending) {
+  void closeIfOverdue(double nowMs) {
+    if (currentRequestId != null || closing) {
       return;
     }
-    if (!Double.isNaN(receivingSince)) {
-      double wait = REQUEST_MS + receivedBytes / LEAST_BYTES_PER_MS;
-      if (now - (asked ? receivingSince : quietSince) > wait) {
-        endWith(HttpResponseStatus.REQUEST_TIMEOUT, "request is not whole in time");
+    if (!Double.isNaN(receivingSinceMs)) {
+      double limitMs = REQUEST_TIMEOUT_MS + receivedBytes / MIN_BYTES_PER_MS;
+      if (nowMs - (requestSeen ? receivingSinceMs : idleSinceMs) > limitMs) {
+        closeWith(HttpResponseStatus.REQUEST_TIMEOUT, "request is not whole in time");
       }
-    } else if (now - quietSince > (asked ? IDLE_MS : REQUEST_MS)) {
+    } else if (nowMs - idleSinceMs > (requestSeen ? IDLE_TIMEOUT_MS : REQUEST_TIMEOUT_MS)) {
       closeIfIdle();
     }
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest message) {
-    receivedAll();
-    boolean first = current == null && waiting.isEmpty();
-    if (ending || overrun) {
+    onRequestComplete();
+    boolean first = currentRequestId == null && pending.isEmpty();
+    if (closing || closeAfterPending) {
       message.release();
-    } else if (!first && (waiting.size() >= MOST_BEHIND || message.decoderResult().isFailure())) {
+    } else if (!first && (pending.size() >= MAX_PENDING || message.decoderResult().isFailure())) {
       // Reading goes on, so that a client that leaves is noticed; the bound is on what is kept.
-      overrun = true;
+      closeAfterPending = true;
       message.release();
     } else {
-      waiting.add(new Waiting(message, server.now() - Transport.waitedMs(channel)));
-      proceed();
+      pending.add(new PendingRequest(message, server.now() - Transport.kernelWaitMs(channel)));
+      scheduleNext();
     }
   }
 
@@ -174,166 +174,166 @@
    * hang-up is there with the request. Serving the dead first would leave no time for the living. Harm: a
    * client that ends its sending before it has its answer gets none, as already when it does so later.
    */
-  private void proceed() {
-    if (!proceeding && current == null && !waiting.isEmpty()) {
-      proceeding = true;
+  private void scheduleNext() {
+    if (!nextScheduled && currentRequestId == null && !pending.isEmpty()) {
+      nextScheduled = true;
       channel.eventLoop().execute(() -> {
-        proceeding = false;
-        Waiting next = waiting.poll();
+        nextScheduled = false;
+        PendingRequest next = pending.poll();
         if (next != null) {
-          handle(next.message, next.arrivedAt);
+          handle(next.message, next.arrivedMs);
         }
       });
     }
   }
 
-  private void handle(FullHttpRequest message, double arrivedAt) {
-    asked = true;
+  private void handle(FullHttpRequest message, double arrivedMs) {
+    requestSeen = true;
     try {
       keepAlive = HttpUtil.isKeepAlive(message);
-      chunks = message.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0;
+      acceptsChunked = message.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0;
       if (message.decoderResult().isFailure()) {
-        endWith(HttpResponseStatus.BAD_REQUEST, "malformed request");
+        closeWith(HttpResponseStatus.BAD_REQUEST, "malformed request");
       } else if (message.uri().equals("/up")) {
-        up(message);
-      } else if (over || server.full()) {
-        keepAlive &= !over;
+        answerUp(message);
+      } else if (overLimit || server.isFull()) {
+        keepAlive &= !overLimit;
         refused(0);
       } else {
-        take(message, arrivedAt);
+        accept(message, arrivedMs);
       }
     } catch (RuntimeException e) {
-      faulty(e);
+      handleFault(e);
     } finally {
       message.release();
     }
   }
 
   /** A fault of ours costs this request, not the connection or the process; its cause goes to the log. */
-  private void faulty(RuntimeException cause) {
+  private void handleFault(RuntimeException cause) {
     LOG.log(Level.SEVERE, "request failed", cause);
-    if (current != null) {
-      server.driver().clientLeft(current);
-      current = null;
+    if (currentRequestId != null) {
+      server.driver().clientLeft(currentRequestId);
+      currentRequestId = null;
       answer(HttpResponseStatus.INTERNAL_SERVER_ERROR);
     } else {
       channel.close();
     }
   }
 
-  private void up(FullHttpRequest message) {
-    boolean get = message.method().equals(HttpMethod.GET);
-    answer(!get ? HttpResponseStatus.METHOD_NOT_ALLOWED
-        : server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
+  private void answerUp(FullHttpRequest message) {
+    boolean isGet = message.method().equals(HttpMethod.GET);
+    answer(!isGet ? HttpResponseStatus.METHOD_NOT_ALLOWED
+        : server.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
   }
 
-  private void take(FullHttpRequest message, double arrivedAt) {
+  private void accept(FullHttpRequest message, double arrivedMs) {
     Request request;
     try {
-      request = server.read(message, arrivedAt);
+      request = server.read(message, arrivedMs);
     } catch (RequestReader.BadRequest e) {
-      keepAlive &= e.framed();
+      keepAlive &= e.isFramingReliable();
       answer(HttpResponseStatus.BAD_REQUEST, e.getMessage());
       return;
     }
-    FullHttpRequest onward = onward(message);
+    FullHttpRequest backendRequest = backendRequest(message);
     HttpHeaders headers = message.headers();
-    current = request.id();
-    server.driver().take(request, onward, new ModuleDriver.Client() {
+    currentRequestId = request.id();
+    server.driver().accept(request, backendRequest, new ModuleDriver.Client() {
       @Override
       public void served(FullHttpResponse answer, HttpHeaders more, AnswerPipe rest) {
         if (rest == null) {
-          current = null;
+          currentRequestId = null;
           ClientConnection.this.served(answer, more);
         } else {
-          passOn(answer, more, rest);
+          streamAnswer(answer, more, rest);
         }
       }
 
       @Override
       public void refused(double holdOffMs) {
-        current = null;
+        currentRequestId = null;
         ClientConnection.this.refused(holdOffMs);
       }
 
       @Override
       public void failed() {
-        current = null;
+        currentRequestId = null;
         answer(HttpResponseStatus.BAD_GATEWAY);
       }
 
       @Override
       public void answered(FullHttpResponse answer) {
-        current = null;
+        currentRequestId = null;
         write(answer.retain());
       }
 
       @Override
-      public boolean gone() {
-        return Transport.peerGone(channel);
+      public boolean isGone() {
+        return Transport.isPeerGone(channel);
       }
 
       @Override
-      public Gate.Origin origin() {
-        return new Gate.Origin(headers, channel.remoteAddress());
+      public RequestFilter.Origin origin() {
+        return new RequestFilter.Origin(headers, channel.remoteAddress());
       }
     });
-    onward.release();
+    backendRequest.release();
   }
 
   /** What goes on to a backend: the request line, the body and the headers that are passed on, unchanged. */
-  private static FullHttpRequest onward(FullHttpRequest message) {
-    HttpHeaders from = message.headers();
-    DefaultFullHttpRequest onward = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, message.method(),
+  private static FullHttpRequest backendRequest(FullHttpRequest message) {
+    HttpHeaders headers = message.headers();
+    DefaultFullHttpRequest backendRequest = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, message.method(),
         message.uri(), message.content().retain());
     for (CharSequence name : new CharSequence[] {HttpHeaderNames.HOST, Headers.REQUEST_ID,
         Headers.REQUEST_CLASS, Headers.IDEMPOTENCY_KEY, HttpHeaderNames.CONTENT_TYPE}) {
-      String value = from.get(name);
+      String value = headers.get(name);
       if (value != null) {
-        onward.headers().set(name, value);
+        backendRequest.headers().set(name, value);
       }
     }
     if (message.content().isReadable() || message.method().equals(HttpMethod.POST)) {
-      onward.headers().set(HttpHeaderNames.CONTENT_LENGTH, message.content().readableBytes());
+      backendRequest.headers().set(HttpHeaderNames.CONTENT_LENGTH, message.content().readableBytes());
     }
-    return onward;
+    return backendRequest;
   }
 
-  private void served(FullHttpResponse from, HttpHeaders more) {
+  private void served(FullHttpResponse backendAnswer, HttpHeaders extraHeaders) {
     DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-        from.content().retain());
-    String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
+        backendAnswer.content().retain());
+    String type = backendAnswer.headers().get(HttpHeaderNames.CONTENT_TYPE);
     if (type != null) {
       answer.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
     }
-    if (more != null) {
-      answer.headers().add(more);
+    if (extraHeaders != null) {
+      answer.headers().add(extraHeaders);
     }
     write(answer);
   }
 
   /** Passes a long answer on as it comes; the connection is taken until its end. */
-  private void passOn(FullHttpResponse from, HttpHeaders more, AnswerPipe rest) {
+  private void streamAnswer(FullHttpResponse backendAnswer, HttpHeaders extraHeaders, AnswerPipe rest) {
     HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-    String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
+    String type = backendAnswer.headers().get(HttpHeaderNames.CONTENT_TYPE);
     if (type != null) {
       answer.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
     }
-    if (more != null) {
-      answer.headers().add(more);
+    if (extraHeaders != null) {
+      answer.headers().add(extraHeaders);
     }
-    if (HttpUtil.isContentLengthSet(from)) {
-      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, HttpUtil.getContentLength(from));
-    } else if (chunks) {
+    if (HttpUtil.isContentLengthSet(backendAnswer)) {
+      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, HttpUtil.getContentLength(backendAnswer));
+    } else if (acceptsChunked) {
       HttpUtil.setTransferEncodingChunked(answer, true);
     } else {
       keepAlive = false;
     }
-    boolean keep = keeps();
+    boolean keep = decideKeepAlive();
     if (!keep) {
       answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
-    passing = rest;
+    streamedAnswer = rest;
     channel.write(answer);
     rest.setReceiver(new AnswerPipe.Receiver() {
       @Override
@@ -346,30 +346,30 @@
 
       @Override
       public void onComplete() {
-        passing = null;
-        current = null;
-        quietSince = server.now();
-        ending |= !keep;
+        streamedAnswer = null;
+        currentRequestId = null;
+        idleSinceMs = server.now();
+        closing |= !keep;
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(keep
             ? ChannelFutureListener.CLOSE_ON_FAILURE : ChannelFutureListener.CLOSE);
-        if (ending) {
-          dropWaiting();
+        if (closing) {
+          releasePending();
         }
-        proceed();
+        scheduleNext();
       }
 
       @Override
       public void onAborted() {
-        passing = null;
-        breakOff();
+        streamedAnswer = null;
+        reset();
       }
     });
   }
 
   /** Ends it so that its client can tell that the answer is not whole: by a reset, whatever its framing. */
-  private void breakOff() {
-    RequestLog.note(current, "connection ends", "reason", "its answer broke off");
-    ending = true;
+  private void reset() {
+    RequestLog.note(currentRequestId, "connection ends", "reason", "its answer broke off");
+    closing = true;
     if (channel.isActive() && channel instanceof SocketChannel socket) {
       socket.config().setSoLinger(0);
     }
@@ -378,19 +378,19 @@
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    if (passing != null) {
-      passing.setReading(channel.isWritable());
+    if (streamedAnswer != null) {
+      streamedAnswer.setReading(channel.isWritable());
     }
   }
 
-  private boolean keeps() {
+  private boolean decideKeepAlive() {
     // In a crowd a kept connection is a place that another client may not find. What was read comes first.
-    overrun |= server.leaving() || server.crowded();
-    return keepAlive && !(overrun && waiting.isEmpty());
+    closeAfterPending |= server.closesAfterAnswer() || server.isCrowded();
+    return keepAlive && !(closeAfterPending && pending.isEmpty());
   }
 
   private void refused(double holdOffMs) {
-    FullHttpResponse answer = empty(holdOffMs > 0 ? HttpResponseStatus.TOO_MANY_REQUESTS
+    FullHttpResponse answer = emptyAnswer(holdOffMs > 0 ? HttpResponseStatus.TOO_MANY_REQUESTS
         : HttpResponseStatus.SERVICE_UNAVAILABLE);
     if (holdOffMs > 0) {
       answer.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", holdOffMs / 1000));
@@ -399,7 +399,7 @@
   }
 
   private void answer(HttpResponseStatus status) {
-    write(empty(status));
+    write(emptyAnswer(status));
   }
 
   private void answer(HttpResponseStatus status, String reason) {
@@ -407,43 +407,43 @@
     write(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, text));
   }
 
-  private static FullHttpResponse empty(HttpResponseStatus status) {
+  private static FullHttpResponse emptyAnswer(HttpResponseStatus status) {
     return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
   }
 
   private void write(FullHttpResponse answer) {
     answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
-    quietSince = server.now();
-    boolean keep = keeps();
+    idleSinceMs = server.now();
+    boolean keep = decideKeepAlive();
     if (!keep) {
       RequestLog.note(null, "connection ends", "reason", "with its answer", "status", answer.status().code());
-      ending = true;
+      closing = true;
       answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
     channel.writeAndFlush(answer).addListener(keep ? ChannelFutureListener.CLOSE_ON_FAILURE
         : ChannelFutureListener.CLOSE);
-    if (ending) {
-      dropWaiting();
+    if (closing) {
+      releasePending();
     }
-    proceed();
+    scheduleNext();
   }
 
   /**
    * Answers what cannot be read any further, and lets the client read that before the connection ends. Behind
    * a request that has no answer yet it would be taken for that one's, so the connection ends with that.
    */
-  void endWith(HttpResponseStatus status, String reason) {
-    if (ending) {
+  void closeWith(HttpResponseStatus status, String reason) {
+    if (closing) {
       return;
     }
-    if (current != null || proceeding) {
-      RequestLog.note(current, "nothing behind it is read", "reason", reason);
-      overrun = true;
+    if (currentRequestId != null || nextScheduled) {
+      RequestLog.note(currentRequestId, "nothing behind it is read", "reason", reason);
+      closeAfterPending = true;
       return;
     }
-    RequestLog.note(current, "connection ends", "reason", reason, "status", status.code());
-    ending = true;
-    dropWaiting();
+    RequestLog.note(currentRequestId, "connection ends", "reason", reason, "status", status.code());
+    closing = true;
+    releasePending();
     ByteBuf text = Unpooled.copiedBuffer(reason + "\n", StandardCharsets.US_ASCII);
     FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, text);
     answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.readableBytes());
@@ -454,9 +454,9 @@
 
   /** Ends the connection if no request is on it; one that is answered while draining ends by itself. */
   void closeIfIdle() {
-    if (current == null && waiting.isEmpty() && !ending) {
-      RequestLog.note(null, "connection ends", "reason", "idle", "open_ms", server.now() - quietSince);
-      ending = true;
+    if (currentRequestId == null && pending.isEmpty() && !closing) {
+      RequestLog.note(null, "connection ends", "reason", "idle", "open_ms", server.now() - idleSinceMs);
+      closing = true;
       channel.close();
     }
   }
@@ -465,46 +465,46 @@
    * Whether nothing has been on it, nor come of a next request, for so long. One that has not asked yet is
    * given the time that clients take to ask, however late this loop accepted it.
    */
-  boolean quiet(double now, double forMs) {
-    return current == null && waiting.isEmpty() && !ending && Double.isNaN(receivingSince)
-        && now - quietSince >= (asked ? forMs : EVICT_SILENT_MS);
+  boolean isIdle(double nowMs, double forMs) {
+    return currentRequestId == null && pending.isEmpty() && !closing && Double.isNaN(receivingSinceMs)
+        && nowMs - idleSinceMs >= (requestSeen ? forMs : EVICT_SILENT_MS);
   }
 
   /** Ends the connection if it has been quiet since that moment. */
-  void endIfStill(double since) {
-    if (Double.isNaN(receivingSince) && quietSince <= since) {
+  void closeIfIdleSince(double sinceMs) {
+    if (Double.isNaN(receivingSinceMs) && idleSinceMs <= sinceMs) {
       closeIfIdle();
     }
   }
 
-  private void dropWaiting() {
-    waiting.forEach(w -> w.message.release());
-    waiting.clear();
+  private void releasePending() {
+    pending.forEach(w -> w.message.release());
+    pending.clear();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    RequestLog.note(current, "connection closed", "by", ending ? "gateway" : "client",
-        "behind", waiting.size());
-    ending = true;
-    receivedAll();
-    dropWaiting();
-    server.closed(this);
-    if (passing != null) {
-      passing.abort();
-    } else if (current != null) {
-      server.driver().clientLeft(current);
-      current = null;
+    RequestLog.note(currentRequestId, "connection closed", "by", closing ? "gateway" : "client",
+        "behind", pending.size());
+    closing = true;
+    onRequestComplete();
+    releasePending();
+    server.unregister(this);
+    if (streamedAnswer != null) {
+      streamedAnswer.abort();
+    } else if (currentRequestId != null) {
+      server.driver().clientLeft(currentRequestId);
+      currentRequestId = null;
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof TooLongHttpContentException) {
-      endWith(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
+      closeWith(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
       return;
     }
-    RequestLog.note(current, "connection failed", "cause", cause);
+    RequestLog.note(currentRequestId, "connection failed", "cause", cause);
     if (cause instanceof RuntimeException && !(cause instanceof CodecException)) {
       LOG.log(Level.SEVERE, "request failed", cause);
     }
--- a/door/src/main/java/willowdoor/net/ClientServer.java
+++ b/door/src/main/java/willowdoor/net/ClientServer.java
@@ -28,47 +28,48 @@
 final class ClientServer {
 
   /** Of the connections, this part is over the bound: those are still told so, any more end at once. */
-  private static final int SPARE_PART = 16;
+  private static final int EXCESS_DIVISOR = 16;
   /** With so much of the places taken, connections end with their answers. */
-  private static final double CROWDED = 0.75;
-  private static final int MOST_BODY = 64 * 1024;
+  private static final double CROWDED_SHARE = 0.75;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
   /** Of an answer that passes through, so much waits to be taken by its client. */
-  private static final WriteBufferWaterMark PASSING = new WriteBufferWaterMark(16 * 1024, 48 * 1024);
+  private static final WriteBufferWaterMark STREAM_WATER_MARK =
+      new WriteBufferWaterMark(16 * 1024, 48 * 1024);
   /** How often connections are looked at for overdue requests. */
   private static final long SWEEP_MS = 200;
   /** A front looks at /up every 0.1 s and sends new connections for 0.2 s more: none ends before. */
-  static final double EMPTY_AFTER_MS = 500;
+  static final double DRAIN_CLOSE_AFTER_MS = 500;
   /** One without a request for so long is ended then; few requests cross the end of such a one. */
-  private static final double EMPTY_QUIET_MS = 300;
+  private static final double DRAIN_IDLE_MS = 300;
   /** So long after that any is ended as soon as no request is on it: 4 s after the call none may be held. */
-  private static final double EMPTY_ALL_MS = 1_100;
+  private static final double DRAIN_CLOSE_ALL_MS = 1_100;
 
   private final EventLoop loop;
   private final Clock clock;
   private final ModuleDriver driver;
   private final BackendPool backends;
   private final RequestReader reader;
-  private final Bounds bounds;
-  private final Places places;
+  private final ResourceLimits limits;
+  private final ConnectionBudget budget;
   /** In the order of their opening. */
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
-  private int receiving;
+  private int receivingBytes;
   private boolean ready;
   private boolean draining;
-  private boolean leaving;
+  private boolean closeAfterAnswer;
   /** Clients' idle connections end from then on, or NaN. */
-  private double emptyingFrom = Double.NaN;
+  private double closeIdleFromMs = Double.NaN;
 
   ClientServer(EventLoop loop, Clock clock, ModuleDriver driver, BackendPool backends, RequestReader reader,
-      Bounds bounds, Places places) {
+      ResourceLimits limits, ConnectionBudget budget) {
     this.loop = loop;
     this.clock = clock;
     this.driver = driver;
     this.backends = backends;
     this.reader = reader;
-    this.bounds = bounds;
-    this.places = places;
-    loop.scheduleWithFixedDelay(this::endOverdue, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    this.limits = limits;
+    this.budget = budget;
+    loop.scheduleWithFixedDelay(this::closeOverdue, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -79,9 +80,9 @@
   ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, boolean shared) {
     ServerBootstrap bootstrap = bootstrap(group);
     if (shared) {
-      bootstrap.option(Transport.SHARED, true);
+      bootstrap.option(Transport.REUSE_PORT, true);
     }
-    return bootstrap.channel(Transport.BEST.serverSocket())
+    return bootstrap.channel(Transport.PREFERRED.serverSocket())
         .option(ChannelOption.SO_BACKLOG, 512)
         .option(ChannelOption.SO_REUSEADDR, true)
         .bind(address);
@@ -89,7 +90,7 @@
 
   /** The same on a socket that listens already. */
   ChannelFuture adopt(EventLoopGroup group, int descriptor) {
-    return bootstrap(group).channelFactory(() -> Transport.listening(descriptor)).register();
+    return bootstrap(group).channelFactory(() -> Transport.adoptServerSocket(descriptor)).register();
   }
 
   private ServerBootstrap bootstrap(EventLoopGroup group) {
@@ -97,7 +98,7 @@
         .option(ChannelOption.AUTO_READ, false)
         .childOption(ChannelOption.AUTO_READ, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
-        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, PASSING)
+        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, STREAM_WATER_MARK)
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
@@ -110,25 +111,26 @@
   void adopt(Channel channel) {
     ClientConnection connection = new ClientConnection(this);
     RequestDecoder decoder = new RequestDecoder();
-    channel.pipeline().addLast(new Inflow(connection, decoder), decoder, new HttpResponseEncoder(),
-        new BoundedBody(connection), connection);
+    channel.pipeline()
+        .addLast(new ReceivedBytesHandler(connection, decoder), decoder, new HttpResponseEncoder(),
+        new BodyAggregator(connection), connection);
   }
 
   /** Sees a client's bytes first: when a request begins, how much of it has come, whether it is wanted. */
-  private static final class Inflow extends ChannelInboundHandlerAdapter {
+  private static final class ReceivedBytesHandler extends ChannelInboundHandlerAdapter {
     private final ClientConnection connection;
     private final RequestDecoder decoder;
 
-    Inflow(ClientConnection connection, RequestDecoder decoder) {
+    ReceivedBytesHandler(ClientConnection connection, RequestDecoder decoder) {
       this.connection = connection;
       this.decoder = decoder;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-      if (connection.receives(((ByteBuf) bytes).readableBytes())) {
+      if (connection.acceptsBytes(((ByteBuf) bytes).readableBytes())) {
         ctx.fireChannelRead(bytes);
-        connection.received(decoder.holdsMore());
+        connection.onDecoded(decoder.hasUndecodedBytes());
       } else {
         ReferenceCountUtil.release(bytes);
       }
@@ -136,21 +138,21 @@
   }
 
   /** Collects a message's body; one over the bound is answered 413, and the connection ends. */
-  private static final class BoundedBody extends HttpObjectAggregator {
+  private static final class BodyAggregator extends HttpObjectAggregator {
     private final ClientConnection connection;
 
-    BoundedBody(ClientConnection connection) {
-      super(MOST_BODY);
+    BodyAggregator(ClientConnection connection) {
+      super(MAX_BODY_BYTES);
       this.connection = connection;
     }
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-      connection.endWith(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
+      connection.closeWith(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
     }
   }
 
-  void serve() {
+  void markReady() {
     ready = true;
   }
 
@@ -158,21 +160,21 @@
     return driver;
   }
 
-  Request read(FullHttpRequest message, double arrivedAt) throws RequestReader.BadRequest {
-    Request request = reader.read(message, arrivedAt);
+  Request read(FullHttpRequest message, double arrivedMs) throws RequestReader.BadRequest {
+    Request request = reader.read(message, arrivedMs);
     if (driver.holds(request.id())) {
       throw new RequestReader.BadRequest("Request-Id is in use");
     }
     return request;
   }
 
-  boolean ready() {
+  boolean isReady() {
     return ready && !draining && backends.hasBackends();
   }
 
   /** Whether each answer ends its connection. */
-  boolean leaving() {
-    return leaving;
+  boolean closesAfterAnswer() {
+    return closeAfterAnswer;
   }
 
   double now() {
@@ -180,49 +182,49 @@
   }
 
   /** Counts bytes of requests that are being received, or gives them back; true when they are too many. */
-  boolean receiving(int bytes) {
-    receiving += bytes;
-    return receiving > bounds.bodyBytes();
+  boolean addReceivingBytes(int bytes) {
+    receivingBytes += bytes;
+    return receivingBytes > limits.maxBodyBytes();
   }
 
   /**
    * Whether requests are refused: with so much in bodies held, so that the process stays within its memory,
    * and after its last call.
    */
-  boolean full() {
-    return driver.ended() || driver.heldBytes() >= bounds.bodyBytes();
+  boolean isFull() {
+    return driver.isClosed() || driver.heldBodyBytes() >= limits.maxBodyBytes();
   }
 
-  boolean crowded() {
-    return places.clients() > CROWDED * places.mostClients();
+  boolean isCrowded() {
+    return budget.clients() > CROWDED_SHARE * budget.maxClients();
   }
 
   /** True when the connection is one too many; far beyond that it ends at once, as descriptors run out. */
-  boolean opened(ClientConnection connection) {
+  boolean register(ClientConnection connection) {
     connections.add(connection);
-    places.client(1);
-    int most = places.mostClients();
-    if (places.clients() > most) {
-      evict();
+    budget.addClients(1);
+    int max = budget.maxClients();
+    if (budget.clients() > max) {
+      evictLongestIdle();
     }
-    if (places.clients() > most + most / SPARE_PART) {
+    if (budget.clients() > max + max / EXCESS_DIVISOR) {
       connection.closeIfIdle();
     }
-    return places.clients() > most;
+    return budget.clients() > max;
   }
 
-  void closed(ClientConnection connection) {
+  void unregister(ClientConnection connection) {
     if (connections.remove(connection)) {
-      places.client(-1);
+      budget.addClients(-1);
     }
   }
 
   /** Ends the connection that has been idle longest, if one may be ended: others want its place. */
-  private void evict() {
+  private void evictLongestIdle() {
     double now = clock.now();
     ClientConnection oldest = null;
     for (ClientConnection c : connections) {
-      if (c.evictable(now) && (oldest == null || c.quietSince() < oldest.quietSince())) {
+      if (c.isEvictable(now) && (oldest == null || c.idleSinceMs() < oldest.idleSinceMs())) {
         oldest = c;
       }
     }
@@ -231,14 +233,14 @@
     }
   }
 
-  private void endOverdue() {
+  private void closeOverdue() {
     double now = clock.now();
-    List.copyOf(connections).forEach(c -> c.endIfOverdue(now));
-    if (now >= emptyingFrom) {
-      double quiet = now - emptyingFrom > EMPTY_ALL_MS ? 0 : EMPTY_QUIET_MS;
-      List<ClientConnection> quietOnes = connections.stream().filter(c -> c.quiet(now, quiet)).toList();
+    List.copyOf(connections).forEach(c -> c.closeIfOverdue(now));
+    if (now >= closeIdleFromMs) {
+      double idleMs = now - closeIdleFromMs > DRAIN_CLOSE_ALL_MS ? 0 : DRAIN_IDLE_MS;
+      List<ClientConnection> idle = connections.stream().filter(c -> c.isIdle(now, idleMs)).toList();
       // They end after one more look at the sockets: a late loop has not read what came meanwhile.
-      loop.schedule(() -> quietOnes.forEach(c -> c.endIfStill(now)), 1, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> idle.forEach(c -> c.closeIfIdleSince(now)), 1, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -249,18 +251,18 @@
    *
    * @param afterMs in so long, or NaN for not at all
    */
-  void empty(double afterMs) {
-    emptyingFrom = clock.now() + afterMs;
+  void closeIdleConnections(double afterMs) {
+    closeIdleFromMs = clock.now() + afterMs;
   }
 
   /** From here on it is not to be found, or is again; connections are taken and kept as before. */
-  void drain(boolean on) {
-    draining = on;
+  void setDraining(boolean enabled) {
+    draining = enabled;
   }
 
   /** From here on every answer ends its connection, or none does; new connections are still taken. */
-  void leave(boolean on) {
-    leaving = on;
+  void setCloseAfterAnswer(boolean enabled) {
+    closeAfterAnswer = enabled;
   }
 
   /** Takes no more connections. */
@@ -272,7 +274,7 @@
    * The same once what waits to be accepted is in. Guards connections that came to this socket and not to the
    * other process's: an end of the socket resets them. The loop looks at its sockets before its timers.
    */
-  void stopListeningEmpty(Channel listening) {
+  void stopListeningAfterAccepting(Channel listening) {
     listening.eventLoop().schedule(() -> listening.close(), 1, TimeUnit.MILLISECONDS);
   }
 
@@ -282,7 +284,7 @@
     List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
   }
 
-  boolean idle() {
+  boolean hasNoConnections() {
     return connections.isEmpty();
   }
 }
--- a/door/src/main/java/willowdoor/net/Config.java
+++ b/door/src/main/java/willowdoor/net/Config.java
@@ -24,7 +24,8 @@
  */
 public record Config(InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress counter,
     long seed,
-    Settings settings, Bounds limits, double connectLimitMs, double idleLimitMs, EndpointUpdate known,
+    Settings settings, ResourceLimits limits, double connectTimeoutMs, double idleTimeoutMs,
+    EndpointUpdate rememberedBackends,
     boolean watchCounter, InetSocketAddress management) {
 
   /** The addresses that a new configuration may move. */
@@ -58,20 +59,23 @@
 
   static Config of(Map<String, Object> fields) throws IOException {
     Map<String, Object> settings = JsonFields.child(fields, "settings");
-    Settings parsed = WireSettings.read(settings);
-    if (parsed.classes().isEmpty() || parsed.plans().isEmpty()) {
+    Settings gatewaySettings = WireSettings.read(settings);
+    if (gatewaySettings.classes().isEmpty() || gatewaySettings.plans().isEmpty()) {
       throw new IOException("settings name no classes or no plans");
     }
     Map<String, Object> bounds = JsonFields.child(settings, "Bounds");
     Map<String, Object> limits = JsonFields.child(fields, "limits");
-    double forOperators = fields.get("management") == null ? 0 : ManagementServer.MOST_CONNECTIONS + 1;
-    Bounds held = Bounds.of(JsonFields.number(limits, "sockets", Bounds.USUAL_SOCKETS) - forOperators,
-        JsonFields.number(limits, "memory_mb", Bounds.USUAL_MEMORY_MB));
-    InetSocketAddress counter = fields.get("counter") == null && !parsed.allowed().sharedCount() ? null
+    double managementSockets = fields.get("management") == null ? 0 : ManagementServer.MAX_CONNECTIONS + 1;
+    ResourceLimits resourceLimits = ResourceLimits
+        .of(JsonFields.number(limits, "sockets", ResourceLimits.DEFAULT_SOCKETS) - managementSockets,
+        JsonFields.number(limits, "memory_mb", ResourceLimits.DEFAULT_MEMORY_MB));
+    InetSocketAddress counter = fields.get("counter") == null
+        && !gatewaySettings.capabilities().sharedCounter() ? null
         : address(fields, "counter");
     InetSocketAddress management = fields.get("management") == null ? null : address(fields, "management");
-    return new Config(address(fields, "listen"), address(fields, "discovery"), counter, seed(fields), parsed,
-        held, JsonFields.number(bounds, "DialTimeoutMs", 250),
+    return new Config(address(fields, "listen"), address(fields, "discovery"), counter, seed(fields),
+        gatewaySettings,
+        resourceLimits, JsonFields.number(bounds, "DialTimeoutMs", 250),
         JsonFields.number(bounds, "ConnIdleMs", 15_000), EndpointUpdate.of(JsonFields.child(fields, "known")),
             false, management);
   }
--- a/door/src/main/java/willowdoor/net/Dialer.java
+++ b/door/src/main/java/willowdoor/net/Dialer.java
@@ -15,7 +15,7 @@
 
   /** A dialer of sockets on the event loop; a connection that is not open within the limit fails. */
   static Dialer sockets(EventLoop loop, double connectLimitMs) {
-    Bootstrap bootstrap = new Bootstrap().group(loop).channel(Transport.BEST.socket())
+    Bootstrap bootstrap = new Bootstrap().group(loop).channel(Transport.PREFERRED.socket())
         .option(ChannelOption.TCP_NODELAY, true)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(connectLimitMs));
     return (address, handler) -> bootstrap.clone().handler(handler).connect(address);
--- a/door/src/main/java/willowdoor/net/DiscoveryClient.java
+++ b/door/src/main/java/willowdoor/net/DiscoveryClient.java
@@ -66,7 +66,7 @@
     this.clock = clock;
     this.version = version;
     this.listener = listener;
-    bootstrap = new Bootstrap().group(loop).channel(Transport.BEST.socket())
+    bootstrap = new Bootstrap().group(loop).channel(Transport.PREFERRED.socket())
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_000);
     watch = new Watch(address);
   }
--- a/door/src/main/java/willowdoor/net/FrontDoor.java
+++ b/door/src/main/java/willowdoor/net/FrontDoor.java
@@ -18,7 +18,7 @@
 import willowdoor.management.ManagementServer;
 import willowdoor.membership.DisabledBackend;
 import willowdoor.policy.GatewayApi.Request;
-import willowdoor.policy.Learned;
+import willowdoor.policy.LearnedState;
 import willowdoor.policy.QuotaPolicy;
 import willowdoor.recovery.CounterWatch;
 
@@ -30,25 +30,25 @@
 public final class FrontDoor {
 
   private static final Logger LOG = Logger.getLogger(FrontDoor.class.getName());
-  private static final long ACCEPT_MS = EndTimes.ACCEPT_MS;
+  private static final long KEEP_ACCEPTING_MS = ShutdownTimes.KEEP_ACCEPTING_MS;
   private static final long POLL_MS = 10;
 
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.PREFERRED.ioHandler());
   final EventLoop loop = group.next();
   private final Clock clock = new Clock();
   private final CountDownLatch drained = new CountDownLatch(1);
-  private EndTimes end;
+  private ShutdownTimes shutdownTimes;
   private ModuleDriver driver;
   private ClientServer clients;
   private CounterStore counter;
   /** Null where ceilings are not divided. */
-  private CeilingShares ceilings;
+  private CeilingShares ceilingShares;
   private DiscoveryClient discovery;
   private MergedRoster roster;
-  private Channel listening;
-  private Places places;
+  private Channel serverChannel;
+  private ConnectionBudget budget;
   /** Null where operators do not call. */
-  private Managed managed;
+  private FrontDoorOperations operations;
 
   private FrontDoor() {
   }
@@ -60,22 +60,22 @@
       throw new IOException("GW_CONFIG is not set");
     }
     Path path = Path.of(file);
-    ReplacedFile replaced = new ReplacedFile(path);
+    ReloadTrigger reloadTrigger = new ReloadTrigger(path);
     AtomicReference<FrontDoor> serving = new AtomicReference<>();
     // First of all: a signal that nothing handles would end the JVM, and a start takes long without CPU.
-    replaced.onHangUp(() -> {
+    reloadTrigger.onReload(() -> {
       if (serving.get() != null) {
         serving.get().reload(path);
       }
     });
     Config config = Config.read(path);
-    FrontDoor door = start(config, System.getenv("TMPDIR"), wired -> {
-      serving.set(wired);
-      if (replaced.changed()) {
-        wired.reload(path);
+    FrontDoor door = start(config, System.getenv("TMPDIR"), created -> {
+      serving.set(created);
+      if (reloadTrigger.hasChanged()) {
+        created.reload(path);
       }
-      if (wired.managed != null && wired.managed.second()) {
-        new WarmUp(config).run(WarmUp.LIMIT_BESIDE_MS, WarmUp.REQUESTS_BESIDE);
+      if (created.operations != null && created.operations.isStartedSecond()) {
+        new WarmUp(config).run(WarmUp.TIME_LIMIT_SECOND_PROCESS_MS, WarmUp.MAX_REQUESTS_SECOND_PROCESS);
       } else {
         warmUp(config);
       }
@@ -84,7 +84,7 @@
   }
 
   private interface Preparation {
-    void of(FrontDoor wired) throws IOException;
+    void prepare(FrontDoor door) throws IOException;
   }
 
   static FrontDoor start(Config config) throws IOException, InterruptedException {
@@ -93,21 +93,21 @@
 
   /** The same for one that shares a folder with other processes of its front door, or with null none. */
   static FrontDoor start(Config config, String folder) throws IOException, InterruptedException {
-    return start(config, folder, wired -> { });
+    return start(config, folder, created -> { });
   }
 
   /** Starts it; what is to be ready before the first client is done between its wiring and its listening. */
   private static FrontDoor start(Config config, String folder, Preparation beforeListening)
       throws IOException, InterruptedException {
-    FrontDoor door = wired(config);
+    FrontDoor door = create(config);
     try {
       if (config.management() != null) {
         door.manage(config.management(), folder);
       }
-      beforeListening.of(door);
+      beforeListening.prepare(door);
       door.bind(config.listen(), config.management() != null);
       if (config.management() != null) {
-        door.managed.nameItself();
+        door.operations.writeProcessFile();
       }
     } catch (IOException | RuntimeException e) {
       door.stop();
@@ -115,25 +115,25 @@
     }
     door.loop.execute(() -> {
       door.accept();
-      if (door.managed == null) {
-        door.beFound();
+      if (door.operations == null) {
+        door.markReady();
       } else {
-        door.managed.serves(door::beFound);
+        door.operations.announceServing(door::markReady);
       }
     });
     return door;
   }
 
   /** A door with its peers' connections under way, that has no listening socket yet. */
-  public static FrontDoor wired(Config config) throws InterruptedException {
-    return wired(config, null);
+  public static FrontDoor create(Config config) throws InterruptedException {
+    return create(config, null);
   }
 
   /** The same with shared counts elsewhere than at the platform's counter, or with null there. */
-  public static FrontDoor wired(Config config, CounterStore.Maker counts) throws InterruptedException {
+  public static FrontDoor create(Config config, CounterStore.Maker counterMaker) throws InterruptedException {
     FrontDoor door = new FrontDoor();
     try {
-      door.loop.submit(() -> door.wire(config, counts)).sync();
+      door.loop.submit(() -> door.wire(config, counterMaker)).sync();
       return door;
     } catch (RuntimeException e) {
       door.stop();
@@ -145,54 +145,56 @@
    * Warms this process up for such a configuration, 0.7 s at most; for a thread that may wait, not the loop.
    */
   public static void warmUp(Config config) {
-    new WarmUp(config).run(WarmUp.LIMIT_MS);
+    new WarmUp(config).run(WarmUp.TIME_LIMIT_MS);
   }
 
-  private void wire(Config config, CounterStore.Maker counts) {
-    places = new Places(config.limits().places());
-    BackendPool backends = new BackendPool(loop, clock, Dialer.sockets(loop, config.connectLimitMs()),
-        config.idleLimitMs(), places);
+  private void wire(Config config, CounterStore.Maker counterMaker) {
+    budget = new ConnectionBudget(config.limits().connections());
+    BackendPool backends = new BackendPool(loop, clock, Dialer.sockets(loop, config.connectTimeoutMs()),
+        config.idleTimeoutMs(), budget);
     QuotaPolicy policy = new QuotaPolicy(config.settings(), config.seed());
     driver = new ModuleDriver(loop, clock, policy, backends);
     clients = new ClientServer(loop, clock, driver, backends, new RequestReader(config.settings()),
-        config.limits(), places);
-    counter = counts == null ? linesOf(config)
-        : counts.make(loop, clock::now, Long.toHexString(config.seed()), config, driver);
+        config.limits(), budget);
+    counter = counterMaker == null ? createCounterClient(config)
+        : counterMaker.make(loop, clock::now, Long.toHexString(config.seed()), config, driver);
     if (config.watchCounter()) {
-      ceilings = new CeilingShares(loop, clock, counter, config.settings());
-      driver.divide(ceilings);
+      ceilingShares = new CeilingShares(loop, clock, counter, config.settings());
+      driver.setCeilingShares(ceilingShares);
     }
     counter.start();
     roster = new MergedRoster(clock::now, driver::onRoster);
-    driver.start(counter, roster.merge(config.known()));
-    end = EndTimes.of(config.settings().classes());
+    driver.start(counter, roster.merge(config.rememberedBackends()));
+    shutdownTimes = ShutdownTimes.of(config.settings().classes());
     discovery =
-        new DiscoveryClient(loop, clock, config.discovery(), config.known().version(), roster::onUpdate);
+        new DiscoveryClient(loop, clock, config.discovery(), config.rememberedBackends().version(),
+        roster::onUpdate);
     discovery.start();
   }
 
-  private CounterClient linesOf(Config config) {
-    CounterClient lines = new CounterClient(loop, clock, Dialer.sockets(loop, CounterClient.CONNECT_LIMIT_MS),
-        config.counter(), config.settings().allowed().countLimitMs(), driver::counted);
+  private CounterClient createCounterClient(Config config) {
+    CounterClient client =
+        new CounterClient(loop, clock, Dialer.sockets(loop, CounterClient.CONNECT_LIMIT_MS),
+        config.counter(), config.settings().capabilities().counterTimeoutMs(), driver::counted);
     if (config.watchCounter()) {
-      lines.setWatch(new CounterWatch(Long.toHexString(config.seed())), driver::replaced);
+      client.setWatch(new CounterWatch(Long.toHexString(config.seed())), driver::replaced);
     }
-    return lines;
+    return client;
   }
 
   /** Has requests pass a gate, or with null none; on the loop, at best before the door listens. */
-  public void guard(Gate gate) {
-    driver.guard(gate);
+  public void setFilter(RequestFilter filter) {
+    driver.setFilter(filter);
   }
 
   /** Has each request's end told to that one; on the loop. */
-  public void tellEnds(Ends ends) {
-    driver.listen(ends);
+  public void setEndListener(RequestEndListener listener) {
+    driver.setEndListener(listener);
   }
 
   /** The part, from 0 to 1, of a customer's use that comes through this door; on the loop. */
-  public double through(Request request) {
-    return driver.through(request);
+  public double trafficShare(Request request) {
+    return driver.trafficShare(request);
   }
 
   /** The one thread that all of the door is on. */
@@ -207,11 +209,11 @@
 
   /** The kind of sockets that this loop drives. */
   public static Class<? extends SocketChannel> socketType() {
-    return Transport.BEST.socket();
+    return Transport.PREFERRED.socket();
   }
 
   public SocketAddress address() {
-    return listening.localAddress();
+    return serverChannel.localAddress();
   }
 
   /** Milliseconds on the door's clock. */
@@ -226,7 +228,7 @@
 
   private void bind(InetSocketAddress address, boolean shared) throws IOException, InterruptedException {
     try {
-      listening = clients.listen(group, address, shared).sync().channel();
+      serverChannel = clients.listen(group, address, shared).sync().channel();
     } catch (InterruptedException e) {
       throw e;
     } catch (Exception e) {
@@ -241,7 +243,7 @@
    */
   public void adopt(int descriptor) throws IOException, InterruptedException {
     try {
-      listening = clients.adopt(group, descriptor).sync().channel();
+      serverChannel = clients.adopt(group, descriptor).sync().channel();
     } catch (InterruptedException e) {
       throw e;
     } catch (Exception e) {
@@ -251,20 +253,20 @@
 
   /** The descriptor of the listening socket, to be handed to a successor; -1 where the transport has none. */
   public int descriptor() {
-    return Transport.descriptor(listening);
+    return Transport.descriptor(serverChannel);
   }
 
   /** Takes connections from here on. */
   public void accept() {
-    if (ceilings != null) {
-      ceilings.begin();
+    if (ceilingShares != null) {
+      ceilingShares.begin();
     }
-    listening.config().setAutoRead(true);
+    serverChannel.config().setAutoRead(true);
   }
 
   /** Answers {@code GET /up} with 200 from here on, as soon as a backend is known. */
-  public void beFound() {
-    clients.serve();
+  public void markReady() {
+    clients.markReady();
   }
 
   /**
@@ -274,22 +276,22 @@
    * @param folder where processes of this front door find each other, or null
    */
   void manage(InetSocketAddress address, String folder) throws IOException, InterruptedException {
-    managed = new Managed(this, roster, clients, places, new ProcessFile(folder));
-    managed.open(group, address);
+    operations = new FrontDoorOperations(this, roster, clients, budget, new ProcessFile(folder));
+    operations.open(group, address);
   }
 
   /** Where operators call. */
   /** Has that server's operators call at this address, answered on the loop; not for the loop's thread. */
   public void manage(ManagementServer server, InetSocketAddress at) throws IOException, InterruptedException {
-    server.listen(group, Transport.BEST.serverSocket(), at);
+    server.listen(group, Transport.PREFERRED.serverSocket(), at);
   }
 
   SocketAddress managementAddress() {
-    return managed.address();
+    return operations.address();
   }
 
   /** The backends that operators have taken out; on the loop. */
-  List<DisabledBackend> out() {
+  List<DisabledBackend> disabledBackends() {
     return roster.backendsOut();
   }
 
@@ -299,58 +301,58 @@
   }
 
   /** Has it hear the lists of backends as discovery tells them; on the loop, both. */
-  public void listed(Consumer<EndpointUpdate> listener) {
+  public void addRosterListener(Consumer<EndpointUpdate> listener) {
     roster.setSourceListener(listener);
   }
 
   /** By what the fleet has agreed on a backend is out, or no longer; on the loop. */
-  public void agreed(long backend, boolean out) {
+  public void setAgreedOut(long backend, boolean out) {
     roster.applyFleetDecision(backend, out);
   }
 
   /** Whether an attempt is out at the backend; on the loop, and it looks at all that is held. */
-  public boolean sendsTo(long backend) {
-    return driver.sendsTo(backend);
+  public boolean hasAttemptTo(long backend) {
+    return driver.hasAttemptTo(backend);
   }
 
   /**
    * Leaves new connections, and this door's parts of ceilings, to whoever else holds the listening socket;
    * {@link #accept} takes them back.
    */
-  public void leaveListening() {
-    if (ceilings != null) {
-      ceilings.handOver();
+  public void pauseAccepting() {
+    if (ceilingShares != null) {
+      ceilingShares.handOver();
     }
-    listening.config().setAutoRead(false);
+    serverChannel.config().setAutoRead(false);
   }
 
   /** What this process has learned, for the one that takes its place; on the loop, and once. */
-  public Learned learned() {
-    return driver.learned();
+  public LearnedState learnedState() {
+    return driver.learnedState();
   }
 
   /** Goes on from what the process before this one had learned so long ago; on the loop. */
-  public void inherit(Learned told, double agoMs) {
-    driver.inherit(told, agoMs);
+  public void restoreLearned(LearnedState learned, double ageMs) {
+    driver.restoreLearned(learned, ageMs);
   }
 
   /** Answers {@code GET /up} with 503, and ends each connection with its next answer. */
   public void beginDrain() {
-    driver.draining(true);
-    clients.drain(true);
-    clients.leave(true);
+    driver.setDraining(true);
+    clients.setDraining(true);
+    clients.setCloseAfterAnswer(true);
   }
 
   /** Serves on as before {@link #beginDrain}. */
   public void resume() {
-    driver.draining(false);
-    clients.drain(false);
-    clients.leave(false);
+    driver.setDraining(false);
+    clients.setDraining(false);
+    clients.setCloseAfterAnswer(false);
   }
 
   /** Closes this process's hold of the listening socket, and ends connections that no request is on. */
   public void stopAccepting() {
-    clients.stopAccepting(listening);
+    clients.stopAccepting(serverChannel);
   }
 
   /** Answers all that is out as failed. */
@@ -359,13 +361,13 @@
   }
 
   /** True when no client's connection is open. */
-  public boolean idle() {
-    return clients.idle();
+  public boolean hasNoConnections() {
+    return clients.hasNoConnections();
   }
 
   /** Requests without their final answer, or with an attempt out. */
-  public int held() {
-    return driver.held();
+  public int heldRequests() {
+    return driver.heldRequests();
   }
 
   /**
@@ -394,21 +396,21 @@
   /** The planned end: accept a little longer, answer all that was taken, then let the process go. */
   void drain() {
     loop.execute(() -> {
-      if (managed != null && managed.ends()) {
-        leaveToOther();
+      if (operations != null && operations.beginShutdown()) {
+        shutDownBesideOther();
       } else {
-        leave();
+        shutDownAlone();
       }
     });
     loop.scheduleWithFixedDelay(() -> {
-      if (clients.idle()) {
+      if (clients.hasNoConnections()) {
         drained.countDown();
       }
-    }, ACCEPT_MS + POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
+    }, KEEP_ACCEPTING_MS + POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
     try {
-      if (!drained.await(end.answerMs(), TimeUnit.MILLISECONDS)) {
+      if (!drained.await(shutdownTimes.failUnansweredMs(), TimeUnit.MILLISECONDS)) {
         loop.submit(driver::failAll).sync();
-        drained.await(ACCEPT_MS / 2, TimeUnit.MILLISECONDS);
+        drained.await(KEEP_ACCEPTING_MS / 2, TimeUnit.MILLISECONDS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -416,21 +418,21 @@
     stop();
   }
 
-  private void leave() {
-    clients.drain(true);
-    loop.schedule(() -> clients.stopListening(listening), ACCEPT_MS, TimeUnit.MILLISECONDS);
+  private void shutDownAlone() {
+    clients.setDraining(true);
+    loop.schedule(() -> clients.stopListening(serverChannel), KEEP_ACCEPTING_MS, TimeUnit.MILLISECONDS);
     loop.schedule(() -> {
       beginDrain();
       stopAccepting();
-    }, end.keepMs(), TimeUnit.MILLISECONDS);
+    }, shutdownTimes.keepConnectionsMs(), TimeUnit.MILLISECONDS);
   }
 
   /** Another process listens at the same address: clients come there from their next connection on. */
-  private void leaveToOther() {
-    driver.draining(true);
-    clients.leave(true);
-    clients.stopListeningEmpty(listening);
-    clients.empty(0);
+  private void shutDownBesideOther() {
+    driver.setDraining(true);
+    clients.setCloseAfterAnswer(true);
+    clients.stopListeningAfterAccepting(serverChannel);
+    clients.closeIdleConnections(0);
   }
 
   /** Ends the loop, and with it every socket. */
--- /dev/null
+++ b/door/src/main/java/willowdoor/net/FrontDoorOperations.java
@@ -0,0 +1,247 @@
+package willowdoor.net;
+
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.function.Consumer;
+import java.util.logging.Logger;
+import willowdoor.management.ManagementClient;
+import willowdoor.management.ManagementClient.CallOutcome;
+import willowdoor.management.ManagementClient.CallResult;
+import willowdoor.management.ManagementServer;
+import willowdoor.management.Operations;
+import willowdoor.management.ManagementCommand;
+import willowdoor.management.Reply;
+import willowdoor.membership.DisabledBackend;
+
+/**
+ * As its operators have a front door: backends out and back, clients sent away and taken back, and a second
+ * process that replaces the first. While two run they are one front door: an order to either holds in both,
+ * each has a part of the places, and what the first was told goes over to the second before it says yes.
+ */
+final class FrontDoorOperations implements Operations {
+
+  private static final Logger LOG = Logger.getLogger(FrontDoorOperations.class.getName());
+  /**
+   * Parts of the places while two processes run. Clients are the same few for both, so that the parts may sum
+   * to more than one: the first serves alone until the second does, and then lets its clients go in 1 s.
+   */
+  private static final double FIRST_PROCESS_SHARE = 0.7;
+  private static final double SECOND_PROCESS_SHARE = 0.8;
+  private static final double LEAVING_PROCESS_SHARE = 0.3;
+
+  private final FrontDoor door;
+  private final EventLoop loop;
+  private final MergedRoster roster;
+  private final ClientServer clients;
+  private final ConnectionBudget budget;
+  private final ProcessFile processFile;
+  private final ManagementClient managementClient;
+  private final ManagementServer server = new ManagementServer(this);
+  /** The other process, or null. */
+  private PeerProcess otherProcess;
+  /** Operators have sent the clients away. */
+  private boolean drainedByOperator;
+  private boolean discoverable;
+  /** This process was started beside one that served. */
+  private volatile boolean startedSecond;
+  private boolean shuttingDown;
+
+  FrontDoorOperations(FrontDoor door, MergedRoster roster, ClientServer clients, ConnectionBudget budget,
+      ProcessFile processFile) {
+    this.door = door;
+    this.loop = door.loop();
+    this.roster = roster;
+    this.clients = clients;
+    this.budget = budget;
+    this.processFile = processFile;
+    managementClient = new ManagementClient(loop, Transport.PREFERRED.socket());
+  }
+
+  /**
+   * Has operators call at this address, and goes on from what another process of this front door says, if one
+   * runs; not for the loop's thread.
+   */
+  void open(EventLoopGroup group, InetSocketAddress address) throws IOException, InterruptedException {
+    server.listen(group, Transport.PREFERRED.serverSocket(), address);
+    InetSocketAddress other = processFile.read();
+    if (other == null || other.equals(address())) {
+      return;
+    }
+    CompletableFuture<CallResult> hello = new CompletableFuture<>();
+    loop.execute(() -> {
+      startedSecond = true;
+      setOtherProcess(other);
+      otherProcess.announce(address(), false, hello::complete);
+    });
+    try {
+      restoreFrom(hello.get());
+    } catch (ExecutionException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  InetSocketAddress address() {
+    return (InetSocketAddress) server.address();
+  }
+
+  private void restoreFrom(CallResult hello) throws IOException, InterruptedException {
+    if (hello.outcome() != CallOutcome.ANSWER) {
+      LOG.info("no other process of this front door answers");
+    } else if (hello.reply().status() == 409) {
+      throw new IOException("two processes of this front door run already");
+    } else {
+      try {
+        FrontDoorState state = FrontDoorState.parse(hello.reply().text());
+        loop.submit(() -> restore(state)).sync();
+      } catch (IOException e) {
+        LOG.warning("the other process's state is left aside: " + e.getMessage());
+      }
+    }
+  }
+
+  private void restore(FrontDoorState state) {
+    LOG.info("goes on from the other process: " + state.backendsOut().size()
+        + " backends out, clients sent away: "
+        + state.clientsSentAway());
+    roster.inherit(state.backendsOut());
+    if (state.clientsSentAway()) {
+      drain();
+    }
+  }
+
+  /** Whether it starts beside a process that serves; for any thread. */
+  boolean isStartedSecond() {
+    return startedSecond;
+  }
+
+  /** Names this process to the next one; not for the loop's thread. */
+  void writeProcessFile() {
+    processFile.write(address());
+  }
+
+  /** Tells the other process, if there is one, that this one takes clients; then it may be found. */
+  void announceServing(Runnable then) {
+    Runnable serving = () -> {
+      discoverable = true;
+      then.run();
+    };
+    if (otherProcess == null) {
+      serving.run();
+    } else {
+      otherProcess.announce(address(), true, end -> serving.run());
+    }
+  }
+
+  /** The process has been told to end; true if another one takes its clients. */
+  boolean beginShutdown() {
+    shuttingDown = true;
+    boolean otherServes = otherProcess != null && otherProcess.isServing();
+    if (otherServes) {
+      budget.setShare(LEAVING_PROCESS_SHARE);
+    }
+    return otherServes;
+  }
+
+  private void setOtherProcess(InetSocketAddress other) {
+    otherProcess = new PeerProcess(loop, managementClient, other, this::onOtherLost);
+    budget.setShare(startedSecond ? SECOND_PROCESS_SHARE : FIRST_PROCESS_SHARE);
+  }
+
+  private void onOtherLost(PeerProcess lost) {
+    if (lost == otherProcess) {
+      otherProcess = null;
+      startedSecond = false;
+      budget.setShare(1);
+      if (discoverable && !shuttingDown) {
+        Thread writer = new Thread(this::writeProcessFile, "process-file");
+        writer.setDaemon(true);
+        writer.start();
+      }
+    }
+  }
+
+  @Override
+  public boolean ready() {
+    return discoverable && !shuttingDown && door.knowsBackends();
+  }
+
+  @Override
+  public Reply hello(String at, boolean serves) {
+    InetSocketAddress other = EndpointUpdate.parseAddress(at);
+    if (other == null || other.getPort() == 0 || other.equals(address())) {
+      return new Reply(400, "expected the address of another process, found '" + at + "'");
+    }
+    if (otherProcess != null && !otherProcess.address().equals(other)) {
+      return new Reply(409, "two processes of this front door run already");
+    }
+    if (otherProcess == null) {
+      setOtherProcess(other);
+    }
+    if (serves) {
+      otherProcess.markServing();
+    }
+    return Reply.ok(new FrontDoorState(drainedByOperator, roster.backendsOut()).format());
+  }
+
+  @Override
+  public void carryOut(ManagementCommand command, boolean forwarded, Consumer<Reply> callback) {
+    Reply localReply = carryOut(command, forwarded);
+    if (otherProcess == null || forwarded || !localReply.isOk()) {
+      callback.accept(localReply);
+    } else {
+      otherProcess.forward(command, localReply, callback);
+    }
+  }
+
+  private Reply carryOut(ManagementCommand command, boolean forwarded) {
+    if (command instanceof ManagementCommand.Drain) {
+      drain();
+      return Reply.ok("draining");
+    }
+    if (command instanceof ManagementCommand.Undrain) {
+      undrain();
+      return Reply.ok("serving");
+    }
+    if (command instanceof ManagementCommand.Disable o) {
+      if (forwarded) {
+        // It is known to the other process; the list here may be older.
+        roster.inherit(List.of(new DisabledBackend(EndpointUpdate.idOf(o.member()), door.now())));
+        return Reply.ok("out: " + o.member());
+      }
+      return roster.takeOut(o.member()) ? Reply.ok("out: " + o.member()) : unknownBackend(o.member());
+    }
+    ManagementCommand.Enable o = (ManagementCommand.Enable) command;
+    return roster.putBack(o.member()) ? Reply.ok("back: " + o.member()) : unknownBackend(o.member());
+  }
+
+  private static Reply unknownBackend(String member) {
+    return new Reply(404, "no backend " + member + " is listed");
+  }
+
+  /** As before an end, but nothing ends but the clients' connections. */
+  private void drain() {
+    if (!drainedByOperator) {
+      drainedByOperator = true;
+      if (!shuttingDown) {
+        door.beginDrain();
+        clients.closeIdleConnections(ClientServer.DRAIN_CLOSE_AFTER_MS);
+      }
+    }
+  }
+
+  /** They may come back; a process that is ending goes on doing so. */
+  private void undrain() {
+    if (drainedByOperator) {
+      drainedByOperator = false;
+      if (!shuttingDown) {
+        clients.closeIdleConnections(Double.NaN);
+        door.resume();
+      }
+    }
+  }
+}
