--- a/door/src/main/java/willowdoor/net/ModuleDriver.java
+++ b/door/src/main/java/willowdoor/net/ModuleDriver.java
@@ -23,7 +23,7 @@
 import willowdoor.policy.GatewayApi.CounterReplaced;
 import willowdoor.policy.GatewayApi.Event;
 import willowdoor.policy.GatewayApi.Fail;
-import willowdoor.policy.GatewayApi.Foresee;
+import willowdoor.policy.GatewayApi.PreCheck;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Refuse;
 import willowdoor.policy.GatewayApi.Request;
@@ -33,7 +33,7 @@
 import willowdoor.policy.GatewayApi.Status;
 import willowdoor.policy.GatewayApi.WakeAt;
 import willowdoor.policy.GatewayApi.Woken;
-import willowdoor.policy.Learned;
+import willowdoor.policy.LearnedState;
 import willowdoor.policy.QuotaPolicy;
 
 /**
@@ -44,9 +44,9 @@
 
   private static final Logger LOG = Logger.getLogger(ModuleDriver.class.getName());
   /** The last moment for a final answer, ahead of the client's own: later than any answer of the module. */
-  private static final double LAST_CALL_MS = 6;
+  private static final double FINAL_ANSWER_MARGIN_MS = 6;
   /** A module that failed on its wake-up is woken again after this. */
-  private static final long WAKE_AGAIN_MS = 100;
+  private static final long WAKE_RETRY_MS = 100;
 
   /** Who waits for the one final answer. */
   interface Client {
@@ -55,7 +55,7 @@
      *
      * @param rest its body, as it comes; null when the answer is whole
      */
-    void served(FullHttpResponse answer, HttpHeaders more, AnswerPipe rest);
+    void served(FullHttpResponse answer, HttpHeaders extraHeaders, AnswerPipe rest);
 
     void refused(double holdOffMs);
 
@@ -67,65 +67,65 @@
     }
 
     /** Whether it has left, also if that has not been read yet. */
-    default boolean gone() {
+    default boolean isGone() {
       return false;
     }
 
     /** What a gate may look at. */
-    default Gate.Origin origin() {
-      return new Gate.Origin(EmptyHttpHeaders.INSTANCE, null);
+    default RequestFilter.Origin origin() {
+      return new RequestFilter.Origin(EmptyHttpHeaders.INSTANCE, null);
     }
   }
 
   /** One request from its taking until it is answered and none of its attempts is out. */
-  private final class Live {
+  private final class RequestState {
     final Request request;
     final FullHttpRequest message;
     final Client client;
     final List<Attempt> attempts = new ArrayList<>(1);
-    Future<?> lastCall;
+    Future<?> finalAnswerTimer;
     boolean finished;
-    int out;
+    int attemptsInFlight;
     /** True while the gate has it: the module has not heard of it. */
-    boolean atGate;
+    boolean inFilter;
     /** True while the gate takes it; and whether it let it pass meanwhile. */
-    boolean entering;
-    boolean passed;
+    boolean enteringFilter;
+    boolean passedFilter;
     /** Null unless it entered the gate, and once the gate has heard of its end. */
-    Gate.Entry entry;
-    Gate.End end;
-    double takenMs;
-    HttpHeaders forClient;
+    RequestFilter.FilteredRequest filtered;
+    RequestFilter.RequestEnd end;
+    double acceptedMs;
+    HttpHeaders responseHeaders;
 
-    Live(Request request, FullHttpRequest message, Client client) {
+    RequestState(Request request, FullHttpRequest message, Client client) {
       this.request = request;
       this.message = message;
       this.client = client;
     }
 
     /** Marks the final answer; true for the first caller only. */
-    boolean finish(Gate.End how) {
+    boolean finish(RequestFilter.RequestEnd requestEnd) {
       if (finished) {
         return false;
       }
       finished = true;
-      lastCall.cancel(false);
-      end = how;
-      RequestLog.note(request.id(), "ended", "how", how, "after_ms", clock.now() - takenMs,
-          "attempts", attempts.size(), "in_flight", out);
-      if (ends != null) {
-        ends.ended(request, how, clock.now() - takenMs);
+      finalAnswerTimer.cancel(false);
+      end = requestEnd;
+      RequestLog.note(request.id(), "ended", "how", requestEnd, "after_ms", clock.now() - acceptedMs,
+          "attempts", attempts.size(), "in_flight", attemptsInFlight);
+      if (endListener != null) {
+        endListener.onRequestEnd(request, requestEnd, clock.now() - acceptedMs);
       }
-      tellGate();
+      notifyFilter();
       return true;
     }
 
-    void tellGate() {
-      if (entry != null) {
-        Gate.Entry told = entry;
-        entry = null;
+    void notifyFilter() {
+      if (filtered != null) {
+        RequestFilter.FilteredRequest notified = filtered;
+        filtered = null;
         try {
-          told.ended(end);
+          notified.onEnd(end);
         } catch (RuntimeException e) {
           LOG.log(Level.SEVERE, "the gate failed at the end of " + request.id(), e);
         }
@@ -133,7 +133,7 @@
     }
 
     /** Ends what has not reached its backend whole: nobody waits for it any more, and it has not run. */
-    void withdrawUnsent() {
+    void abandonUnsent() {
       for (Attempt attempt : List.copyOf(attempts)) {
         if (!attempt.written) {
           attempt.abandon(Status.NOT_SENT);
@@ -142,9 +142,9 @@
     }
 
     /** A request stays in the table while an attempt of it is out: the module still gets that outcome. */
-    void forgetIfDone() {
-      if (finished && out == 0 && live.remove(request.id(), this)) {
-        heldBytes -= message.content().readableBytes();
+    void removeIfDone() {
+      if (finished && attemptsInFlight == 0 && requests.remove(request.id(), this)) {
+        heldBodyBytes -= message.content().readableBytes();
         message.release();
       }
     }
@@ -155,17 +155,17 @@
   private final QuotaPolicy policy;
   private final BackendPool backends;
   private CounterStore counter;
-  private Gate gate;
+  private RequestFilter filter;
   /** Null where nobody listens. */
-  private Ends ends;
+  private RequestEndListener endListener;
   /** Null where firms' ceilings are used together by the shared count. */
-  private CeilingShares ceilings;
-  private final Map<String, Live> live = new HashMap<>();
-  private final ArrayDeque<Event> inbox = new ArrayDeque<>();
-  private int heldBytes;
+  private CeilingShares ceilingShares;
+  private final Map<String, RequestState> requests = new HashMap<>();
+  private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
+  private int heldBodyBytes;
   private boolean delivering;
   /** The process is about to end: nobody would answer what it took now. */
-  private boolean ended;
+  private boolean closed;
 
   ModuleDriver(EventLoop loop, Clock clock, QuotaPolicy policy, BackendPool backends) {
     this.loop = loop;
@@ -174,164 +174,166 @@
     this.backends = backends;
   }
 
-  void start(CounterStore counter, EndpointUpdate known) {
+  void start(CounterStore counter, EndpointUpdate remembered) {
     this.counter = counter;
     policy.start(clock.now()).forEach(this::execute);
-    backends.onRoster(known);
-    deliver(new Roster(RosterForm.REMEMBERED, known.entries()));
+    backends.onRoster(remembered);
+    deliver(new Roster(RosterForm.REMEMBERED, remembered.entries()));
   }
 
   /** Has requests pass a gate from here on; null has none. */
-  void guard(Gate other) {
-    gate = other;
+  void setFilter(RequestFilter requestFilter) {
+    filter = requestFilter;
   }
 
   /** Has each request's end told; null has none. */
-  void listen(Ends other) {
-    ends = other;
+  void setEndListener(RequestEndListener listener) {
+    endListener = listener;
   }
 
   /** The part of a customer's use that comes through this door. */
-  double through(Request request) {
-    return policy.through(request.customer(), request.entryPoints());
+  double trafficShare(Request request) {
+    return policy.localUsageShare(request.customer(), request.entryPoints());
   }
 
   /** What it has learned, for the process that takes its place; it owes nothing to shared counts then. */
-  Learned learned() {
-    return Learned.of(policy, clock.now());
+  LearnedState learnedState() {
+    return LearnedState.takeFrom(policy, clock.now());
   }
 
   /** Goes on from what another process had learned so long ago. */
-  void inherit(Learned told, double agoMs) {
-    told.inherit(policy, clock.now(), agoMs);
+  void restoreLearned(LearnedState learned, double ageMs) {
+    learned.restoreInto(policy, clock.now(), ageMs);
   }
 
   /** Has nothing wait at the gate any more, or lets it wait again. */
-  void draining(boolean on) {
-    if (gate != null) {
-      gate.draining(on);
+  void setDraining(boolean draining) {
+    if (filter != null) {
+      filter.setDraining(draining);
     }
   }
 
-  boolean ended() {
-    return ended;
+  boolean isClosed() {
+    return closed;
   }
 
-  int held() {
-    return live.size();
+  int heldRequests() {
+    return requests.size();
   }
 
   /** Bytes of the bodies held. */
-  int heldBytes() {
-    return heldBytes;
+  int heldBodyBytes() {
+    return heldBodyBytes;
   }
 
   boolean holds(String id) {
-    return live.containsKey(id);
+    return requests.containsKey(id);
   }
 
   /** Takes a request; the message is kept until no attempt needs it. */
-  void take(Request request, FullHttpRequest message, Client client) {
-    Live r = new Live(request, message.retain(), client);
-    live.put(request.id(), r);
-    heldBytes += message.content().readableBytes();
-    r.takenMs = clock.now();
-    double left = Math.max(0, request.giveUpMs() - LAST_CALL_MS - r.takenMs);
+  void accept(Request request, FullHttpRequest message, Client client) {
+    RequestState state = new RequestState(request, message.retain(), client);
+    requests.put(request.id(), state);
+    heldBodyBytes += message.content().readableBytes();
+    state.acceptedMs = clock.now();
+    double remainingMs = Math.max(0, request.giveUpMs() - FINAL_ANSWER_MARGIN_MS - state.acceptedMs);
     RequestLog.note(request.id(), "accepted", "class", request.className(), "left_ms",
-        request.giveUpMs() - r.takenMs);
-    r.lastCall = loop.schedule(() -> fail(r), (long) (left * 1000), TimeUnit.MICROSECONDS);
-    if (gate != null && gate.concerns(request)) {
-      enter(r);
+        request.giveUpMs() - state.acceptedMs);
+    state.finalAnswerTimer = loop
+        .schedule(() -> fail(state), (long) (remainingMs * 1000), TimeUnit.MICROSECONDS);
+    if (filter != null && filter.appliesTo(request)) {
+      applyFilter(state);
     } else {
       deliver(request);
     }
   }
 
   /** At the gate, unless the module refuses it by what it knows already: that spares the asking. */
-  private void enter(Live r) {
-    RequestLog.note(r.request.id(), "at gate");
-    r.atGate = true;
-    r.entering = true;
-    if (gate.foresees()) {
-      deliver(new Foresee(r.request));
+  private void applyFilter(RequestState state) {
+    RequestLog.note(state.request.id(), "at gate");
+    state.inFilter = true;
+    state.enteringFilter = true;
+    if (filter.wantsQuotaPrecheck()) {
+      deliver(new PreCheck(state.request));
     }
-    if (r.finished) {
+    if (state.finished) {
       return;
     }
     try {
-      r.entry = gate.enter(r.request, r.message, r.client.origin(), new Gate.Passage() {
+      state.filtered = filter
+          .filter(state.request, state.message, state.client.origin(), new RequestFilter.Continuation() {
         @Override
-        public void pass(HttpHeaders forClient) {
-          if (r.atGate && !r.finished) {
-            r.atGate = false;
-            r.forClient = forClient;
-            r.passed = true;
-            if (!r.entering) {
-              deliver(r.request);
+        public void proceed(HttpHeaders forClient) {
+          if (state.inFilter && !state.finished) {
+            state.inFilter = false;
+            state.responseHeaders = forClient;
+            state.passedFilter = true;
+            if (!state.enteringFilter) {
+              deliver(state.request);
             }
           }
         }
 
         @Override
         public void answer(FullHttpResponse answer) {
-          if (r.atGate && r.finish(Gate.End.ANSWERED_HERE)) {
-            r.client.answered(answer);
-            r.forgetIfDone();
+          if (state.inFilter && state.finish(RequestFilter.RequestEnd.ANSWERED_HERE)) {
+            state.client.answered(answer);
+            state.removeIfDone();
           }
           answer.release();
         }
 
         @Override
         public void refuse(double comeBackMs) {
-          if (r.atGate && r.finish(Gate.End.REFUSED)) {
-            r.client.refused(comeBackMs);
-            r.forgetIfDone();
+          if (state.inFilter && state.finish(RequestFilter.RequestEnd.REFUSED)) {
+            state.client.refused(comeBackMs);
+            state.removeIfDone();
           }
         }
       });
-      r.entering = false;
-      if (r.finished) {
-        r.tellGate();
-      } else if (r.passed) {
-        deliver(r.request);
+      state.enteringFilter = false;
+      if (state.finished) {
+        state.notifyFilter();
+      } else if (state.passedFilter) {
+        deliver(state.request);
       }
     } catch (RuntimeException e) {
-      LOG.log(Level.SEVERE, "the gate failed on " + r.request.id(), e);
-      fail(r);
+      LOG.log(Level.SEVERE, "the gate failed on " + state.request.id(), e);
+      fail(state);
     }
   }
 
   void clientLeft(String id) {
-    Live r = live.get(id);
-    if (r != null) {
-      left(r);
+    RequestState state = requests.get(id);
+    if (state != null) {
+      handleClientLeft(state);
     }
   }
 
-  private void left(Live r) {
-    if (r.finish(Gate.End.LEFT)) {
-      tellLeft(r);
-      r.forgetIfDone();
+  private void handleClientLeft(RequestState state) {
+    if (state.finish(RequestFilter.RequestEnd.LEFT)) {
+      notifyClientLeft(state);
+      state.removeIfDone();
     }
   }
 
-  private void tellLeft(Live r) {
-    if (!r.atGate) {
-      deliver(new ClientLeft(r.request.id()));
+  private void notifyClientLeft(RequestState state) {
+    if (!state.inFilter) {
+      deliver(new ClientLeft(state.request.id()));
     }
-    r.withdrawUnsent();
+    state.abandonUnsent();
   }
 
   @Override
   public void counted(Counted counted) {
-    if (ceilings == null || !ceilings.acceptIfOwn(counted)) {
+    if (ceilingShares == null || !ceilingShares.acceptIfOwn(counted)) {
       deliver(counted);
     }
   }
 
   /** Has firms' ceilings divided among the doors from here on. */
-  void divide(CeilingShares shares) {
-    ceilings = shares;
+  void setCeilingShares(CeilingShares shares) {
+    ceilingShares = shares;
   }
 
   @Override
@@ -346,56 +348,56 @@
 
   /** Fails all that is still unanswered, and takes nothing more: the process is about to end. */
   void failAll() {
-    ended = true;
-    List.copyOf(live.values()).forEach(this::fail);
+    closed = true;
+    List.copyOf(requests.values()).forEach(this::fail);
   }
 
   /**
    * The net under module and gate: a request that they left unanswered fails while its client still listens.
    * At the gate nothing of it has run, so there it is refused.
    */
-  private void fail(Live r) {
-    if (r.finish(r.atGate ? Gate.End.REFUSED : Gate.End.FAILED)) {
-      if (r.atGate) {
-        r.client.refused(0);
+  private void fail(RequestState state) {
+    if (state.finish(state.inFilter ? RequestFilter.RequestEnd.REFUSED : RequestFilter.RequestEnd.FAILED)) {
+      if (state.inFilter) {
+        state.client.refused(0);
       } else {
-        r.client.failed();
+        state.client.failed();
       }
-      tellLeft(r);
-      r.forgetIfDone();
+      notifyClientLeft(state);
+      state.removeIfDone();
     }
   }
 
   /** Whether an attempt is out at the backend. */
-  boolean sendsTo(long backend) {
-    return live.values().stream().flatMap(r -> r.attempts.stream())
+  boolean hasAttemptTo(long backend) {
+    return requests.values().stream().flatMap(r -> r.attempts.stream())
         .anyMatch(a -> a.backendId == backend && !a.ended());
   }
 
   /** Events that come up while an event is worked on wait for their turn: the module is not re-entered. */
   private void deliver(Event event) {
-    inbox.add(event);
+    pendingEvents.add(event);
     if (delivering) {
       return;
     }
     delivering = true;
     try {
-      for (Event e = inbox.poll(); e != null; e = inbox.poll()) {
-        step(e);
+      for (Event e = pendingEvents.poll(); e != null; e = pendingEvents.poll()) {
+        process(e);
       }
     } finally {
       delivering = false;
     }
   }
 
-  private void step(Event event) {
+  private void process(Event event) {
     List<Action> actions;
     try {
-      boolean divided = ceilings != null && event instanceof Request;
-      actions = policy.on(clock.now(), divided ? ceilings.withShare((Request) event) : event);
+      boolean addShare = ceilingShares != null && event instanceof Request;
+      actions = policy.on(clock.now(), addShare ? ceilingShares.withShare((Request) event) : event);
     } catch (RuntimeException e) {
       LOG.log(Level.SEVERE, "the module failed on " + event, e);
-      recover(event);
+      handleModuleFailure(event);
       return;
     }
     for (Action action : actions) {
@@ -408,22 +410,22 @@
   }
 
   /** A fault in the module costs the request it came up with, never the process. */
-  private void recover(Event event) {
+  private void handleModuleFailure(Event event) {
     if (event instanceof Request e) {
-      failId(e.id());
-    } else if (event instanceof Foresee e) {
-      failId(e.request().id());
+      failById(e.id());
+    } else if (event instanceof PreCheck e) {
+      failById(e.request().id());
     } else if (event instanceof Outcome e) {
-      failId(e.request());
+      failById(e.request());
     } else if (event instanceof Woken) {
-      loop.schedule(() -> deliver(event), WAKE_AGAIN_MS, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> deliver(event), WAKE_RETRY_MS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void failId(String id) {
-    Live r = live.get(id);
-    if (r != null) {
-      fail(r);
+  private void failById(String id) {
+    RequestState state = requests.get(id);
+    if (state != null) {
+      fail(state);
     }
   }
 
@@ -433,98 +435,99 @@
     } else if (action instanceof Add a) {
       counter.add(a.name(), a.amount(), a.ttlMs());
     } else if (action instanceof WakeAt a) {
-      wake(a);
+      scheduleWakeUp(a);
     } else if (action instanceof Refuse a) {
-      Live r = live.get(a.request());
-      if (r != null && !r.finished) {
-        RequestLog.note(a.request(), "refused", "spent", a.spent(), "hold_off_ms", a.holdOffMs());
-        double holdOffMs = r.entry == null ? a.holdOffMs() : r.entry.advised(a.spent(), a.holdOffMs());
-        r.finish(Gate.End.REFUSED);
-        r.client.refused(holdOffMs);
-        r.forgetIfDone();
+      RequestState state = requests.get(a.request());
+      if (state != null && !state.finished) {
+        RequestLog.note(a.request(), "refused", "spent", a.quotaExhausted(), "hold_off_ms", a.retryAfterMs());
+        double holdOffMs = state.filtered == null ? a.retryAfterMs()
+            : state.filtered.adviseHoldOff(a.quotaExhausted(), a.retryAfterMs());
+        state.finish(RequestFilter.RequestEnd.REFUSED);
+        state.client.refused(holdOffMs);
+        state.removeIfDone();
       }
     } else if (action instanceof Fail a) {
-      Live r = live.get(a.request());
-      if (r != null && r.finish(Gate.End.FAILED)) {
-        r.client.failed();
-        r.forgetIfDone();
+      RequestState state = requests.get(a.request());
+      if (state != null && state.finish(RequestFilter.RequestEnd.FAILED)) {
+        state.client.failed();
+        state.removeIfDone();
       }
     } else if (action instanceof Cancel a) {
-      Live r = live.get(a.request());
-      if (r != null && a.attempt() < r.attempts.size()) {
-        r.attempts.get(a.attempt()).abandon(Status.CANCELLED);
+      RequestState state = requests.get(a.request());
+      if (state != null && a.attempt() < state.attempts.size()) {
+        state.attempts.get(a.attempt()).abandon(Status.CANCELLED);
       }
     }
     // FollowRoster needs nothing: the list is watched from the start.
   }
 
   /** Never early: the module lets a wake-up pass that comes before its time, and then none would follow. */
-  private void wake(WakeAt a) {
-    double wait = Math.max(0, a.atMs() - clock.now());
-    loop.schedule(() -> deliver(new Woken(a.label())), (long) Math.ceil(wait * 1000) + 1,
+  private void scheduleWakeUp(WakeAt action) {
+    double waitMs = Math.max(0, action.atMs() - clock.now());
+    loop.schedule(() -> deliver(new Woken(action.label())), (long) Math.ceil(waitMs * 1000) + 1,
         TimeUnit.MICROSECONDS);
   }
 
   private void send(Send a) {
-    Live r = live.get(a.request());
-    if (r == null || r.finished) {
-      int attempt = r == null ? 0 : r.attempts.size();
+    RequestState state = requests.get(a.request());
+    if (state == null || state.finished) {
+      int attempt = state == null ? 0 : state.attempts.size();
       deliver(new Outcome(a.request(), attempt, a.backend(), Status.NOT_SENT, 0, true, 0, null));
       return;
     }
-    int number = r.attempts.size();
-    double sentAt = clock.now();
-    double giveUp = r.request.giveUpMs();
-    double deadline = a.timeoutMs() > 0 ? Math.min(sentAt + a.timeoutMs(), giveUp) : giveUp;
-    Attempt attempt = new Attempt(r.message, deadline) {
+    int number = state.attempts.size();
+    double sentMs = clock.now();
+    double giveUpMs = state.request.giveUpMs();
+    double attemptDeadlineMs = a.timeoutMs() > 0 ? Math.min(sentMs + a.timeoutMs(), giveUpMs) : giveUpMs;
+    Attempt attempt = new Attempt(state.message, attemptDeadlineMs) {
       @Override
       AttemptStart startDecision(double nowMs) {
-        return AttemptStart.of(ended(), r.finished, r.client.gone(), deadline - nowMs);
+        return AttemptStart.of(ended(), state.finished, state.client.isGone(), attemptDeadlineMs - nowMs);
       }
 
       @Override
       void onWithheld(AttemptStart reason) {
         if (reason == AttemptStart.CLIENT_GONE) {
-          left(r);
+          handleClientLeft(state);
         }
         super.onWithheld(reason);
       }
 
       @Override
       void onEnd(Status status, FullHttpResponse answer) {
-        attemptEnded(r, number, a.backend(), status, clock.now() - sentAt, answer, restOfAnswer);
+        attemptEnded(state, number, a.backend(), status, clock.now() - sentMs, answer, restOfAnswer);
       }
     };
     attempt.backendId = a.backend();
-    r.attempts.add(attempt);
-    r.out++;
+    state.attempts.add(attempt);
+    state.attemptsInFlight++;
     RequestLog.note(a.request(), "attempt started", "attempt", number,
-        "backend", Long.toHexString(a.backend()), "timeout_ms", deadline - sentAt);
+        "backend", Long.toHexString(a.backend()), "timeout_ms", attemptDeadlineMs - sentMs);
     backends.start(a.backend(), attempt);
   }
 
-  private void attemptEnded(Live r, int number, long backend, Status status, double latencyMs,
+  private void attemptEnded(RequestState state, int number, long backend, Status status, double latencyMs,
       FullHttpResponse answer, AnswerPipe rest) {
-    r.out--;
-    RequestLog.note(r.request.id(), "attempt ended", "attempt", number, "status", status,
-        "after_ms", latencyMs, "request_over", r.finished);
+    state.attemptsInFlight--;
+    RequestLog.note(state.request.id(), "attempt ended", "attempt", number, "status", status,
+        "after_ms", latencyMs, "request_over", state.finished);
     double units = 0;
     if (answer != null) {
-      units = units(answer.headers().get(Headers.UNITS_CHARGED));
-      if (r.entry != null && !r.finished) {
-        r.entry.charged(units);
+      units = parseUnits(answer.headers().get(Headers.UNITS_CHARGED));
+      if (state.filtered != null && !state.finished) {
+        state.filtered.onUnitsCharged(units);
       }
-      if (r.finish(Gate.End.SERVED)) {
-        r.client.served(answer, r.forClient, rest);
+      if (state.finish(RequestFilter.RequestEnd.SERVED)) {
+        state.client.served(answer, state.responseHeaders, rest);
       } else if (rest != null) {
         rest.abort();
       }
     }
-    deliver(new Outcome(r.request.id(), number, backend, status, latencyMs, r.finished, units, null));
-    r.forgetIfDone();
+    deliver(new Outcome(state.request.id(), number, backend, status, latencyMs, state.finished, units, null));
+    state.removeIfDone();
   }
 
-  private static double units(String header) {
+  private static double parseUnits(String header) {
     try {
       double units = header == null ? 0 : Double.parseDouble(header);
       return Double.isFinite(units) && units > 0 ? units : 0;
--- a/door/src/main/java/willowdoor/net/PeerProcess.java
+++ b/door/src/main/java/willowdoor/net/PeerProcess.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
-import willowdoor.management.Caller;
-import willowdoor.management.Caller.Came;
-import willowdoor.management.Caller.End;
-import willowdoor.management.Order;
+import willowdoor.management.ManagementClient;
+import willowdoor.management.ManagementClient.CallOutcome;
+import willowdoor.management.ManagementClient.CallResult;
+import willowdoor.management.ManagementCommand;
 import willowdoor.management.Reply;
 
 /**
@@ -26,14 +26,15 @@
   private static final long HELLO_LIMIT_MS = 1_500;
 
   private final EventLoop loop;
-  private final Caller caller;
+  private final ManagementClient caller;
   private final InetSocketAddress address;
   private final Consumer<PeerProcess> goneListener;
   /** The other process takes clients at the same address as this one. */
   private boolean serving;
   private boolean gone;
 
-  PeerProcess(EventLoop loop, Caller caller, InetSocketAddress address, Consumer<PeerProcess> goneListener) {
+  PeerProcess(EventLoop loop, ManagementClient caller, InetSocketAddress address,
+      Consumer<PeerProcess> goneListener) {
     this.loop = loop;
     this.caller = caller;
     this.address = address;
@@ -59,10 +60,10 @@
    * @param ownAddress management address of this process
    * @param takesClients whether this process takes clients
    */
-  void announce(InetSocketAddress ownAddress, boolean takesClients, Consumer<End> endListener) {
+  void announce(InetSocketAddress ownAddress, boolean takesClients, Consumer<CallResult> endListener) {
     caller.call(address, HttpMethod.POST, "/twin?at=" + ownAddress.getAddress().getHostAddress() + ":"
         + ownAddress.getPort() + "&serves=" + takesClients, HELLO_LIMIT_MS, end -> {
-          if (end.came() == Came.NOBODY) {
+          if (end.outcome() == CallOutcome.NOBODY) {
             markGone();
           }
           endListener.accept(end);
@@ -73,12 +74,12 @@
    * Forwards an order to the other process. The result is this process's own reply, also if the other
    * process has ended, but 503 if the other process does not answer in time.
    */
-  void forward(Order order, Reply ownReply, Consumer<Reply> replyListener) {
+  void forward(ManagementCommand order, Reply ownReply, Consumer<Reply> replyListener) {
     caller.call(address, HttpMethod.POST, order.target(), ORDER_LIMIT_MS, end -> {
-      if (end.came() == Came.NOBODY) {
+      if (end.outcome() == CallOutcome.NOBODY) {
         markGone();
       }
-      replyListener.accept(end.came() == Came.NOTHING
+      replyListener.accept(end.outcome() == CallOutcome.NOTHING
           ? new Reply(503, "the other process of this front door does not answer") : ownReply);
     });
   }
@@ -86,7 +87,7 @@
   private void checkAlive() {
     if (!gone && !loop.isShuttingDown()) {
       caller.call(address, HttpMethod.GET, "/ready", CHECK_INTERVAL_MS, end -> {
-        if (end.came() == Came.NOBODY) {
+        if (end.outcome() == CallOutcome.NOBODY) {
           markGone();
         } else {
           loop.schedule(this::checkAlive, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
--- a/door/src/main/java/willowdoor/net/ReplacedFile.java
+++ b/door/src/main/java/willowdoor/net/ReloadTrigger.java
@@ -12,49 +12,49 @@
  * SIGHUP ignored, as {@code nohup} has it, hands that on to all that it starts, and the JVM holds to it: a
  * handler is never run.
  */
-public final class ReplacedFile {
+public final class ReloadTrigger {
 
-  private static final Logger LOG = Logger.getLogger(ReplacedFile.class.getName());
+  private static final Logger LOG = Logger.getLogger(ReloadTrigger.class.getName());
   /** Well inside the second that a door may take to heed news: the new address may tell some at once. */
-  private static final long LOOK_MS = 200;
+  private static final long POLL_INTERVAL_MS = 200;
 
   /** Which file it is; any part differs after a rename over it or a write into it. */
-  private record Look(Object key, long modifiedNanos, long bytes) { }
+  private record FileVersion(Object key, long modifiedNanos, long bytes) { }
 
   private final Path path;
-  private final Look first;
+  private final FileVersion initialVersion;
 
   /** Remembers the file as it is; to be made before the file is read. */
-  public ReplacedFile(Path path) {
+  public ReloadTrigger(Path path) {
     this.path = path;
-    first = look();
+    initialVersion = readVersion();
   }
 
   /** Whether it is another than at first. */
-  boolean changed() {
-    Look now = look();
-    return now != null && !now.equals(first);
+  boolean hasChanged() {
+    FileVersion current = readVersion();
+    return current != null && !current.equals(initialVersion);
   }
 
   /** Runs the handler at each SIGHUP or, where none can be heard, within 0.2 s of each change of the file. */
-  public void onHangUp(Runnable handler) throws IOException {
+  public void onReload(Runnable handler) throws IOException {
     if (!Signals.handle("HUP", handler)) {
       LOG.info("SIGHUP is ignored by whoever started this process: " + path + " is looked at each "
-          + LOOK_MS + " ms instead");
-      Thread looking = new Thread(() -> run(handler), "replaced-file");
-      looking.setDaemon(true);
-      looking.start();
+          + POLL_INTERVAL_MS + " ms instead");
+      Thread poller = new Thread(() -> poll(handler), "replaced-file");
+      poller.setDaemon(true);
+      poller.start();
     }
   }
 
-  private void run(Runnable handler) {
-    Look before = first;
+  private void poll(Runnable handler) {
+    FileVersion previous = initialVersion;
     try {
       while (true) {
-        Thread.sleep(LOOK_MS);
-        Look now = look();
-        if (now != null && !now.equals(before)) {
-          before = now;
+        Thread.sleep(POLL_INTERVAL_MS);
+        FileVersion current = readVersion();
+        if (current != null && !current.equals(previous)) {
+          previous = current;
           handler.run();
         }
       }
@@ -64,11 +64,11 @@
   }
 
   /** Null where there is none at this moment. */
-  private Look look() {
+  private FileVersion readVersion() {
     try {
-      BasicFileAttributes a = Files.readAttributes(path, BasicFileAttributes.class);
-      return new Look(Objects.requireNonNullElse(a.fileKey(), path),
-          a.lastModifiedTime().to(java.util.concurrent.TimeUnit.NANOSECONDS), a.size());
+      BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
+      return new FileVersion(Objects.requireNonNullElse(attributes.fileKey(), path),
+          attributes.lastModifiedTime().to(java.util.concurrent.TimeUnit.NANOSECONDS), attributes.size());
     } catch (IOException e) {
       return null;
     }
--- a/door/src/main/java/willowdoor/net/Gate.java
+++ b/door/src/main/java/willowdoor/net/RequestFilter.java
@@ -12,10 +12,10 @@
  * let pass never comes back to it, however many attempts it takes. All on the door's loop. A door without a
  * gate makes no object and takes no step for it.
  */
-public interface Gate {
+public interface RequestFilter {
 
   /** How a request that entered ended. */
-  enum End {
+  enum RequestEnd {
     /** With a backend's answer. */
     SERVED,
     /** Refused: asking again is harmless. */
@@ -29,57 +29,57 @@
   }
 
   /** What a request came with that does not go on to a backend. */
-  record Origin(HttpHeaders headers, SocketAddress source) { }
+  record Origin(HttpHeaders headers, SocketAddress remoteAddress) { }
 
   /** The ways on; the first call counts, and none does after the request's end. */
-  interface Passage {
+  interface Continuation {
     /**
      * It goes on, with the message as the gate left its headers.
      *
-     * @param forClient headers that its answer carries if a backend serves it; may be null
+     * @param responseHeaders headers that its answer carries if a backend serves it; may be null
      */
-    void pass(HttpHeaders forClient);
+    void proceed(HttpHeaders responseHeaders);
 
     /** Its final answer, which is the gate's own; the driver releases it. */
     void answer(FullHttpResponse answer);
 
     /** It is refused: nothing of it has run. 0 gives no advice when to come back. */
-    void refuse(double comeBackMs);
+    void refuse(double retryAfterMs);
   }
 
   /** A request that entered. */
-  interface Entry {
+  interface FilteredRequest {
     /** It has its final answer or its client left; called once, whether it had passed or not. */
-    void ended(End end);
+    void onEnd(RequestEnd end);
 
     /** A backend's answer says what it truly cost, in units; told before its end. */
-    default void charged(double units) {
+    default void onUnitsCharged(double units) {
     }
 
     /**
      * The module refuses it; told before its end.
      *
-     * @param spent for its firm's sake, whose quota or ceiling is used up
+     * @param limitReached for its firm's sake, whose quota or ceiling is used up
      * @param holdOffMs what the module advises; 0 where nothing may be advised
      * @return what is advised
      */
-    default double advised(boolean spent, double holdOffMs) {
+    default double adviseHoldOff(boolean limitReached, double holdOffMs) {
       return holdOffMs;
     }
   }
 
   /** Whether this gate wants to see such a request at all. */
-  boolean concerns(Request request);
+  boolean appliesTo(Request request);
 
   /** Whether what the module would refuse by what it knows already is to be refused before it enters. */
-  default boolean foresees() {
+  default boolean wantsQuotaPrecheck() {
     return true;
   }
 
   /** Nothing may wait here from now on, as the door drains; or, with false, it serves on after all. */
-  default void draining(boolean on) {
+  default void setDraining(boolean draining) {
   }
 
   /** Takes a request that concerns it. The message is only lent, until the request passes or ends. */
-  Entry enter(Request request, FullHttpRequest message, Origin origin, Passage passage);
+  FilteredRequest filter(Request request, FullHttpRequest message, Origin origin, Continuation continuation);
 }
--- a/door/src/main/java/willowdoor/net/RequestLog.java
+++ b/door/src/main/java/willowdoor/net/RequestLog.java
@@ -16,7 +16,7 @@
   private RequestLog() {
   }
 
-  static boolean on() {
+  static boolean isEnabled() {
     return LOG.isLoggable(Level.FINE);
   }
 
@@ -28,7 +28,7 @@
    * @param details names and values by turns
    */
   static void note(String id, String change, Object... details) {
-    if (!on()) {
+    if (!isEnabled()) {
       return;
     }
     StringBuilder line = new StringBuilder(96).append("request=").append(id).append(' ').append(change);
--- a/door/src/main/java/willowdoor/net/RequestReader.java
+++ b/door/src/main/java/willowdoor/net/RequestReader.java
@@ -15,86 +15,89 @@
 /** Reads a client's message as a request for the module; what is not one is refused here with its reason. */
 final class RequestReader {
 
-  private static final int MOST_ID = 128;
-  private static final long CUSTOMERS = 1L << 33;
-  private static final int MOST_HOST = 255;
+  private static final int MAX_ID_LENGTH = 128;
+  private static final long CUSTOMER_ID_LIMIT = 1L << 33;
+  private static final int MAX_HOST_LENGTH = 255;
 
   /** A message that is no request of this protocol. */
   static final class BadRequest extends Exception {
     private static final long serialVersionUID = 1;
-    private final boolean framed;
+    private final boolean framingReliable;
 
     BadRequest(String reason) {
       this(reason, true);
     }
 
-    BadRequest(String reason, boolean framed) {
+    BadRequest(String reason, boolean framingReliable) {
       super(reason, null, false, false);
-      this.framed = framed;
+      this.framingReliable = framingReliable;
     }
 
     /** False when another reader may see other requests in the same bytes: the connection has to end. */
-    boolean framed() {
-      return framed;
+    boolean isFramingReliable() {
+      return framingReliable;
     }
   }
 
   private final Map<String, RequestClass> classes = new HashMap<>();
   private final Map<String, ?> plans;
   private final int gateways;
-  private final int self;
-  private final double mostUnits;
+  private final int selfIndex;
+  private final double maxUnits;
 
   RequestReader(Settings settings) {
     settings.classes().forEach(c -> classes.put(c.name(), c));
-    Map<String, Object> named = new HashMap<>();
-    settings.plans().forEach(p -> named.put(p.name(), p));
-    plans = named;
+    Map<String, Object> plansByName = new HashMap<>();
+    settings.plans().forEach(p -> plansByName.put(p.name(), p));
+    plans = plansByName;
     gateways = settings.gateways();
-    self = settings.self();
-    mostUnits = settings.maxUnits() > 0 ? settings.maxUnits() : Double.POSITIVE_INFINITY;
+    selfIndex = settings.selfIndex();
+    maxUnits = settings.maxUnits() > 0 ? settings.maxUnits() : Double.POSITIVE_INFINITY;
   }
 
   Request read(FullHttpRequest message, double now) throws BadRequest {
     HttpHeaders headers = message.headers();
-    if (headers.contains(HttpHeaderNames.HOST) && text(headers, HttpHeaderNames.HOST).length() > MOST_HOST) {
+    if (headers.contains(HttpHeaderNames.HOST)
+        && requiredHeader(headers, HttpHeaderNames.HOST).length() > MAX_HOST_LENGTH) {
       throw new BadRequest("Host is too long");
     }
-    String id = text(headers, Headers.REQUEST_ID);
-    if (id.length() > MOST_ID) {
+    String id = requiredHeader(headers, Headers.REQUEST_ID);
+    if (id.length() > MAX_ID_LENGTH) {
       throw new BadRequest("Request-Id is too long");
     }
-    RequestClass type = classes.get(text(headers, Headers.REQUEST_CLASS));
-    if (type == null || !type.name().equals(firstPart(message.uri()))) {
+    RequestClass requestClass = classes.get(requiredHeader(headers, Headers.REQUEST_CLASS));
+    if (requestClass == null || !requestClass.name().equals(firstPathSegment(message.uri()))) {
       throw new BadRequest("unknown class");
     }
-    boolean safe = type.repeat() == Repeat.SAFE;
+    boolean safe = requestClass.repeat() == Repeat.SAFE;
     if (!message.method().equals(safe ? HttpMethod.GET : HttpMethod.POST)) {
       throw new BadRequest("method does not fit the class");
     }
-    if (type.repeat() == Repeat.KEYED) {
-      text(headers, Headers.IDEMPOTENCY_KEY);
+    if (requestClass.repeat() == Repeat.KEYED) {
+      requiredHeader(headers, Headers.IDEMPOTENCY_KEY);
     }
-    String plan = text(headers, Headers.PLAN);
+    String plan = requiredHeader(headers, Headers.PLAN);
     if (!plans.containsKey(plan)) {
       throw new BadRequest("unknown plan");
     }
-    double timeout = number(text(headers, Headers.TIMEOUT_MS), 10, Headers.TIMEOUT_MS);
-    if (timeout <= 0 || timeout > Math.ceil(type.deadlineMs())) {
+    double timeout = parseNumber(requiredHeader(headers, Headers.TIMEOUT_MS), 10, Headers.TIMEOUT_MS);
+    if (timeout <= 0 || timeout > Math.ceil(requestClass.deadlineMs())) {
       throw new BadRequest("Request-Timeout-Ms is out of range");
     }
-    long customer = number(text(headers, Headers.CUSTOMER), 16, Headers.CUSTOMER);
-    if (customer >= CUSTOMERS) {
+    long customer = parseNumber(requiredHeader(headers, Headers.CUSTOMER), 16, Headers.CUSTOMER);
+    if (customer >= CUSTOMER_ID_LIMIT) {
       throw new BadRequest("X-Customer is out of range");
     }
-    return quota(text(headers, Headers.QUOTA), id, type.name(), plan, customer, now + timeout);
+    return readQuota(requiredHeader(headers, Headers.QUOTA), id, requestClass.name(), plan, customer,
+        now + timeout);
   }
 
   /**
    * The field {@code units=2,spread=3,first=1}. What is out of range is refused, not clipped: the request may
    * bear another customer's name, and that customer's account must not move by it.
    */
-  private Request quota(String field, String id, String type, String plan, long customer, double giveUpMs)
+  private Request readQuota(String field, String id, String className, String plan, long customer,
+      double giveUpMs)
       throws BadRequest {
     long units = 0;
     long spread = 0;
@@ -102,7 +105,7 @@
     for (String part : field.split(",", -1)) {
       int equals = part.indexOf('=');
       String name = equals < 0 ? "" : part.substring(0, equals).trim();
-      long value = number(part.substring(equals + 1).trim(), 10, Headers.QUOTA);
+      long value = parseNumber(part.substring(equals + 1).trim(), 10, Headers.QUOTA);
       switch (name) {
         case "units" -> units = value;
         case "spread" -> spread = value;
@@ -110,16 +113,17 @@
         default -> throw new BadRequest("X-Quota is broken");
       }
     }
-    if (units <= 0 || units > mostUnits || spread <= 0 || spread > gateways || first < 0
+    if (units <= 0 || units > maxUnits || spread <= 0 || spread > gateways || first < 0
         || first >= gateways) {
       throw new BadRequest("X-Quota is out of range");
     }
-    int place = Math.floorMod(self - (int) first, gateways);
-    return new Request(id, type, plan, customer, (int) spread, units, giveUpMs, place < spread ? place : -1,
+    int position = Math.floorMod(selfIndex - (int) first, gateways);
+    return new Request(id, className, plan, customer, (int) spread, units, giveUpMs,
+        position < spread ? position : -1,
         null);
   }
 
-  private static String firstPart(String uri) throws BadRequest {
+  private static String firstPathSegment(String uri) throws BadRequest {
     for (int i = 0; i < uri.length(); i++) {
       if (uri.charAt(i) <= ' ' || uri.charAt(i) > '~') {
         throw new BadRequest("path is not plain ASCII");
@@ -132,7 +136,7 @@
     return uri.startsWith("/") ? uri.substring(1, end) : "";
   }
 
-  private static String text(HttpHeaders headers, CharSequence name) throws BadRequest {
+  private static String requiredHeader(HttpHeaders headers, CharSequence name) throws BadRequest {
     Iterator<String> values = headers.valueStringIterator(name);
     String value = values.hasNext() ? values.next() : "";
     if (value.isEmpty()) {
@@ -144,7 +148,7 @@
     return value;
   }
 
-  private static long number(String text, int radix, CharSequence name) throws BadRequest {
+  private static long parseNumber(String text, int radix, CharSequence name) throws BadRequest {
     try {
       long value = text.length() > 16 ? -1 : Long.parseLong(text, radix);
       if (value >= 0 && Character.digit(text.charAt(0), radix) >= 0 && text.charAt(0) < 128) {
--- a/door/src/main/java/willowdoor/net/Signals.java
+++ b/door/src/main/java/willowdoor/net/Signals.java
@@ -23,14 +23,14 @@
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> type = Class.forName("sun.misc.SignalHandler");
-      Object handling = Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {type},
+      Object handlerProxy = Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {type},
           (proxy, method, arguments) -> {
             handler.run();
             return null;
           });
-      Object before = signal.getMethod("handle", signal, type)
-          .invoke(null, signal.getConstructor(String.class).newInstance(name), handling);
-      return before != type.getField("SIG_IGN").get(null);
+      Object previous = signal.getMethod("handle", signal, type)
+          .invoke(null, signal.getConstructor(String.class).newInstance(name), handlerProxy);
+      return previous != type.getField("SIG_IGN").get(null);
     } catch (ReflectiveOperationException e) {
       throw new IOException("cannot handle SIG" + name, e);
     }
--- a/door/src/main/java/willowdoor/net/Transport.java
+++ b/door/src/main/java/willowdoor/net/Transport.java
@@ -30,16 +30,16 @@
   private static final int TCP_CLOSE = 7;
   private static final int TCP_CLOSE_WAIT = 8;
 
-  static final Transport BEST = Epoll.isAvailable()
+  static final Transport PREFERRED = Epoll.isAvailable()
       ? new Transport(EpollIoHandler.newFactory(), EpollSocketChannel.class, EpollServerSocketChannel.class)
       : new Transport(NioIoHandler.newFactory(), NioSocketChannel.class, NioServerSocketChannel.class);
 
   /** More than one process may listen at the address. */
-  static final ChannelOption<Boolean> SHARED = Epoll.isAvailable() ? EpollChannelOption.SO_REUSEPORT
+  static final ChannelOption<Boolean> REUSE_PORT = Epoll.isAvailable() ? EpollChannelOption.SO_REUSEPORT
       : NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
 
   /** A server socket's channel on a descriptor that listens already; for epoll alone. */
-  static ServerChannel listening(int descriptor) {
+  static ServerChannel adoptServerSocket(int descriptor) {
     if (!Epoll.isAvailable()) {
       throw new ChannelException("a listening socket can be taken over with epoll only");
     }
@@ -55,7 +55,7 @@
    * Whether the peer is known to have closed, reset or ended its sending, by the kernel's word where it
    * tells: a loop that was held up has not read it yet.
    */
-  static boolean peerGone(Channel channel) {
+  static boolean isPeerGone(Channel channel) {
     if (!channel.isActive()) {
       return true;
     }
@@ -71,7 +71,7 @@
    * For how long the newest bytes of a connection had been with the kernel, in milliseconds; 0 where it does
    * not tell. A loop that is short of CPU reads late, and only the kernel knows how late.
    */
-  static double waitedMs(Channel channel) {
+  static double kernelWaitMs(Channel channel) {
     try {
       return channel instanceof EpollSocketChannel socket ? socket.tcpInfo().lastDataRecv() : 0;
     } catch (ChannelException e) {
--- a/door/src/main/java/willowdoor/net/WarmUp.java
+++ b/door/src/main/java/willowdoor/net/WarmUp.java
@@ -33,19 +33,19 @@
 
   private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
   /** What the compiler counts to before it compiles a method (200), twice. */
-  static final int REQUESTS = 400;
+  static final int MAX_REQUESTS = 400;
   /** A start is worth so much more time at most: a restarted door is missed for as long. */
-  static final double LIMIT_MS = 700;
+  static final double TIME_LIMIT_MS = 700;
   /**
    * The same for one that starts beside a process that serves: nobody misses it yet, clients come to it
    * all at once, and its yes is due within 6 s.
    */
-  static final int REQUESTS_BESIDE = 4_000;
-  static final double LIMIT_BESIDE_MS = 2_500;
+  static final int MAX_REQUESTS_SECOND_PROCESS = 4_000;
+  static final double TIME_LIMIT_SECOND_PROCESS_MS = 2_500;
   private static final int BACKENDS = 8;
   private static final int CUSTOMERS = 50;
   /** Requests on one connection. */
-  private static final int KEPT_FOR = 10;
+  private static final int REQUESTS_PER_CONNECTION = 10;
 
   private final Config config;
   private final Clock clock = new Clock();
@@ -61,41 +61,41 @@
 
   /** Stops after the limit in any case; gives how many requests were served. */
   int run(double limitMs) {
-    return run(limitMs, REQUESTS);
+    return run(limitMs, MAX_REQUESTS);
   }
 
   /** The same with so many requests at the most. */
   int run(double limitMs, int requests) {
     try {
-      exchange(clock.now() + limitMs, requests);
+      sendRequests(clock.now() + limitMs, requests);
     } catch (RuntimeException e) {
       LOG.log(Level.WARNING, "not warmed up", e);
     }
     return served;
   }
 
-  private void exchange(double until, int requests) {
-    Places places = new Places(Integer.MAX_VALUE / 2);
+  private void sendRequests(double untilMs, int requests) {
+    ConnectionBudget budget = new ConnectionBudget(Integer.MAX_VALUE / 2);
     BackendPool pool = new BackendPool(loop, clock, (address, handler) -> open(backends, handler),
-        config.idleLimitMs(), places);
+        config.idleTimeoutMs(), budget);
     ModuleDriver driver = new ModuleDriver(loop, clock, new QuotaPolicy(config.settings(), 1), pool);
     ClientServer clients = new ClientServer(loop, clock, driver, pool, new RequestReader(config.settings()),
-        config.limits(), places);
+        config.limits(), budget);
     CounterClient counter = new CounterClient(loop, clock, (address, handler) -> open(counters, handler),
-        config.discovery(), config.settings().allowed().countLimitMs(), driver::counted);
+        config.discovery(), config.settings().capabilities().counterTimeoutMs(), driver::counted);
     counter.start();
     driver.start(counter, roster());
-    for (int i = 0; i < requests && clock.now() < until; i += KEPT_FOR) {
+    for (int i = 0; i < requests && clock.now() < untilMs; i += REQUESTS_PER_CONNECTION) {
       EmbeddedChannel client = new EmbeddedChannel(new ChannelInitializer<Channel>() {
         @Override
         protected void initChannel(Channel channel) {
           clients.adopt(channel);
         }
       });
-      for (int k = 0; k < KEPT_FOR; k++) {
+      for (int k = 0; k < REQUESTS_PER_CONNECTION; k++) {
         client.writeInbound(text(request(i + k)));
-        answer(counters, "ok 1\r\n");
-        answer(backends, "HTTP/1.1 200 OK\r\nX-Units-Charged: 1\r\nContent-Length: 4\r\n\r\nfine");
+        answerPending(counters, "ok 1\r\n");
+        answerPending(backends, "HTTP/1.1 200 OK\r\nX-Units-Charged: 1\r\nContent-Length: 4\r\n\r\nfine");
         ByteBuf answered = client.readOutbound();
         served += answered != null && answered.toString(StandardCharsets.US_ASCII).startsWith("HTTP/1.1 200")
             ? 1 : 0;
@@ -110,20 +110,20 @@
     counters.forEach(Channel::close);
   }
 
-  private static ChannelFuture open(List<EmbeddedChannel> among, ChannelHandler handler) {
+  private static ChannelFuture open(List<EmbeddedChannel> channels, ChannelHandler handler) {
     EmbeddedChannel channel = new EmbeddedChannel(handler);
-    among.add(channel);
+    channels.add(channel);
     return channel.newSucceededFuture();
   }
 
   /** Answers on each connection on which something was asked. */
-  private static void answer(List<EmbeddedChannel> among, String with) {
-    for (EmbeddedChannel channel : List.copyOf(among)) {
+  private static void answerPending(List<EmbeddedChannel> channels, String response) {
+    for (EmbeddedChannel channel : List.copyOf(channels)) {
       if (channel.releaseOutbound()) {
-        channel.writeInbound(text(with));
+        channel.writeInbound(text(response));
       }
     }
-    among.removeIf(channel -> !channel.isActive());
+    channels.removeIf(channel -> !channel.isActive());
   }
 
   private static ByteBuf text(String text) {
@@ -132,24 +132,26 @@
 
   private static EndpointUpdate roster() {
     List<BackendEntry> entries = new ArrayList<>();
-    Map<Long, InetSocketAddress> places = new HashMap<>();
+    Map<Long, InetSocketAddress> addresses = new HashMap<>();
     for (long id = 1; id <= BACKENDS; id++) {
       entries.add(new BackendEntry(id, id % 2 == 0 ? "a" : "b", 0, Phase.SERVING, 1, 0));
-      places.put(id, InetSocketAddress.createUnresolved("backend-" + id, 1));
+      addresses.put(id, InetSocketAddress.createUnresolved("backend-" + id, 1));
     }
-    return new EndpointUpdate(1, true, entries, places);
+    return new EndpointUpdate(1, true, entries, addresses);
   }
 
   private String request(int number) {
     List<RequestClass> classes = config.settings().classes();
     List<Plan> plans = config.settings().plans();
-    RequestClass type = classes.get(number % classes.size());
+    RequestClass requestClass = classes.get(number % classes.size());
     Plan plan = plans.get(number / classes.size() % plans.size());
-    boolean safe = type.repeat() == Repeat.SAFE;
-    return (safe ? "GET /" : "POST /") + type.name() + "/1 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: w"
-        + number + "\r\nRequest-Class: " + type.name() + "\r\nX-Plan: " + plan.name() + "\r\nX-Customer: "
+    boolean safe = requestClass.repeat() == Repeat.SAFE;
+    return (safe ? "GET /" : "POST /") + requestClass.name()
+        + "/1 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: w"
+        + number + "\r\nRequest-Class: " + requestClass.name() + "\r\nX-Plan: " + plan.name()
+        + "\r\nX-Customer: "
         + String.format("%016x", number % CUSTOMERS) + "\r\nRequest-Timeout-Ms: "
-        + (long) Math.max(1, type.deadlineMs()) + "\r\nIdempotency-Key: w" + number
+        + (long) Math.max(1, requestClass.deadlineMs()) + "\r\nIdempotency-Key: w" + number
         + "\r\nX-Quota: units=1,spread=1,first=0" + (safe ? "" : "\r\nContent-Length: 4") + "\r\n\r\n"
         + (safe ? "" : "body");
   }
--- a/door/src/main/java/willowdoor/wire/JsonFields.java
+++ b/door/src/main/java/willowdoor/wire/JsonFields.java
@@ -59,8 +59,8 @@
     return number(fields, name, 0);
   }
 
-  public static double number(Map<String, Object> fields, String name, double absent) {
-    return fields.get(name) instanceof Number n ? n.doubleValue() : absent;
+  public static double number(Map<String, Object> fields, String name, double defaultValue) {
+    return fields.get(name) instanceof Number n ? n.doubleValue() : defaultValue;
   }
 
   public static boolean flag(Map<String, Object> fields, String name) {
--- a/door/src/test/java/willowdoor/net/BackendPoolTest.java
+++ b/door/src/test/java/willowdoor/net/BackendPoolTest.java
@@ -35,7 +35,7 @@
 @Timeout(30)
 class BackendPoolTest {
 
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.PREFERRED.ioHandler());
   private final EventLoop loop = group.next();
   private final BlockingQueue<Status> ends = new LinkedBlockingQueue<>();
 
@@ -46,7 +46,7 @@
 
   private BackendPool pool(int places, int port) {
     BackendPool pool = new BackendPool(loop, new Clock(), Dialer.sockets(loop, 5_000), 10_000,
-        new Places(places));
+        new ConnectionBudget(places));
     pool.onRoster(new EndpointUpdate(1, true, List.of(new BackendEntry(1, "a", 0, Phase.SERVING, 1, 0)),
         Map.of(1L, new InetSocketAddress(InetAddress.getLoopbackAddress(), port))));
     return pool;
--- a/door/src/test/java/willowdoor/net/BadClientTest.java
+++ b/door/src/test/java/willowdoor/net/BadClientTest.java
@@ -17,9 +17,10 @@
 @Timeout(40)
 class BadClientTest {
 
-  private static final long OWED_NANOS = TimeUnit.SECONDS.toNanos(3);
-  private static final int PLACES = new Places(Bounds.of(Peers.SMALL_SOCKET_LIMIT, 128).places())
-      .mostClients();
+  private static final long END_LIMIT_NANOS = TimeUnit.SECONDS.toNanos(3);
+  private static final int MAX_CLIENTS =
+      new ConnectionBudget(ResourceLimits.of(Peers.SMALL_SOCKET_LIMIT, 128).connections())
+      .maxClients();
 
   private final Peers peers = new Peers();
 
@@ -33,29 +34,29 @@
   void oneConnectionTooManyIsRefusedAndTheOthersAreServed() throws Exception {
     peers.start(peers.smallConfig());
     String request = Peers.get("r1", 3000);
-    Client taken;
+    Client withinLimit;
     Client tooMany;
     int n = 0;
     do {
       // Again if the machine stood still: those that send no whole request may be ended after a while.
-      for (int i = 1; i < PLACES; i++) {
+      for (int i = 1; i < MAX_CLIENTS; i++) {
         peers.client().send(request.substring(0, 20));
       }
-      taken = peers.client();
-      taken.send(request.substring(0, 20));
+      withinLimit = peers.client();
+      withinLimit.send(request.substring(0, 20));
       tooMany = peers.client();
     } while (tooMany.ask(Peers.get("t" + n++, 3000)).status() != 503);
     assertTrue(tooMany.isClosedByPeer());
-    assertEquals(200, taken.ask(request.substring(20)).status());
+    assertEquals(200, withinLimit.ask(request.substring(20)).status());
   }
 
   /** Clients that ask once and keep their connection for good must not lock others out. */
   @Test
-  void aCrowdThatAsksOnceAndStaysLocksNobodyOut() throws Exception {
+  void clientsThatAskOnceAndStayLockNobodyOut() throws Exception {
     peers.start(peers.smallConfig());
     assertNull(peers.client().ask(Peers.get("first", 3000)).header("Connection"));
     Message answer = null;
-    for (int i = 0; i < 2 * PLACES; i++) {
+    for (int i = 0; i < 2 * MAX_CLIENTS; i++) {
       answer = peers.client().ask(Peers.get("r" + i, 3000));
       assertEquals(200, answer.status());
     }
@@ -64,23 +65,23 @@
 
   /** Clients and backends share one table: whichever side needs more gets it, and never both together. */
   @Test
-  void clientsAndBackendsNeverHoldMoreThanThereIs() {
-    Places places = new Places(100);
-    int crowd = places.mostClients();
-    places.client(crowd);
+  void clientsAndBackendsTogetherStayWithinTheBudget() {
+    ConnectionBudget budget = new ConnectionBudget(100);
+    int maxClients = budget.maxClients();
+    budget.addClients(maxClients);
     int backends = 0;
-    while (places.roomForBackend()) {
-      places.backend(1);
+    while (budget.hasRoomForBackend()) {
+      budget.addBackends(1);
       backends++;
     }
-    assertEquals(100, crowd + backends);
-    assertTrue(places.mostClients() < crowd);
-    places.client(-crowd);
-    assertTrue(places.roomForBackend());
+    assertEquals(100, maxClients + backends);
+    assertTrue(budget.maxClients() < maxClients);
+    budget.addClients(-maxClients);
+    assertTrue(budget.hasRoomForBackend());
   }
 
   @Test
-  void aTrickleDoesNotExtendTheTimeForARequest() throws Exception {
+  void slowSendingDoesNotExtendTheRequestTimeout() throws Exception {
     peers.start();
     Client client = peers.client();
     long from = System.nanoTime();
@@ -91,24 +92,24 @@
         assertEquals(408, client.receive().status());
         break;
       } catch (IOException e) {
-        assertTrue(System.nanoTime() - from < OWED_NANOS, "neither an error nor a close in time");
+        assertTrue(System.nanoTime() - from < END_LIMIT_NANOS, "neither an error nor a close in time");
         client.send("X-Pad: 1\r\n");
       }
     }
-    assertTrue(System.nanoTime() - from < OWED_NANOS);
+    assertTrue(System.nanoTime() - from < END_LIMIT_NANOS);
   }
 
   @Test
-  void aConnectionThatSaysNothingIsEnded() throws Exception {
+  void aSilentConnectionIsClosed() throws Exception {
     peers.start();
     long from = System.nanoTime();
     assertTrue(peers.client().isClosedByPeer());
-    assertTrue(System.nanoTime() - from < OWED_NANOS);
+    assertTrue(System.nanoTime() - from < END_LIMIT_NANOS);
   }
 
   /** The second request in the body must reach no backend, whichever of the two lengths is gone by. */
   @Test
-  void whatCanBeFramedInTwoWaysIsRefusedAndTheConnectionEnds() throws Exception {
+  void ambiguousFramingIsRefusedAndTheConnectionCloses() throws Exception {
     peers.start();
     String hidden = Peers.get("hidden", 3000);
     String post = Peers.post("r1", "");
@@ -160,7 +161,7 @@
   }
 
   @Test
-  void aHugeBodyGetsItsErrorBeforeItHasCome() throws Exception {
+  void aHugeBodyIsRefusedBeforeItHasArrived() throws Exception {
     peers.start();
     Client client = peers.client();
     client.send(Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
--- a/door/src/test/java/willowdoor/net/GoneClientTest.java
+++ b/door/src/test/java/willowdoor/net/ClientDisconnectTest.java
@@ -23,16 +23,16 @@
  * begin at a backend afterwards, and who stays is served all the same.
  */
 @Timeout(60)
-class GoneClientTest {
+class ClientDisconnectTest {
 
   /** More than the 0.1 s for which an attempt may still begin after its client has gone. */
-  private static final long LONG_GONE_MS = 300;
-  private static final long UNDER_WAY_MS = 150;
+  private static final long AFTER_LEAVING_MS = 300;
+  private static final long IN_PROGRESS_MS = 150;
   /** A backend may be told so much more than the client has left. */
   private static final long SLACK_MS = 150;
   /** Calls for one tenant wait behind each other, so only the first of them shows. */
   private static final long ALL_READ_MS = 50;
-  private static final int CROWD = 4;
+  private static final int CLIENTS = 4;
   /** A kernel asks for a connection again after one second, and after two more. */
   private static final String SLOW_CONNECTS = "\"DialTimeoutMs\":2500";
 
@@ -40,21 +40,21 @@
   private Path folder;
   private final Peers peers = new Peers();
   private ServingProcess gateway;
-  private LateBackend late;
+  private LateBackend lateBackend;
 
   @AfterEach
   void close() throws Exception {
     if (gateway != null) {
       gateway.close();
     }
-    if (late != null) {
-      late.close();
+    if (lateBackend != null) {
+      lateBackend.close();
     }
     peers.close();
   }
 
   /** Its policy waits long enough for the counter to be stopped meanwhile. */
-  private void startBefore(int... backendPorts) throws Exception {
+  private void startWithBackends(int... backendPorts) throws Exception {
     String[] entries = new String[backendPorts.length];
     for (int i = 0; i < entries.length; i++) {
       entries[i] = Peers.rosterEntry("s-" + (i + 1), backendPorts[i], "active");
@@ -66,16 +66,16 @@
   }
 
   /** The same with backends of the test's own peers, to each of which connections are open and unused. */
-  private void startBeforeUsedBackends() throws Exception {
+  private void startWithPooledConnections() throws Exception {
     int other = peers.listen(50, peers::serveBackend).getLocalPort();
-    startBefore(peers.backend.getLocalPort(), other);
+    startWithBackends(peers.backend.getLocalPort(), other);
     Peers.Answer usual = peers.answer;
     peers.answer = (request, out) -> {
-      pause(UNDER_WAY_MS);
+      pause(IN_PROGRESS_MS);
       return usual.respond(request, out);
     };
     List<Client> clients = new ArrayList<>();
-    for (int i = 0; i < 4 * CROWD; i++) {
+    for (int i = 0; i < 4 * CLIENTS; i++) {
       clients.add(gateway.client());
       clients.get(i).send(Peers.get("before" + i, 3_500));
     }
@@ -100,35 +100,35 @@
   }
 
   /** Stops the gateway as a busy host does, has this happen and the crowd leave, and lets it go on. */
-  private void heldUpWhile(Step step, Crowd crowd) throws Exception {
-    heldUpWhile(step, crowd, "stays");
+  private void leaveWhileStopped(Step step, Clients clients) throws Exception {
+    leaveWhileStopped(step, clients, "stays");
   }
 
-  private void heldUpWhile(Step step, Crowd crowd, String served) throws Exception {
+  private void leaveWhileStopped(Step step, Clients clients, String served) throws Exception {
     gateway.signal("STOP");
     step.run();
-    pause(UNDER_WAY_MS);
-    crowd.leave();
-    pause(LONG_GONE_MS);
+    pause(IN_PROGRESS_MS);
+    clients.leave();
+    pause(AFTER_LEAVING_MS);
     gateway.signal("CONT");
-    assertEquals(200, crowd.stays.receive().status(), gateway.log());
-    pause(LONG_GONE_MS);
+    assertEquals(200, clients.stays.receive().status(), gateway.log());
+    pause(AFTER_LEAVING_MS);
     assertEquals(Set.of(served), ids(peers.backendRequests), gateway.log());
   }
 
   /** Clients with one request each, of which all but the first leave. */
-  private final class Crowd {
+  private final class Clients {
     final Client stays = gateway.client();
     private final Client closes = gateway.client();
     private final Client resets = gateway.client();
     private final Client halfCloses = gateway.client();
 
-    Crowd() throws Exception {
-      ask("");
+    Clients() throws Exception {
+      send("");
     }
 
     /** Sends a request on each connection, with ids that begin so. */
-    void ask(String prefix) throws Exception {
+    void send(String prefix) throws Exception {
       stays.send(Peers.get(prefix + "stays", 3_500));
       closes.send(Peers.get(prefix + "closes", 3_500));
       resets.send(Peers.get(prefix + "resets", 3_500));
@@ -152,146 +152,147 @@
 
   /** Guards against attempts that are written when their connection comes up, though the client has gone. */
   @Test
-  void whileTheConnectionToTheBackendComesUp() throws Exception {
+  void leavesWhileTheBackendConnectionIsEstablished() throws Exception {
     leaveWhileConnecting(() -> { });
   }
 
   /** Guards against the same in a gateway that ends: what it still writes is for clients that stay. */
   @Test
-  void whileItComesUpInAGatewayThatEnds() throws Exception {
+  void leavesWhileConnectingDuringShutdown() throws Exception {
     leaveWhileConnecting(() -> gateway.signal("TERM"));
   }
 
   /** Guards against the same in a gateway that moves to a new configuration. */
   @Test
-  void whileItComesUpInAGatewayThatReloads() throws Exception {
+  void leavesWhileConnectingDuringReload() throws Exception {
     leaveWhileConnecting(() -> {
-      gateway.replace(peers.config(Peers.rosterEntry("s-1", late.port(), "active")));
+      gateway.replace(peers.config(Peers.rosterEntry("s-1", lateBackend.port(), "active")));
       gateway.signal("HUP");
     });
   }
 
   private void leaveWhileConnecting(Step step) throws Exception {
-    late = new LateBackend();
-    startBefore(late.port());
-    Crowd crowd = new Crowd();
-    pause(UNDER_WAY_MS);
+    lateBackend = new LateBackend();
+    startWithBackends(lateBackend.port());
+    Clients clients = new Clients();
+    pause(IN_PROGRESS_MS);
     step.run();
-    crowd.leave();
-    pause(LONG_GONE_MS);
-    late.open();
-    assertEquals(200, crowd.stays.receive().status(), gateway.log());
-    pause(LONG_GONE_MS);
-    assertEquals(Set.of("stays"), ids(late.requests), gateway.log());
+    clients.leave();
+    pause(AFTER_LEAVING_MS);
+    lateBackend.open();
+    assertEquals(200, clients.stays.receive().status(), gateway.log());
+    pause(AFTER_LEAVING_MS);
+    assertEquals(Set.of("stays"), ids(lateBackend.requests), gateway.log());
   }
 
   /** Guards against an attempt by a counter's answer that is read ahead of the clients' ends. */
   @Test
-  void whileTheCounterIsAskedAndTheGatewayStandsStill() throws Exception {
-    startBeforeUsedBackends();
+  void leavesDuringACounterCallOfAStoppedGateway() throws Exception {
+    startWithPooledConnections();
     CountDownLatch answer = new CountDownLatch(1);
     CountDownLatch asked = new CountDownLatch(1);
     peers.counterScript = line -> {
       asked.countDown();
       return await(answer) ? peers.addToCount(line) : null;
     };
-    Crowd crowd = new Crowd();
+    Clients clients = new Clients();
     assertTrue(await(asked));
     pause(ALL_READ_MS);
-    heldUpWhile(answer::countDown, crowd);
+    leaveWhileStopped(answer::countDown, clients);
   }
 
   /** Guards against a retry after a rejection that is read ahead of the clients' ends. */
   @Test
-  void whileABackendRejectsAndTheGatewayStandsStill() throws Exception {
-    startBeforeUsedBackends();
+  void leavesDuringARejectionInAStoppedGateway() throws Exception {
+    startWithPooledConnections();
     CountDownLatch reject = new CountDownLatch(1);
-    CountDownLatch sent = new CountDownLatch(CROWD);
+    CountDownLatch sent = new CountDownLatch(CLIENTS);
     Peers.Answer usual = peers.answer;
     peers.answer = (request, out) -> {
       boolean first = sent.getCount() > 0;
       sent.countDown();
       return first ? await(reject) && Peers.write(out, Peers.NOT_STARTED) : usual.respond(request, out);
     };
-    Crowd crowd = new Crowd();
+    Clients clients = new Clients();
     assertTrue(await(sent));
     peers.backendRequests.clear();
-    heldUpWhile(reject::countDown, crowd);
+    leaveWhileStopped(reject::countDown, clients);
   }
 
   /** Guards against work for clients that left while their request waited behind another of their own. */
   @Test
-  void whileItWaitsBehindAnotherOnItsConnection() throws Exception {
-    startBeforeUsedBackends();
+  void leavesWhileAPipelinedRequestWaits() throws Exception {
+    startWithPooledConnections();
     CountDownLatch answer = new CountDownLatch(1);
-    CountDownLatch sent = new CountDownLatch(CROWD);
+    CountDownLatch sent = new CountDownLatch(CLIENTS);
     Peers.Answer usual = peers.answer;
     peers.answer = (request, out) -> {
       sent.countDown();
       return await(answer) && usual.respond(request, out);
     };
-    Crowd crowd = new Crowd();
+    Clients clients = new Clients();
     assertTrue(await(sent));
     peers.backendRequests.clear();
-    crowd.ask("behind-");
+    clients.send("behind-");
     pause(ALL_READ_MS);
-    heldUpWhile(answer::countDown, crowd, "behind-stays");
-    assertEquals(200, crowd.stays.receive().status());
+    leaveWhileStopped(answer::countDown, clients, "behind-stays");
+    assertEquals(200, clients.stays.receive().status());
   }
 
   /** Guards against work for clients that left before the gateway read their request. */
   @Test
-  void whileTheRequestIsUnread() throws Exception {
-    startBeforeUsedBackends();
+  void leavesBeforeTheRequestIsRead() throws Exception {
+    startWithPooledConnections();
     gateway.signal("STOP");
-    heldUpWhile(() -> { }, new Crowd());
+    leaveWhileStopped(() -> { }, new Clients());
   }
 
   /** Guards against room that is held for gone clients for as long as a connection takes to come up. */
   @Test
-  void whatIsWithdrawnHoldsNothing() throws Exception {
-    late = new LateBackend();
-    FrontDoor inside = peers.start(peers.config(Peers.rosterEntry("s-1", late.port(), "active"))
+  void aWithdrawnRequestHoldsNothing() throws Exception {
+    lateBackend = new LateBackend();
+    FrontDoor embedded = peers.start(peers.config(Peers.rosterEntry("s-1", lateBackend.port(), "active"))
         .replace("\"DialTimeoutMs\":250", SLOW_CONNECTS));
     Client client = peers.client();
     client.send(Peers.get("leaves", 3_500));
-    pause(UNDER_WAY_MS);
-    assertEquals(1, inside.loop().submit(inside::held).get());
+    pause(IN_PROGRESS_MS);
+    assertEquals(1, embedded.loop().submit(embedded::heldRequests).get());
     client.close();
-    pause(UNDER_WAY_MS);
-    assertEquals(0, inside.loop().submit(inside::held).get());
+    pause(IN_PROGRESS_MS);
+    assertEquals(0, embedded.loop().submit(embedded::heldRequests).get());
   }
 
   /** Guards against telling a backend the time that was left when its connection began to come up. */
   @Test
-  void theTimeToldIsWhatIsLeftWhenTheConnectionIsUp() throws Exception {
-    late = new LateBackend();
-    startBefore(late.port());
+  void theTimeoutSentIsWhatIsLeftWhenTheConnectionIsUp() throws Exception {
+    lateBackend = new LateBackend();
+    startWithBackends(lateBackend.port());
     Client client = gateway.client();
-    long sentAt = System.nanoTime();
+    long sentNanos = System.nanoTime();
     client.send(Peers.get("waits", 3_500));
-    pause(UNDER_WAY_MS);
-    late.open();
-    int told = Integer.parseInt(Peers.next(late.requests).header("Request-Timeout-Ms"));
-    long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt);
-    assertTrue(told <= 3_500 - passed + SLACK_MS, told + " ms told, " + passed + " of 3500 had passed");
+    pause(IN_PROGRESS_MS);
+    lateBackend.open();
+    int timeoutMs = Integer.parseInt(Peers.next(lateBackend.requests).header("Request-Timeout-Ms"));
+    long passedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
+    assertTrue(timeoutMs <= 3_500 - passedMs + SLACK_MS,
+        timeoutMs + " ms told, " + passedMs + " of 3500 had passed");
   }
 
   /** Guards against an attempt whose connection is read as up ahead of the timer that ends the request. */
   @Test
-  void whileItComesUpAndTheTimeRunsOut() throws Exception {
-    late = new LateBackend();
-    startBefore(late.port());
+  void timeRunsOutWhileConnecting() throws Exception {
+    lateBackend = new LateBackend();
+    startWithBackends(lateBackend.port());
     Client client = gateway.client();
     client.send(Peers.get("runs-out", 1_400));
-    pause(UNDER_WAY_MS);
-    late.open();
+    pause(IN_PROGRESS_MS);
+    lateBackend.open();
     gateway.signal("STOP");
     pause(1_400);
     gateway.signal("CONT");
     assertEquals(503, client.receive().status(), "nothing of it ran, so asking again is harmless");
-    pause(LONG_GONE_MS);
-    assertEquals(Set.of(), ids(late.requests), gateway.log());
+    pause(AFTER_LEAVING_MS);
+    assertEquals(Set.of(), ids(lateBackend.requests), gateway.log());
   }
 
   private static boolean await(CountDownLatch latch) {
--- a/door/src/test/java/willowdoor/net/CounterClientTest.java
+++ b/door/src/test/java/willowdoor/net/CounterClientTest.java
@@ -23,7 +23,7 @@
 class CounterClientTest {
 
   private final Peers peers = new Peers();
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.PREFERRED.ioHandler());
   private final BlockingQueue<Counted> ends = new LinkedBlockingQueue<>();
   private CounterClient client;
 
--- a/door/src/test/java/willowdoor/net/LateReadTest.java
+++ b/door/src/test/java/willowdoor/net/DelayedReadTest.java
@@ -16,26 +16,26 @@
 
 /** What came while the front door stood still, as one that is short of CPU does. */
 @Timeout(30)
-class LateReadTest {
+class DelayedReadTest {
 
   private final Peers peers = new Peers();
-  private final CountDownLatch standing = new CountDownLatch(1);
-  private final CountDownLatch go = new CountDownLatch(1);
+  private final CountDownLatch loopBlocked = new CountDownLatch(1);
+  private final CountDownLatch releaseLoop = new CountDownLatch(1);
 
   @BeforeEach
-  void standStill() throws Exception {
+  void blockLoop() throws Exception {
     FrontDoor door = peers.start();
     assertEquals(200, peers.client().ask(Peers.get("first", 3000)).status());
     Peers.next(peers.backendRequests);
     door.loop.execute(() -> {
-      standing.countDown();
+      loopBlocked.countDown();
       try {
-        go.await(10, TimeUnit.SECONDS);
+        releaseLoop.await(10, TimeUnit.SECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     });
-    standing.await();
+    loopBlocked.await();
   }
 
   @AfterEach
@@ -52,19 +52,19 @@
     }
     Client stays = peers.client();
     stays.send(Peers.get("stays", 3000));
-    go.countDown();
+    releaseLoop.countDown();
     assertEquals(200, stays.receive().status());
     assertEquals("stays", Peers.next(peers.backendRequests).header("Request-Id"));
   }
 
   /** A backend is told the time that is left, not that which was there when the request came. */
   @Test
-  void timeCountsFromTheRequestsComing() throws Exception {
+  void timeCountsFromTheArrivalOfTheRequest() throws Exception {
     assumeTrue(Epoll.isAvailable(), "only there the kernel tells when it came");
     Client client = peers.client();
     client.send(Peers.get("old", 3000));
     TimeUnit.MILLISECONDS.sleep(500);
-    go.countDown();
+    releaseLoop.countDown();
     assertEquals(200, client.receive().status());
     Message sent = Peers.next(peers.backendRequests);
     int left = Integer.parseInt(sent.header("Request-Timeout-Ms"));
@@ -72,12 +72,12 @@
   }
 
   @Test
-  void whatIsOverWhenItIsReadGoesNowhere() throws Exception {
+  void aRequestThatIsReadTooLateIsNotSent() throws Exception {
     assumeTrue(Epoll.isAvailable(), "only there the kernel tells when it came");
     Client client = peers.client();
     client.send(Peers.get("over", 300));
     TimeUnit.MILLISECONDS.sleep(400);
-    go.countDown();
+    releaseLoop.countDown();
     assertEquals(503, client.receive().status());
     assertTrue(peers.backendRequests.isEmpty());
   }
--- a/door/src/test/java/willowdoor/net/DiscoveryTest.java
+++ b/door/src/test/java/willowdoor/net/DiscoveryTest.java
@@ -134,7 +134,7 @@
   @Test
   void configurationErrorsNameTheField() throws IOException {
     String good = peers.config();
-    assertEquals(50, Peers.parse(good).settings().allowed().countLimitMs());
+    assertEquals(50, Peers.parse(good).settings().capabilities().counterTimeoutMs());
     for (String[] bad : new String[][] {{"127.0.0.1:0", "somewhere:80", "listen"},
         {"8c1f30d27a5be964", "seed", "seed"}, {"\"Profiles\"", "\"Other\"", "classes"}}) {
       String message = assertThrows(IOException.class, () -> Peers.parse(good.replace(bad[0], bad[1])))
--- a/door/src/test/java/willowdoor/net/FrontDoorTest.java
+++ b/door/src/test/java/willowdoor/net/FrontDoorTest.java
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void answersRequestsWrittenBehindEachOtherInTheirOrder() throws Exception {
+  void answersPipelinedRequestsInOrder() throws Exception {
     peers.start();
     peers.answer = (request, out) -> Peers.write(out,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + request.header("Request-Id"));
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void aRejectionHasNotRunAndIsTriedAgain() throws Exception {
+  void aRejectedRequestIsRetried() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
     peers.answer = (request, out) ->
@@ -96,7 +96,7 @@
 
   /** A repeat of what may have run carries the same id and key; nothing but the module sends it. */
   @Test
-  void aBrokenConnectionAfterTheRequestIsAResetAndTheModuleRepeatsIt() throws Exception {
+  void aConnectionBrokenAfterTheRequestIsAResetAndTheModuleRetries() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
     peers.answer = (request, out) -> asked.incrementAndGet() > 1 && Peers.write(out, Peers.OK);
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void anAnswerOfABodyThatNobodyWaitsOutIsNotServed() throws Exception {
+  void anAnswerThatIsNotCompleteInTimeIsNotServed() throws Exception {
     peers.start();
     peers.answer = (request, out) -> Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 2000000000\r\n\r\n"
         + "x".repeat(70_000));
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void junkFromABackendEndsItsConnectionAndServingGoesOn() throws Exception {
+  void malformedAnswersCloseTheBackendConnectionAndServingContinues() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
     peers.answer = (request, out) ->
@@ -142,7 +142,7 @@
 
   /** Vanished hosts are silent: a connect has its own limit, far below the client's time. */
   @Test
-  void aConnectThatNeverComesUpEndsByItsOwnLimit() throws Exception {
+  void aConnectAttemptEndsByItsOwnTimeout() throws Exception {
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       List<SocketChannel> fill = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
@@ -162,7 +162,7 @@
   }
 
   @Test
-  void aSilentBackendCostsTheAttemptItsConnectionAndTheClientHearsInTime() throws Exception {
+  void anAttemptAtASilentBackendTimesOutAndItsConnectionCloses() throws Exception {
     CountDownLatch closed = new CountDownLatch(1);
     int port = peers.listen(50, (in, out, socket) -> {
       Peers.read(in);
@@ -195,7 +195,7 @@
   }
 
   @Test
-  void endsTheConnectionOverMalformedAndOversizedMessages() throws Exception {
+  void closesTheConnectionAfterMalformedAndOversizedMessages() throws Exception {
     peers.start();
     Client malformed = peers.client();
     assertEquals(400, malformed.ask("GET /quote HTTP/1.1\r\nbroken header\r\n\r\n").status());
@@ -210,7 +210,7 @@
 
 
   @Test
-  void tellsWhetherItCanServe() throws Exception {
+  void reportsReadinessAtUp() throws Exception {
     peers.start();
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     assertEquals(200, peers.client().ask(up).status());
@@ -218,7 +218,7 @@
   }
 
   @Test
-  void withoutBackendsItIsNotUpUntilDiscoveryNamesOne() throws Exception {
+  void isNotReadyUntilDiscoveryListsABackend() throws Exception {
     peers.start(peers.config());
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     Client client = peers.client();
@@ -255,18 +255,18 @@
   @Test
   void drainsWithoutLosingARequest() throws Exception {
     FrontDoor door = peers.start();
-    CountDownLatch told = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
     AtomicBoolean hold = new AtomicBoolean();
     peers.answer = (request, out) -> {
       if (hold.get()) {
-        await(told);
+        await(release);
       }
       return Peers.write(out, Peers.OK);
     };
     Client idle = peers.client();
     Client busy = peers.client();
-    Thread end = new Thread(door::drain);
-    end.start();
+    Thread shutdown = new Thread(door::drain);
+    shutdown.start();
     while (idle.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) {
       Thread.onSpinWait();
     }
@@ -276,13 +276,13 @@
     hold.set(true);
     busy.send(Peers.get("r2", 3000));
     assertTrue(idle.isClosedByPeer());
-    told.countDown();
+    release.countDown();
     Message answer = busy.receive();
     assertEquals(200, answer.status());
     assertEquals("close", answer.header("Connection"));
     assertTrue(busy.isClosedByPeer());
-    end.join(10_000);
-    assertTrue(!end.isAlive());
+    shutdown.join(10_000);
+    assertTrue(!shutdown.isAlive());
   }
 
   private static void await(CountDownLatch latch) throws IOException {
--- a/door/src/test/java/willowdoor/net/ManagementTest.java
+++ b/door/src/test/java/willowdoor/net/ManagementTest.java
@@ -43,7 +43,7 @@
     }
   }
 
-  private int order(String target) throws IOException {
+  private int post(String target) throws IOException {
     return call("POST " + target + " HTTP/1.1\r\nHost: a\r\n\r\n").status();
   }
 
@@ -61,9 +61,9 @@
     Client fresh = peers.client();
     assertEquals(200, busy.ask(Peers.get("r1", 3000)).status());
     assertEquals(200, idle.ask(Peers.get("r2", 3000)).status());
-    assertEquals(200, order("/drain"));
+    assertEquals(200, post("/drain"));
     assertEquals(503, up());
-    assertEquals(200, order("/drain"), "it may be said twice");
+    assertEquals(200, post("/drain"), "it may be said twice");
     Message last = busy.ask(Peers.get("r3", 3000));
     assertEquals(200, last.status(), "what comes meanwhile is served");
     assertEquals("close", last.header("Connection"));
@@ -73,8 +73,8 @@
     assertTrue(fresh.isClosedByPeer());
     assertTrue(System.nanoTime() - asked < 3_000_000_000L, "well before 4 s");
     assertEquals(200, call("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").status(), "the process is ready yet");
-    assertEquals(200, order("/undrain"));
-    assertEquals(200, order("/undrain"));
+    assertEquals(200, post("/undrain"));
+    assertEquals(200, post("/undrain"));
     assertEquals(200, up());
     Client back = peers.client();
     assertNull(back.ask(Peers.get("r5", 3000)).header("Connection"));
@@ -82,32 +82,32 @@
   }
 
   @Test
-  void aBackendThatIsOutGetsNothingUntilItIsBackWhateverDiscoverySays() throws Exception {
+  void aDisabledBackendGetsNothingWhateverDiscoverySays() throws Exception {
     Client client = peers.client();
     assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
     Peers.next(peers.backendRequests);
-    assertEquals(200, order("/backends/disable?member=s-1"));
-    assertEquals(200, order("/backends/disable?member=s%2D1"), "it may be said twice");
-    assertEquals(404, order("/backends/disable?member=s-9"));
+    assertEquals(200, post("/backends/disable?member=s-1"));
+    assertEquals(200, post("/backends/disable?member=s%2D1"), "it may be said twice");
+    assertEquals(404, post("/backends/disable?member=s-9"));
     assertEquals(503, client.ask(Peers.get("r2", 3000)).status());
     Peers.next(peers.watchRequests);
     String listed = Peers.rosterEntry("s-1", peers.backend.getLocalPort(), "active");
     peers.sendToNewestWatch(Peers.rosterJson(8, true, listed, Peers.rosterEntry("s-2", 1, "leaving")) + "\n");
-    while (order("/backends/disable?member=s-2") != 200) {
+    while (post("/backends/disable?member=s-2") != 200) {
       Thread.onSpinWait();
     }
     assertEquals(503, client.ask(Peers.get("r3", 3000)).status());
     assertTrue(peers.backendRequests.isEmpty());
-    assertEquals(200, order("/backends/enable?member=s-1"));
+    assertEquals(200, post("/backends/enable?member=s-1"));
     Message back = client.ask(Peers.get("r4", 3000));
     for (int n = 0; back.status() != 200; n++) {
       back = client.ask(Peers.get("again" + n, 3000));
     }
-    assertEquals(404, order("/backends/enable?member=s-9"));
+    assertEquals(404, post("/backends/enable?member=s-9"));
   }
 
   @Test
-  void aRequestUnderWayIsAnsweredThoughItsDoorIsDrained() throws Exception {
+  void aRequestInProgressIsAnsweredDuringADrain() throws Exception {
     peers.answer = (request, out) -> {
       try {
         Thread.sleep(2_200);
@@ -119,7 +119,7 @@
     Client slow = peers.client();
     slow.send(Peers.get("r1", 4000));
     Peers.next(peers.backendRequests);
-    assertEquals(200, order("/drain"));
+    assertEquals(200, post("/drain"));
     Message answer = slow.receive();
     assertEquals(200, answer.status());
     assertEquals("close", answer.header("Connection"));
@@ -127,17 +127,17 @@
   }
 
   @Test
-  void callsThatAreNoneAreRefusedInPlainWords() throws Exception {
-    assertEquals(404, order("/backends"));
-    assertEquals(404, order("/drain/"));
-    assertEquals(405, order("/ready"));
+  void invalidCallsAreRefusedWithAReason() throws Exception {
+    assertEquals(404, post("/backends"));
+    assertEquals(404, post("/drain/"));
+    assertEquals(405, post("/ready"));
     assertEquals(405, call("GET /drain HTTP/1.1\r\nHost: a\r\n\r\n").status());
     assertEquals(405, call("GET /backends/enable?member=s-1 HTTP/1.1\r\nHost: a\r\n\r\n").status());
-    assertEquals(400, order("/backends/disable"));
-    assertEquals(400, order("/backends/disable?member="));
-    assertEquals(400, order("/backends/disable?member=a&member=a"));
-    assertEquals(400, order("/backends/disable?member=%zz"));
-    assertEquals(400, order("/backends/disable?member=" + "x".repeat(300)));
+    assertEquals(400, post("/backends/disable"));
+    assertEquals(400, post("/backends/disable?member="));
+    assertEquals(400, post("/backends/disable?member=a&member=a"));
+    assertEquals(400, post("/backends/disable?member=%zz"));
+    assertEquals(400, post("/backends/disable?member=" + "x".repeat(300)));
     assertEquals(400, call("POST /drain HTTP/1.0\r\n\r\n").status());
     assertEquals(400, call("POST /drain HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}").status());
     assertEquals(413, call("POST /drain HTTP/1.1\r\nContent-Length: 9999\r\n\r\n").status());
@@ -147,7 +147,7 @@
   }
 
   @Test
-  void silentCallersGiveWay() throws Exception {
+  void silentCallersAreEvicted() throws Exception {
     List<Client> silent = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
       Client caller = new Client((InetSocketAddress) door.managementAddress());
--- a/door/src/test/java/willowdoor/net/PipelinedTest.java
+++ b/door/src/test/java/willowdoor/net/PipelinedTest.java
@@ -17,8 +17,8 @@
 class PipelinedTest {
 
   private static final long READ_MS = 200;
-  private static final int MANY = 100;
-  private static final int OVER_THE_BOUND = 70_000;
+  private static final int ENOUGH_PERMITS = 100;
+  private static final int TOO_LARGE_BYTES = 70_000;
 
   private final Peers peers = new Peers();
   /** As many requests are answered by the backend as the test lets it. */
@@ -44,7 +44,7 @@
 
   @AfterEach
   void close() throws Exception {
-    answers.release(MANY);
+    answers.release(ENOUGH_PERMITS);
     peers.close();
   }
 
@@ -56,19 +56,19 @@
   /** Guards against an error of the next request that its client reads as the answer to the one before. */
   @Test
   void anErrorBehindARequestIsNotItsAnswer() throws Exception {
-    sendBehind(Peers.post("large", "").replace("Content-Length: 0", "Content-Length: " + OVER_THE_BOUND)
-        + "x".repeat(OVER_THE_BOUND));
-    answers.release(MANY);
+    sendBehind(Peers.post("large", "").replace("Content-Length: 0", "Content-Length: " + TOO_LARGE_BYTES)
+        + "x".repeat(TOO_LARGE_BYTES));
+    answers.release(ENOUGH_PERMITS);
     assertEquals(200, client.receive().status());
     assertTrue(client.isClosedByPeer());
   }
 
   /** Guards against requests that were read whole and are dropped with the end of their connection. */
   @Test
-  void whatWasReadIsAnsweredBeforeALeavingGatewayEndsTheConnection() throws Exception {
+  void requestsReadBeforeADrainAreAnswered() throws Exception {
     sendBehind(Peers.get("second", 3_500) + Peers.get("third", 3_500));
     gateway.loop().submit(gateway::beginDrain).sync();
-    answers.release(MANY);
+    answers.release(ENOUGH_PERMITS);
     assertNull(client.receive().header("Connection"));
     assertNull(client.receive().header("Connection"));
     assertEquals("close", client.receive().header("Connection"));
@@ -77,7 +77,7 @@
 
   /** Guards against a client that keeps a gateway from its end by sending on and on. */
   @Test
-  void aLeavingGatewayTakesNoMoreThanItHasRead() throws Exception {
+  void aDrainingGatewayTakesNoFurtherRequests() throws Exception {
     sendBehind(Peers.get("second", 3_500));
     gateway.loop().submit(gateway::beginDrain).sync();
     answers.release();
@@ -90,16 +90,16 @@
 
   /** Guards against attempts that begin when the process is about to end, and nobody would answer them. */
   @Test
-  void afterTheLastCallOfAGatewayThatEndsNothingBegins() throws Exception {
+  void noAttemptBeginsAfterFailAll() throws Exception {
     sendBehind(Peers.get("second", 3_500));
-    Client halfway = peers.client();
+    Client incomplete = peers.client();
     String request = Peers.get("late", 3_500);
-    halfway.send(request.substring(0, 20));
+    incomplete.send(request.substring(0, 20));
     gateway.loop().submit(gateway::failAll).sync();
     assertEquals(502, client.receive().status());
     assertEquals(503, client.receive().status());
-    halfway.send(request.substring(20));
-    assertEquals(503, halfway.receive().status());
+    incomplete.send(request.substring(20));
+    assertEquals(503, incomplete.receive().status());
     assertTrue(peers.backendRequests.isEmpty());
   }
 }
--- a/door/src/test/java/willowdoor/net/ReloadTest.java
+++ b/door/src/test/java/willowdoor/net/ReloadTest.java
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void movesToTheNewAddressesAndLosesNothing() throws Exception {
+  void movesToTheNewAddressesWithoutLosingRequests() throws Exception {
     Client client = before.client();
     assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
     Peers.next(before.counterLines);
--- a/door/src/test/java/willowdoor/net/GateSeamTest.java
+++ b/door/src/test/java/willowdoor/net/RequestFilterTest.java
@@ -23,30 +23,31 @@
 
 /** The driver's side of the gate's seam, with a gate that says what the test says, when it says it. */
 @Timeout(30)
-class GateSeamTest {
+class RequestFilterTest {
 
   private final Peers peers = new Peers();
-  private final BlockingQueue<Gate.Passage> entered = new LinkedBlockingQueue<>();
-  private final BlockingQueue<Gate.End> ended = new LinkedBlockingQueue<>();
+  private final BlockingQueue<RequestFilter.Continuation> continuations = new LinkedBlockingQueue<>();
+  private final BlockingQueue<RequestFilter.RequestEnd> ends = new LinkedBlockingQueue<>();
   private FrontDoor door;
 
-  private final class Told implements Gate {
+  private final class RecordingFilter implements RequestFilter {
     @Override
-    public boolean concerns(Request request) {
+    public boolean appliesTo(Request request) {
       return true;
     }
 
     @Override
-    public Entry enter(Request request, FullHttpRequest message, Origin origin, Passage passage) {
-      entered.add(passage);
-      return ended::add;
+    public FilteredRequest filter(Request request, FullHttpRequest message, Origin origin,
+        Continuation continuation) {
+      continuations.add(continuation);
+      return ends::add;
     }
   }
 
   @BeforeEach
   void open() throws Exception {
     door = peers.start();
-    onLoop(() -> door.guard(new Told()));
+    onLoop(() -> door.setFilter(new RecordingFilter()));
   }
 
   @AfterEach
@@ -54,16 +55,16 @@
     peers.close();
   }
 
-  private void onLoop(Runnable what) throws Exception {
-    door.loop().submit(what).sync();
+  private void onLoop(Runnable task) throws Exception {
+    door.loop().submit(task).sync();
   }
 
-  private Gate.Passage entry() throws InterruptedException {
-    return entered.poll(10, TimeUnit.SECONDS);
+  private RequestFilter.Continuation nextContinuation() throws InterruptedException {
+    return continuations.poll(10, TimeUnit.SECONDS);
   }
 
-  private Gate.End end() throws InterruptedException {
-    return ended.poll(10, TimeUnit.SECONDS);
+  private RequestFilter.RequestEnd nextEnd() throws InterruptedException {
+    return ends.poll(10, TimeUnit.SECONDS);
   }
 
   private static FullHttpResponse answer() {
@@ -73,71 +74,71 @@
 
   /** Its answer went out when its time was up: nothing of it may run any more. */
   @Test
-  void aPassageAfterTheRequestsEndSendsNothing() throws Exception {
+  void aDecisionAfterTheRequestsEndSendsNothing() throws Exception {
     Client client = peers.client();
     client.send(Peers.get("r1", 300));
-    Gate.Passage late = entry();
+    RequestFilter.Continuation late = nextContinuation();
     assertEquals(503, client.receive().status(), "at the gate nothing has run");
-    assertEquals(Gate.End.REFUSED, end());
-    onLoop(() -> late.pass(null));
+    assertEquals(RequestFilter.RequestEnd.REFUSED, nextEnd());
+    onLoop(() -> late.proceed(null));
     onLoop(() -> late.answer(answer()));
     assertTrue(peers.counterLines.isEmpty(), () -> "the module heard of it: " + peers.counterLines);
     // What would be sent is sent before this one, which goes the same way.
     client.send(Peers.get("r2", 3_000));
-    Gate.Passage next = entry();
-    onLoop(() -> next.pass(null));
+    RequestFilter.Continuation next = nextContinuation();
+    onLoop(() -> next.proceed(null));
     assertEquals(200, client.receive().status());
     assertEquals("r2", Peers.next(peers.backendRequests).header("Request-Id"));
     assertEquals(1, peers.counterLines.size(), () -> "one call, of r2 alone: " + peers.counterLines);
-    assertEquals(Gate.End.SERVED, end());
-    assertNull(ended.poll());
-    assertEquals(0, heldBy(door));
+    assertEquals(RequestFilter.RequestEnd.SERVED, nextEnd());
+    assertNull(ends.poll());
+    assertEquals(0, heldRequests(door));
   }
 
-  private static int heldBy(FrontDoor door) throws Exception {
-    return door.loop().submit(door::held).get();
+  private static int heldRequests(FrontDoor door) throws Exception {
+    return door.loop().submit(door::heldRequests).get();
   }
 
   /** Its client left with time to spare: the module, which never had it, does not get it now. */
   @Test
-  void aPassageAfterTheClientHasLeftIsNotTakenToTheModule() throws Exception {
+  void aDecisionAfterTheClientHasLeftDoesNotReachTheModule() throws Exception {
     Client gone = peers.client();
     gone.send(Peers.get("r1", 3_000));
-    Gate.Passage late = entry();
+    RequestFilter.Continuation late = nextContinuation();
     gone.close();
-    assertEquals(Gate.End.LEFT, end());
-    onLoop(() -> late.pass(null));
+    assertEquals(RequestFilter.RequestEnd.LEFT, nextEnd());
+    onLoop(() -> late.proceed(null));
     Client client = peers.client();
     client.send(Peers.get("r2", 3_000));
-    Gate.Passage next = entry();
-    onLoop(() -> next.pass(null));
+    RequestFilter.Continuation next = nextContinuation();
+    onLoop(() -> next.proceed(null));
     assertEquals(200, client.receive().status());
     assertEquals(1, peers.counterLines.size(), () -> "one call, of r2 alone: " + peers.counterLines);
     assertEquals("r2", Peers.next(peers.backendRequests).header("Request-Id"));
-    assertEquals(0, heldBy(door));
+    assertEquals(0, heldRequests(door));
   }
 
   @Test
-  void onlyTheFirstOfItsWordsCounts() throws Exception {
+  void onlyTheFirstDecisionCounts() throws Exception {
     Client client = peers.client();
     client.send(Peers.get("r1", 3_000));
-    Gate.Passage twice = entry();
+    RequestFilter.Continuation twice = nextContinuation();
     onLoop(() -> {
-      twice.pass(null);
-      twice.pass(null);
+      twice.proceed(null);
+      twice.proceed(null);
       twice.answer(answer());
     });
     assertEquals(200, client.receive().status());
-    assertEquals(Gate.End.SERVED, end());
+    assertEquals(RequestFilter.RequestEnd.SERVED, nextEnd());
     client.send(Peers.get("r2", 3_000));
-    Gate.Passage denied = entry();
+    RequestFilter.Continuation denied = nextContinuation();
     onLoop(() -> {
       denied.answer(answer());
-      denied.pass(null);
+      denied.proceed(null);
     });
     assertEquals(403, client.receive().status());
-    assertEquals(Gate.End.ANSWERED_HERE, end());
-    assertNull(ended.poll());
+    assertEquals(RequestFilter.RequestEnd.ANSWERED_HERE, nextEnd());
+    assertNull(ends.poll());
     assertEquals("r1", Peers.next(peers.backendRequests).header("Request-Id"));
     assertTrue(peers.backendRequests.isEmpty(), "neither r1 twice nor r2");
   }
--- a/door/src/test/java/willowdoor/net/HangUpTest.java
+++ b/door/src/test/java/willowdoor/net/SighupTest.java
@@ -18,7 +18,7 @@
 
 /** A front door that is a process of its own takes a replaced configuration. */
 @Timeout(60)
-class HangUpTest {
+class SighupTest {
 
   @TempDir
   private Path folder;
@@ -37,12 +37,12 @@
   }
 
   /** Starts it by a shell that does this first, and waits until it watches. */
-  private void started(String first) throws Exception {
+  private void start(String shellPrefix) throws Exception {
     file = Files.writeString(folder.resolve("config.json"), before.config());
-    List<String> words = new ArrayList<>(List.of("sh", "-c", first + "exec \"$@\"", "sh",
+    List<String> command = new ArrayList<>(List.of("sh", "-c", shellPrefix + "exec \"$@\"", "sh",
         Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
         "-cp", System.getProperty("java.class.path"), "willowdoor.Main", "serve"));
-    ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true)
+    ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
         .redirectOutput(folder.resolve("log").toFile());
     builder.environment().put("GW_CONFIG", file.toString());
     door = builder.start();
@@ -55,11 +55,12 @@
   }
 
   @Test
-  void bySignal() throws Exception {
-    assumeFalse(isIn("SigIgn", "self"), "the tests were started by nohup: a door can't hear the signal");
-    started("");
+  void reloadsOnSighup() throws Exception {
+    assumeFalse(maskHoldsSighup("SigIgn", "self"),
+        "the tests were started by nohup: a door can't hear the signal");
+    start("");
     // One that came before it is handled would end the process.
-    assertTrue(isIn("SigCgt", Long.toString(door.pid())));
+    assertTrue(maskHoldsSighup("SigCgt", Long.toString(door.pid())));
     replace();
     new ProcessBuilder("kill", "-HUP", Long.toString(door.pid())).start().waitFor();
     Peers.next(after.watchRequests);
@@ -68,20 +69,20 @@
 
   /** A start takes a second and more where CPU is short: it looks once more when it can take a change. */
   @Test
-  void whatWasReplacedMeanwhileIsSeen() throws Exception {
+  void aReplacementDuringTheStartIsSeen() throws Exception {
     file = Files.writeString(folder.resolve("config.json"), before.config());
-    ReplacedFile read = new ReplacedFile(file);
-    assertFalse(read.changed());
+    ReloadTrigger trigger = new ReloadTrigger(file);
+    assertFalse(trigger.hasChanged());
     replace();
-    assertTrue(read.changed());
+    assertTrue(trigger.hasChanged());
     Files.delete(file);
-    assertFalse(read.changed());
+    assertFalse(trigger.hasChanged());
     replace();
-    assertTrue(read.changed());
+    assertTrue(trigger.hasChanged());
   }
 
   /** Whether a process's mask of signals, by its name in /proc, holds SIGHUP. */
-  private static boolean isIn(String mask, String process) throws IOException {
+  private static boolean maskHoldsSighup(String mask, String process) throws IOException {
     String line = Files.readString(Path.of("/proc/" + process + "/status")).lines()
         .filter(l -> l.startsWith(mask)).findFirst().orElseThrow();
     return (Integer.parseInt(line.substring(line.length() - 1), 16) & 1) == 1;
@@ -89,8 +90,8 @@
 
   /** Started by nohup, or by what was: no SIGHUP reaches it, and the old address tells no drains any more. */
   @Test
-  void whereItIsStartedWithTheSignalIgnored() throws Exception {
-    started("trap '' HUP; ");
+  void reloadsByPollingWhereSighupIsIgnored() throws Exception {
+    start("trap '' HUP; ");
     replace();
     Peers.next(after.watchRequests);
     assertTrue(door.isAlive());
--- a/door/src/test/java/willowdoor/net/UpgradeTest.java
+++ b/door/src/test/java/willowdoor/net/UpgradeTest.java
@@ -128,7 +128,7 @@
   }
 
   private static List<Long> idsOut(FrontDoor door) throws Exception {
-    return door.loop().submit(door::out).get().stream().map(DisabledBackend::id).toList();
+    return door.loop().submit(door::disabledBackends).get().stream().map(DisabledBackend::id).toList();
   }
 
   private int upStatus() throws IOException {
--- a/door/src/test/java/willowdoor/net/WarmUpTest.java
+++ b/door/src/test/java/willowdoor/net/WarmUpTest.java
@@ -20,10 +20,10 @@
 
   /** They go the whole way, or they would warm nothing; and nobody outside sees anything of them. */
   @Test
-  void goesTheWholeWayAndTouchesNoSocket() throws Exception {
+  void servesMadeUpRequestsWithoutTouchingASocket() throws Exception {
     String config = peers.config(Peers.rosterEntry("s-1", peers.backend.getLocalPort(), "active"));
     int served = new WarmUp(Peers.parse(config)).run(20_000);
-    assertTrue(served > WarmUp.REQUESTS / 2, served + " served");
+    assertTrue(served > WarmUp.MAX_REQUESTS / 2, served + " served");
     assertTrue(peers.backendRequests.isEmpty() && peers.counterLines.isEmpty()
         && peers.watchRequests.isEmpty());
     peers.start(config);
--- a/emulator/src/main/java/willowdoor/emulator/agreement/StewardWorld.java
+++ b/emulator/src/main/java/willowdoor/emulator/agreement/StewardWorld.java
@@ -23,7 +23,7 @@
 import willowdoor.steward.DiskStore;
 import willowdoor.steward.Steward;
 import willowdoor.steward.StewardId;
-import willowdoor.steward.Surroundings;
+import willowdoor.steward.StewardEnvironment;
 
 /** The real library in simulated time: links that lose and delay, processes that stand still. */
 final class StewardWorld implements AutoCloseable {
@@ -100,14 +100,14 @@
     Random own = new Random(random.nextLong());
     // Clocks that have nothing to do with each other.
     double ahead = own.nextInt(1_000_000);
-    stewards.set(me, new Steward(ids.get(me), initial, terms, new Surroundings() {
+    stewards.set(me, new Steward(ids.get(me), initial, terms, new StewardEnvironment() {
       @Override
       public double now() {
         return now + ahead;
       }
 
       @Override
-      public void later(double delayMs, Runnable task) {
+      public void schedule(double delayMs, Runnable task) {
         at(delayMs, me, () -> {
           if (lives.get(me) == life) {
             task.run();
@@ -220,7 +220,7 @@
   /** The one that leads by its own belief and isn't among those; -1 where there is none. */
   int leader(Set<Integer> not) {
     for (int i = 0; i < stewards.size(); i++) {
-      if (!not.contains(i) && !stopped.contains(i) && lives(i) && stewards.get(i).leads()) {
+      if (!not.contains(i) && !stopped.contains(i) && lives(i) && stewards.get(i).isLeader()) {
         return i;
       }
     }
--- a/emulator/src/main/java/willowdoor/emulator/fair/FairWorld.java
+++ b/emulator/src/main/java/willowdoor/emulator/fair/FairWorld.java
@@ -14,14 +14,14 @@
 import willowdoor.fairness.FairAction.Refuse;
 import willowdoor.fairness.FairAction.Release;
 import willowdoor.fairness.FairAction.WakeAt;
-import willowdoor.fairness.FairAction.Why;
+import willowdoor.fairness.FairAction.RefusalReason;
 import willowdoor.fairness.FairCounts;
 import willowdoor.fairness.FairEvent;
 import willowdoor.fairness.FairEvent.Arrived;
 import willowdoor.fairness.FairEvent.Ended;
 import willowdoor.fairness.FairEvent.Refusing;
 import willowdoor.fairness.FairEvent.Result;
-import willowdoor.fairness.FairEvent.Through;
+import willowdoor.fairness.FairEvent.FirmShare;
 import willowdoor.fairness.FairEvent.Woken;
 import willowdoor.fairness.FairQueue;
 import willowdoor.fairness.FairSettings;
@@ -125,9 +125,9 @@
           goOn(this, tries.get(r.id()), r.waitedMs());
         } else if (a instanceof Refuse r) {
           Try t = tries.remove(r.id());
-          if (r.why() == Why.SPENT && clock.now() - throughToldMs >= 20) {
+          if (r.reason() == RefusalReason.SPENT && clock.now() - throughToldMs >= 20) {
             throughToldMs = clock.now();
-            tell(new Through(t.load.firm(), part(t.load.firm(), t.load.doors())));
+            tell(new FirmShare(t.load.firm(), part(t.load.firm(), t.load.doors())));
           }
           refused(t, r.comeBackMs());
         } else if (a instanceof Advise d) {
@@ -307,7 +307,7 @@
     if (!room) {
       double holdOff = t.units / plan.rate() * 1000;
       if (order == Order.FAIR) {
-        door.tell(new Through(t.load.firm(), door.part(t.load.firm(), t.load.doors())));
+        door.tell(new FirmShare(t.load.firm(), door.part(t.load.firm(), t.load.doors())));
         door.tell(new Refusing(t.id, true, holdOff));
       } else {
         refused(t, holdOff);
--- a/emulator/src/test/java/willowdoor/emulator/agreement/StewardWorldTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/agreement/StewardWorldTest.java
@@ -106,7 +106,7 @@
     assertInstanceOf(Granted.class, world.agreed(Set.of(old), ask("r2", "b2")));
     world.run(10_000);
     world.goOn(old);
-    assertTrue(world.stewards.get(old).leads(), "it doesn't know yet");
+    assertTrue(world.stewards.get(old).isLeader(), "it doesn't know yet");
     CompletableFuture<Outcome> after = world.propose(old, ask("r3", "b0"));
     world.run(3_000);
     assertFalse(granted(late) || granted(after));
@@ -151,12 +151,13 @@
     assertEquals(100, world.stewards.get(away).record().state().permits().size());
   }
 
-  private static void changed(StewardWorld world, Set<Integer> not, StewardId who, Steward.Change change) {
+  private static void changed(StewardWorld world, Set<Integer> not, StewardId who,
+      Steward.MembershipChange change) {
     double limit = world.now + 20_000;
     while (world.now < limit) {
       int leader = world.leader(not);
       if (leader >= 0) {
-        CompletableFuture<List<StewardId>> answer = world.stewards.get(leader).change(who, change);
+        CompletableFuture<List<StewardId>> answer = world.stewards.get(leader).changeMembership(who, change);
         world.until(world.now + 1_000, answer::isDone);
         if (answer.isDone() && !answer.isCompletedExceptionally()) {
           return;
@@ -181,13 +182,13 @@
         world.agreed(gone, Command.Tick::new);
       }
       StewardId fresh = world.ids.get(world.join());
-      changed(world, gone, fresh, Steward.Change.LISTEN);
-      changed(world, gone, fresh, Steward.Change.VOTE);
-      changed(world, gone, world.ids.get(old), Steward.Change.LEAVE);
+      changed(world, gone, fresh, Steward.MembershipChange.LISTEN);
+      changed(world, gone, fresh, Steward.MembershipChange.VOTE);
+      changed(world, gone, world.ids.get(old), Steward.MembershipChange.LEAVE);
     }
     assertInstanceOf(Waiting.class, world.agreed(gone, ask("r2", "b2")));
     int leader = world.leader(gone);
-    assertEquals(3, world.stewards.get(leader).voting().size());
+    assertEquals(3, world.stewards.get(leader).votingMembers().size());
     assertEquals(1, world.stewards.get(leader).record().out(Kind.BACKEND));
     world.kill(leader);
     gone.add(leader);
@@ -239,10 +240,10 @@
       world.agreed(Set.of(full), backends(3));
       world.begin(full, 40);
       double limit = world.now + 60_000;
-      while (!world.stewards.get(full).ended() && world.now < limit) {
+      while (!world.stewards.get(full).hasEnded() && world.now < limit) {
         world.agreed(Set.of(full), backends(500));
       }
-      assertTrue(world.stewards.get(full).ended(), "steward " + full);
+      assertTrue(world.stewards.get(full).hasEnded(), "steward " + full);
       assertInstanceOf(Waiting.class, world.agreed(Set.of(full), ask("r2", "b2")));
       world.kill(full);
       world.begin(full);
--- a/fair/src/main/java/willowdoor/fairgate/FairGate.java
+++ b/fair/src/main/java/willowdoor/fairgate/FairGate.java
@@ -18,7 +18,7 @@
 import willowdoor.fairness.FairAction.Refuse;
 import willowdoor.fairness.FairAction.Release;
 import willowdoor.fairness.FairAction.WakeAt;
-import willowdoor.fairness.FairAction.Why;
+import willowdoor.fairness.FairAction.RefusalReason;
 import willowdoor.fairness.FairCounts;
 import willowdoor.fairness.FairEvent;
 import willowdoor.fairness.FairEvent.Arrived;
@@ -26,11 +26,11 @@
 import willowdoor.fairness.FairEvent.Ended;
 import willowdoor.fairness.FairEvent.Refusing;
 import willowdoor.fairness.FairEvent.Result;
-import willowdoor.fairness.FairEvent.Through;
+import willowdoor.fairness.FairEvent.FirmShare;
 import willowdoor.fairness.FairEvent.Woken;
 import willowdoor.fairness.FairQueue;
 import willowdoor.fairness.FairSettings;
-import willowdoor.net.Gate;
+import willowdoor.net.RequestFilter;
 import willowdoor.policy.GatewayApi.Request;
 import willowdoor.policy.GatewayApi.RequestClass;
 import willowdoor.policy.GatewayApi.Settings;
@@ -40,50 +40,50 @@
  * queue decides while a decision is being carried out waits for its turn, so a burst of releases that are all
  * refused at once goes in a loop, not ever deeper.
  */
-public final class FairGate implements Gate {
+public final class FairGate implements RequestFilter {
 
   /** What tells clients of a firm apart. */
   public enum ClientBy { ADDRESS, CONNECTION, HEADER }
 
   /** One request from its entering to its end. */
-  private final class Place implements Entry {
+  private final class QueuedEntry implements FilteredRequest {
     private final Request request;
-    private final Passage passage;
+    private final Continuation passage;
     private boolean spent;
     private double charged;
 
-    Place(Request request, Passage passage) {
+    QueuedEntry(Request request, Continuation passage) {
       this.request = request;
       this.passage = passage;
     }
 
     @Override
-    public void charged(double units) {
+    public void onUnitsCharged(double units) {
       charged = units;
     }
 
     @Override
-    public double advised(boolean ofFirm, double holdOffMs) {
+    public double adviseHoldOff(boolean ofFirm, double holdOffMs) {
       spent = ofFirm;
       if (ofFirm) {
-        tellThrough(request);
+        updateFirmShare(request);
       }
-      double told = holdOffMs;
-      for (FairAction a : queue.on(now.getAsDouble(), new Refusing(request.id(), ofFirm, holdOffMs))) {
+      double adviceMs = holdOffMs;
+      for (FairAction a : queue.on(clock.getAsDouble(), new Refusing(request.id(), ofFirm, holdOffMs))) {
         if (a instanceof Advise advise) {
-          told = advise.comeBackMs();
+          adviceMs = advise.comeBackMs();
         } else {
-          pending.add(a);
+          pendingActions.add(a);
         }
       }
-      carryOut();
-      return advises ? told : holdOffMs;
+      executePending();
+      return advises ? adviceMs : holdOffMs;
     }
 
     @Override
-    public void ended(End end) {
-      places.remove(request.id());
-      tell(new Ended(request.id(), switch (end) {
+    public void onEnd(RequestEnd end) {
+      entriesById.remove(request.id());
+      handle(new Ended(request.id(), switch (end) {
         case SERVED -> Result.SERVED;
         case FAILED -> Result.FAILED;
         case LEFT -> Result.LEFT;
@@ -94,51 +94,51 @@
 
   private static final Logger LOG = Logger.getLogger(FairGate.class.getName());
   /** How often what was counted is logged, if it has changed. */
-  private static final long TELL_EVERY_S = 10;
+  private static final long COUNTS_LOG_INTERVAL_S = 10;
 
   /** Of firms refused here, one is asked about this often: the most refused are the most asked about. */
-  private static final double THROUGH_EVERY_MS = 20;
+  private static final double SHARE_UPDATE_INTERVAL_MS = 20;
 
   private final EventLoop loop;
-  private final DoubleSupplier now;
+  private final DoubleSupplier clock;
   private final FairQueue queue;
   private final Map<String, RequestClass> classes = new HashMap<>();
   private final ClientBy clientBy;
   private final String header;
   private final boolean advises;
-  private final ToDoubleFunction<Request> through;
-  private final Map<String, Place> places = new HashMap<>();
-  private final ArrayDeque<FairAction> pending = new ArrayDeque<>();
-  private boolean busy;
-  private Future<?> wake;
-  private FairCounts toldCounts;
-  private double throughToldMs = Double.NEGATIVE_INFINITY;
+  private final ToDoubleFunction<Request> firmShare;
+  private final Map<String, QueuedEntry> entriesById = new HashMap<>();
+  private final ArrayDeque<FairAction> pendingActions = new ArrayDeque<>();
+  private boolean executing;
+  private Future<?> wakeUp;
+  private FairCounts loggedCounts;
+  private double shareUpdatedMs = Double.NEGATIVE_INFINITY;
 
   /**
    * A gate, for the door's loop and by its clock.
    *
-   * @param now milliseconds
-   * @param through the part of a request's firm's use that comes through this door, from 0 to 1
+   * @param clock milliseconds
+   * @param firmShare the part of a request's firm's use that comes through this door, from 0 to 1
    * @param header that names a client, with {@link ClientBy#HEADER}
    */
-  public FairGate(EventLoop loop, DoubleSupplier now, Settings settings, FairSettings fair,
-      ToDoubleFunction<Request> through, ClientBy clientBy, String header) {
+  public FairGate(EventLoop loop, DoubleSupplier clock, Settings settings, FairSettings fair,
+      ToDoubleFunction<Request> firmShare, ClientBy clientBy, String header) {
     this.loop = loop;
-    this.now = now;
-    this.through = through;
+    this.clock = clock;
+    this.firmShare = firmShare;
     this.clientBy = clientBy;
     this.header = header;
     queue = new FairQueue(fair);
-    advises = settings.allowed().holdOff();
+    advises = settings.capabilities().mayAdviseRetry();
     settings.classes().forEach(c -> classes.put(c.name(), c));
-    loop.scheduleAtFixedRate(this::tellCounts, TELL_EVERY_S, TELL_EVERY_S, TimeUnit.SECONDS);
+    loop.scheduleAtFixedRate(this::logCounts, COUNTS_LOG_INTERVAL_S, COUNTS_LOG_INTERVAL_S, TimeUnit.SECONDS);
   }
 
-  private void tellCounts() {
+  private void logCounts() {
     FairCounts counts = queue.counts();
-    if (!counts.equals(toldCounts)) {
-      toldCounts = counts;
-      LOG.info(() -> "fair queue: " + counts.words());
+    if (!counts.equals(loggedCounts)) {
+      loggedCounts = counts;
+      LOG.info(() -> "fair queue: " + counts.summary());
     }
   }
 
@@ -148,95 +148,103 @@
   }
 
   @Override
-  public boolean concerns(Request request) {
+  public boolean appliesTo(Request request) {
     return true;
   }
 
   /** The queue's promises are for what the quota refuses, too. */
   @Override
-  public boolean foresees() {
+  public boolean wantsQuotaPrecheck() {
     return false;
   }
 
   @Override
-  public void draining(boolean on) {
-    tell(new Draining(on));
-    tellCounts();
+  public void setDraining(boolean on) {
+    handle(new Draining(on));
+    logCounts();
   }
 
   @Override
-  public Entry enter(Request request, FullHttpRequest message, Origin origin, Passage passage) {
-    Place place = new Place(request, passage);
-    places.put(request.id(), place);
-    double at = now.getAsDouble();
-    RequestClass type = classes.get(request.className());
-    double aim = type == null || type.aimMs() <= 0 ? request.giveUpMs() - at : type.aimMs();
-    double useful = type != null && type.lateValue() <= 0 ? Math.min(request.giveUpMs(), at + aim)
+  public FilteredRequest filter(Request request, FullHttpRequest message, Origin origin,
+      Continuation passage) {
+    QueuedEntry entry = new QueuedEntry(request, passage);
+    entriesById.put(request.id(), entry);
+    double nowMs = clock.getAsDouble();
+    RequestClass requestClass = classes.get(request.className());
+    double aimMs = requestClass == null || requestClass.aimMs() <= 0 ? request.giveUpMs() - nowMs
+        : requestClass.aimMs();
+    double usefulUntilMs = requestClass != null && requestClass.lateValue() <= 0
+        ? Math.min(request.giveUpMs(), nowMs + aimMs)
         : request.giveUpMs();
-    tell(new Arrived(request.id(), request.className(), request.planName(), request.customer(),
-        client(origin), request.entryPoints(), request.units(), message.content().readableBytes(), useful,
-        aim));
-    return place;
+    handle(new Arrived(request.id(), request.className(), request.planName(), request.customer(),
+        clientKey(origin), request.entryPoints(), request.units(), message.content().readableBytes(),
+        usefulUntilMs,
+        aimMs));
+    return entry;
   }
 
   /** Never 0, which is nobody; clients whose hashes meet share their turns. */
-  private long client(Origin origin) {
-    SocketAddress source = origin.source();
+  private long clientKey(Origin origin) {
+    SocketAddress source = origin.remoteAddress();
     Object key = clientBy == ClientBy.HEADER ? origin.headers().get(header)
         : clientBy == ClientBy.ADDRESS && source instanceof InetSocketAddress a ? a.getAddress() : source;
     return key == null ? 1 : (key.hashCode() & 0xFFFF_FFFFL) + 1;
   }
 
   /** Where a firm's use comes through moves on while it is paced here. */
-  private void tellThrough(Request request) {
-    throughToldMs = now.getAsDouble();
-    pending.addAll(queue.on(throughToldMs, new Through(request.customer(), through.applyAsDouble(request))));
+  private void updateFirmShare(Request request) {
+    shareUpdatedMs = clock.getAsDouble();
+    pendingActions
+        .addAll(queue
+        .on(shareUpdatedMs, new FirmShare(request.customer(), firmShare.applyAsDouble(request))));
   }
 
-  private void tell(FairEvent event) {
-    pending.addAll(queue.on(now.getAsDouble(), event));
-    carryOut();
+  private void handle(FairEvent event) {
+    pendingActions.addAll(queue.on(clock.getAsDouble(), event));
+    executePending();
   }
 
-  private void carryOut() {
-    if (busy) {
+  private void executePending() {
+    if (executing) {
       return;
     }
-    busy = true;
+    executing = true;
     try {
-      for (FairAction a = pending.poll(); a != null; a = pending.poll()) {
+      for (FairAction a = pendingActions.poll(); a != null; a = pendingActions.poll()) {
         execute(a);
       }
     } finally {
-      busy = false;
+      executing = false;
     }
   }
 
   private void execute(FairAction action) {
     if (action instanceof Release a) {
-      Place place = places.get(a.id());
-      if (place != null) {
-        place.passage.pass(null);
+      QueuedEntry entry = entriesById.get(a.id());
+      if (entry != null) {
+        entry.passage.proceed(null);
       }
     } else if (action instanceof Refuse a) {
-      Place place = places.get(a.id());
-      if (place != null) {
-        if (a.why() == Why.SPENT && now.getAsDouble() - throughToldMs >= THROUGH_EVERY_MS) {
-          tellThrough(place.request);
+      QueuedEntry entry = entriesById.get(a.id());
+      if (entry != null) {
+        if (a.reason() == RefusalReason.SPENT && clock.getAsDouble()
+            - shareUpdatedMs >= SHARE_UPDATE_INTERVAL_MS) {
+          updateFirmShare(entry.request);
         }
-        place.passage.refuse(advises ? a.comeBackMs() : 0);
+        entry.passage.refuse(advises ? a.comeBackMs() : 0);
       }
     } else if (action instanceof WakeAt a) {
-      if (wake != null) {
-        wake.cancel(false);
+      if (wakeUp != null) {
+        wakeUp.cancel(false);
       }
-      double wait = Math.max(0, a.atMs() - now.getAsDouble());
-      wake = loop.schedule(() -> tell(new Woken()), (long) Math.ceil(wait * 1000), TimeUnit.MICROSECONDS);
+      double waitMs = Math.max(0, a.atMs() - clock.getAsDouble());
+      wakeUp = loop
+          .schedule(() -> handle(new Woken()), (long) Math.ceil(waitMs * 1000), TimeUnit.MICROSECONDS);
     }
   }
 
   /** For tests and statistics: ids that wait or are out. */
-  List<String> held() {
-    return List.copyOf(places.keySet());
+  List<String> currentIds() {
+    return List.copyOf(entriesById.keySet());
   }
 }
--- a/policy/src/main/java/willowdoor/fairness/FairAction.java
+++ b/policy/src/main/java/willowdoor/fairness/FairAction.java
@@ -4,7 +4,7 @@
 public sealed interface FairAction {
 
   /** Why a request is refused. */
-  enum Why {
+  enum RefusalReason {
     /** It would have waited, or has waited, for longer than an answer is of use. */
     LATE,
     /** Too much waits, and most of it is its firm's. */
@@ -23,7 +23,7 @@
    *
    * @param comeBackMs after which it may come back, which is remembered; 0 where nothing can be promised
    */
-  record Refuse(String id, Why why, double comeBackMs) implements FairAction { }
+  record Refuse(String id, RefusalReason reason, double comeBackMs) implements FairAction { }
 
   /** What the policy's refusal advises; 0 where nothing can be promised. */
   record Advise(String id, double comeBackMs) implements FairAction { }
--- a/policy/src/main/java/willowdoor/fairness/FairCounts.java
+++ b/policy/src/main/java/willowdoor/fairness/FairCounts.java
@@ -22,7 +22,7 @@
     int remembered) {
 
   /** One line of a log: what became of requests, of promises, and what is held. */
-  public String words() {
+  public String summary() {
     return "arrived " + arrived + ", at once " + atOnce + ", after waiting " + (released - atOnce)
         + "; refused: late " + late + ", spent " + spent + ", full " + full + ", drained " + drained
         + "; left " + left + "; promised " + promised + ": kept " + kept + ", missed late " + missedLate
--- a/policy/src/main/java/willowdoor/fairness/FairEvent.java
+++ b/policy/src/main/java/willowdoor/fairness/FairEvent.java
@@ -39,7 +39,7 @@
   record Ended(String id, Result result, double units) implements FairEvent { }
 
   /** That part, from 0 to 1, of a firm's use of late came through this door. */
-  record Through(long firm, double part) implements FairEvent { }
+  record FirmShare(long firm, double share) implements FairEvent { }
 
   /**
    * The policy refuses a request that was let through, and would advise to come back after that time;
--- a/policy/src/main/java/willowdoor/fairness/FairQueue.java
+++ b/policy/src/main/java/willowdoor/fairness/FairQueue.java
@@ -11,7 +11,7 @@
 import willowdoor.fairness.FairAction.Refuse;
 import willowdoor.fairness.FairAction.Release;
 import willowdoor.fairness.FairAction.WakeAt;
-import willowdoor.fairness.FairAction.Why;
+import willowdoor.fairness.FairAction.RefusalReason;
 import willowdoor.fairness.FairEvent.Arrived;
 import willowdoor.fairness.FairEvent.Draining;
 import willowdoor.fairness.FairEvent.Ended;
@@ -19,7 +19,7 @@
 import willowdoor.fairness.FairEvent.PlansChanged;
 import willowdoor.fairness.FairEvent.Refusing;
 import willowdoor.fairness.FairEvent.Result;
-import willowdoor.fairness.FairEvent.Through;
+import willowdoor.fairness.FairEvent.FirmShare;
 import willowdoor.fairness.FairSettings.Cost;
 import willowdoor.fairness.FairSettings.PlanPart;
 
@@ -29,7 +29,8 @@
  * through; until then it takes no units and no place. No I/O, no clock, no thread.
  *
  * <ul>
- * <li>Turns go by {@link FairTree}; how much may be out by {@link OutLimit}. A firm at its own bound of
+ * <li>Turns go by {@link FairTree}; how much may be out by {@link ConcurrencyLimit}. A firm at its own bound
+ * of
  *     requests out, or whose quota was seen to be spent, has no turn until there is room, and stands in
  *     nobody's way.
  * <li>What cannot be let through early enough for an answer that is of use is refused as soon as that is
@@ -44,60 +45,62 @@
 public final class FairQueue {
 
   /** No earlier than this is promised: the answer has its way, and the client a moment to think. */
-  private static final double USUAL_MS = 100;
+  private static final double MIN_COME_BACK_MS = 100;
   /** What the pool serves is measured over so long: longer than a pause. */
-  private static final double WINDOW_MS = 1_000;
-  private static final double RATE_NEWEST = 0.3;
+  private static final double RATE_WINDOW_MS = 1_000;
+  private static final double RATE_SMOOTHING = 0.3;
   /** Classes whose times are learned; further ones share one entry. */
-  private static final int MOST_CLASSES = 64;
+  private static final int MAX_CLASSES = 64;
 
   private final FairSettings settings;
   private Map<String, PlanPart> plans;
   private final FairTree tree;
-  private final OutLimit limit;
+  private final ConcurrencyLimit limit;
   private final Promises promises;
-  private final Map<String, Waiting> known = new HashMap<>();
+  private final Map<String, QueuedRequest> requestsById = new HashMap<>();
   /** Those that came back when told, in order of their coming. */
-  private final ArrayDeque<Waiting> express = new ArrayDeque<>();
-  private final TreeSet<Waiting> byLatest = new TreeSet<>(Comparator.<Waiting>comparingDouble(w -> w.latestMs)
-      .thenComparingLong(w -> w.number));
+  private final ArrayDeque<QueuedRequest> expressQueue = new ArrayDeque<>();
+  private final TreeSet<QueuedRequest> waitingByDeadline =
+      new TreeSet<>(Comparator.<QueuedRequest>comparingDouble(w -> w.latestReleaseMs)
+      .thenComparingLong(w -> w.sequenceNumber));
   /** Firms held back until their quota lets one through. */
-  private final TreeSet<Flow> held = new TreeSet<>(Comparator.<Flow>comparingDouble(f -> f.firm.readyAtMs)
+  private final TreeSet<Flow> heldBackFirms =
+      new TreeSet<>(Comparator.<Flow>comparingDouble(f -> f.firm.readyAtMs)
       .thenComparingLong(f -> f.firm.number));
-  private final Map<String, Takes> takes = new HashMap<>();
-  private List<FairAction> out = new ArrayList<>();
-  private double now;
+  private final Map<String, ServiceTimeModel> serviceTimes = new HashMap<>();
+  private List<FairAction> actions = new ArrayList<>();
+  private double nowMs;
   private double wakeAtMs = Double.POSITIVE_INFINITY;
   private boolean draining;
-  private long number;
-  private long bytes;
+  private long nextNumber;
+  private long waitingBytes;
   /** Cost that the pool ends in a millisecond; NaN until measured. */
-  private double rate = Double.NaN;
-  private double windowAtMs = Double.NaN;
+  private double poolCostPerMs = Double.NaN;
+  private double windowStartMs = Double.NaN;
   private double windowCost;
-  private boolean busy;
+  private boolean windowBusy;
   private long arrived;
-  private long atOnce;
+  private long releasedAtOnce;
   private long released;
   private long left;
-  private long kept;
+  private long keptPromises;
   private long missedLate;
   private long missedSpent;
   private long missedFull;
-  private final long[] refused = new long[Why.values().length];
+  private final long[] refusedByReason = new long[RefusalReason.values().length];
 
   public FairQueue(FairSettings settings) {
     this.settings = settings;
     plans = settings.plans();
     tree = new FairTree(settings.bounds());
-    limit = new OutLimit(settings.limit());
+    limit = new ConcurrencyLimit(settings.limit());
     promises = new Promises(settings.bounds(), settings.comeBack());
   }
 
   /** Takes one event and gives what to do, in order. */
-  public List<FairAction> on(double nowMs, FairEvent event) {
-    now = nowMs;
-    out = new ArrayList<>(2);
+  public List<FairAction> on(double eventMs, FairEvent event) {
+    nowMs = eventMs;
+    actions = new ArrayList<>(2);
     if (event instanceof Arrived e) {
       onArrived(e);
     } else if (event instanceof Ended e) {
@@ -106,30 +109,33 @@
       onLeft(e.id());
     } else if (event instanceof Refusing e) {
       onRefusing(e);
-    } else if (event instanceof Through e) {
-      onThrough(e);
+    } else if (event instanceof FirmShare e) {
+      onFirmShare(e);
     } else if (event instanceof PlansChanged e) {
       plans = Map.copyOf(e.plans());
-      plans.forEach(tree::change);
+      plans.forEach(tree::setPlanPart);
     } else if (event instanceof Draining e) {
       draining = e.on();
-      List.copyOf(draining ? byLatest : List.<Waiting>of()).forEach(w -> putOut(w, Why.DRAINING));
+      List.copyOf(draining ? waitingByDeadline : List.<QueuedRequest>of())
+          .forEach(w -> refuseWaiting(w, RefusalReason.DRAINING));
     } else {
       wakeAtMs = Double.POSITIVE_INFINITY;
-      promises.expire(now);
+      promises.expire(nowMs);
     }
-    giveUp();
-    pump();
-    arm();
-    return out;
+    refuseOverdue();
+    releaseWhileRoom();
+    scheduleWakeUp();
+    return actions;
   }
 
   public FairCounts counts() {
-    return new FairCounts(arrived, atOnce, released, refused[Why.LATE.ordinal()],
-        refused[Why.SPENT.ordinal()],
-        refused[Why.FULL.ordinal()], refused[Why.DRAINING.ordinal()], left, promises.promised(), kept,
-        missedLate, missedSpent, missedFull, promises.unclaimed(), byLatest.size(), bytes, limit.out(),
-        limit.limit(), tree.firms(), tree.leaves(), promises.remembered());
+    return new FairCounts(arrived, releasedAtOnce, released, refusedByReason[RefusalReason.LATE.ordinal()],
+        refusedByReason[RefusalReason.SPENT.ordinal()],
+        refusedByReason[RefusalReason.FULL.ordinal()], refusedByReason[RefusalReason.DRAINING.ordinal()], left,
+        promises.promisedCount(), keptPromises,
+        missedLate, missedSpent, missedFull, promises.unclaimedCount(), waitingByDeadline.size(), waitingBytes,
+        limit.outstanding(),
+        limit.limit(), tree.firmCount(), tree.clientFlowCount(), promises.rememberedCount());
   }
 
   // ---- Coming ----
@@ -138,296 +144,312 @@
     arrived++;
     PlanPart part = plans.getOrDefault(e.plan(), settings.others());
     int doors = Math.max(1, Math.min(e.entryPoints(), settings.doors()));
-    Flow leaf = tree.leaf(plans.containsKey(e.plan()) ? e.plan() : "", part, e.firm(), e.client(), doors);
-    Firm firm = leaf.parent.firm;
-    double cost = e.units() * (settings.cost() == Cost.WORK ? firm.factor : 1);
-    Waiting w = new Waiting(e, leaf, number++, now,
-        Math.max(now, e.usefulUntilMs() - expectedMs(e)), cost,
-        promises.claim(firm, e.client(), now));
-    if (w.promised) {
-      if (makeRoom(w)) {
-        enter(w);
-        w.expressed = true;
-        express.add(w);
+    Flow flow = tree
+        .clientFlow(plans.containsKey(e.plan()) ? e.plan() : "", part, e.firm(), e.client(), doors);
+    Firm firm = flow.parent.firm;
+    double cost = e.units() * (settings.cost() == Cost.WORK ? firm.workFactor : 1);
+    QueuedRequest request = new QueuedRequest(e, flow, nextNumber++, nowMs,
+        Math.max(nowMs, e.usefulUntilMs() - expectedServiceMs(e)), cost,
+        promises.claim(firm, e.client(), nowMs));
+    if (request.hasPromise) {
+      if (makeRoom(request)) {
+        register(request);
+        request.isExpress = true;
+        expressQueue.add(request);
       }
       return;
     }
-    double paced = firm.paceRate(now) > 0 ? firm.unpromisedIn(now, leaf.parent.waitingCost + e.units()) : 0;
-    double wait = Math.max(paced, turnIn(e, leaf, cost));
-    if (wait > 0 && (draining || now + wait > w.latestMs)) {
-      refuse(w, draining ? Why.DRAINING : paced >= wait ? Why.SPENT : Why.LATE);
-    } else if (makeRoom(w)) {
-      enter(w);
-      tree.add(w);
-      hold(leaf.parent);
+    double quotaWaitMs = firm.pacedUnitsPerMs(nowMs) > 0
+        ? firm.unpromisedWaitMs(nowMs, flow.parent.waitingCost + e.units()) : 0;
+    double waitMs = Math.max(quotaWaitMs, waitForTurnMs(e, flow, cost));
+    if (waitMs > 0 && (draining || nowMs + waitMs > request.latestReleaseMs)) {
+      refuse(request,
+          draining ? RefusalReason.DRAINING : quotaWaitMs >= waitMs ? RefusalReason.SPENT
+          : RefusalReason.LATE);
+    } else if (makeRoom(request)) {
+      register(request);
+      tree.add(request);
+      updateHold(flow.parent);
     }
   }
 
-  private void enter(Waiting w) {
-    known.put(w.request.id(), w);
-    byLatest.add(w);
-    bytes += w.request.bytes();
+  private void register(QueuedRequest request) {
+    requestsById.put(request.request.id(), request);
+    waitingByDeadline.add(request);
+    waitingBytes += request.request.bytes();
   }
 
   /** What a request is expected to take at the nodes, in milliseconds; 0 while nothing is known. */
-  private double expectedMs(Arrived e) {
-    Takes of = takes.get(e.className());
-    return of == null ? 0 : of.expected(e.units());
+  private double expectedServiceMs(Arrived e) {
+    ServiceTimeModel serviceTime = serviceTimes.get(e.className());
+    return serviceTime == null ? 0 : serviceTime.expectedMs(e.units());
   }
 
   /** How long until such a request has its turn, by what drains now. */
-  private double turnIn(Arrived e, Flow leaf, double cost) {
-    Firm firm = leaf.parent.firm;
-    double own = 0;
-    if (firm.blocked() && !firm.held()) {
-      double drains = firm.drains(Math.max(1, expectedMs(e)));
-      own = (leaf.parent.waiting + 1) / drains;
+  private double waitForTurnMs(Arrived e, Flow flow, double cost) {
+    Firm firm = flow.parent.firm;
+    double firmWaitMs = 0;
+    if (firm.isBlocked() && !firm.isHeldBack()) {
+      double drainRate = firm.outstandingDrainRate(Math.max(1, expectedServiceMs(e)));
+      firmWaitMs = (flow.parent.waitingCount + 1) / drainRate;
     }
-    boolean free = limit.hasRoom() && express.isEmpty() && !tree.someoneMayBeServed();
-    double turn = free || Double.isNaN(rate) ? 0 : (leaf.waitingCost + cost) / (rate * tree.part(leaf));
-    return Math.max(own, turn);
+    boolean turnIsFree = limit.hasRoom() && expressQueue.isEmpty() && !tree.hasEligibleFlow();
+    double turnWaitMs = turnIsFree || Double.isNaN(poolCostPerMs) ? 0
+        : (flow.waitingCost + cost) / (poolCostPerMs * tree.shareOf(flow));
+    return Math.max(firmWaitMs, turnWaitMs);
   }
 
   /**
    * Puts out the latest of the fullest firm until there is room; false when the newcomer itself had to go.
    */
-  private boolean makeRoom(Waiting w) {
-    while (byLatest.size() >= settings.bounds().waiting() || bytes > 0
-        && bytes + w.request.bytes() > settings.bounds().bytes()) {
-      if (tree.waiting() == 0 || !w.promised && fuller(w)) {
-        refuse(w, Why.FULL);
+  private boolean makeRoom(QueuedRequest newcomer) {
+    while (waitingByDeadline.size() >= settings.bounds().waiting() || waitingBytes > 0
+        && waitingBytes + newcomer.request.bytes() > settings.bounds().bytes()) {
+      if (tree.waitingCount() == 0 || !newcomer.hasPromise && newcomerIsFullest(newcomer)) {
+        refuse(newcomer, RefusalReason.FULL);
         return false;
       }
-      putOut(tree.victim(), Why.FULL);
+      refuseWaiting(tree.victim(), RefusalReason.FULL);
     }
     return true;
   }
 
   /** Whether the newcomer's firm has, with it, more waiting for its weight than any other. */
-  private boolean fuller(Waiting w) {
-    Flow own = w.leaf.parent;
-    return (own.waitingCost + w.cost) / own.weight > tree.victim().leaf.parent.fullness;
+  private boolean newcomerIsFullest(QueuedRequest newcomer) {
+    Flow firmFlow = newcomer.flow.parent;
+    return (firmFlow.waitingCost + newcomer.cost) / firmFlow.weight > tree
+        .victim().flow.parent.backlogPerWeight;
   }
 
   // ---- Going on ----
 
-  private void pump() {
+  private void releaseWhileRoom() {
     while (limit.hasRoom()) {
-      Waiting w = express.poll();
-      if (w != null && w.firm().atMost()) {
+      QueuedRequest request = expressQueue.poll();
+      if (request != null && request.firm().isAtOutstandingLimit()) {
         // Its firm has all out that it may: it is the first of its firm when one of those ends.
-        w.expressed = false;
-        tree.addFirst(w);
-        hold(w.leaf.parent);
+        request.isExpress = false;
+        tree.addFirst(request);
+        updateHold(request.flow.parent);
         continue;
-      } else if (w != null) {
-        tree.charge(w.leaf, w.cost);
-      } else if (tree.someoneMayBeServed()) {
-        w = tree.next();
+      } else if (request != null) {
+        tree.charge(request.flow, request.cost);
+      } else if (tree.hasEligibleFlow()) {
+        request = tree.next();
       } else {
-        busy = false;
+        windowBusy = false;
         return;
       }
-      release(w);
+      release(request);
     }
   }
 
-  private void release(Waiting w) {
-    byLatest.remove(w);
-    bytes -= w.request.bytes();
-    w.releasedMs = now;
+  private void release(QueuedRequest request) {
+    waitingByDeadline.remove(request);
+    waitingBytes -= request.request.bytes();
+    request.releasedMs = nowMs;
     released++;
-    atOnce += now == w.arrivedMs ? 1 : 0;
-    limit.released(now);
-    w.firm().released(now, w.request.units());
-    hold(w.leaf.parent);
-    out.add(new Release(w.request.id(), now - w.arrivedMs));
+    releasedAtOnce += nowMs == request.arrivedMs ? 1 : 0;
+    limit.onReleased(nowMs);
+    request.firm().onReleased(nowMs, request.request.units());
+    updateHold(request.flow.parent);
+    actions.add(new Release(request.request.id(), nowMs - request.arrivedMs));
   }
 
   /** Lets a firm have its turns, or holds it back, as its quota and its bound say now. */
-  private void hold(Flow firm) {
-    held.remove(firm);
-    double units = firm.waiting == 0 ? 0 : firm.ready.first().head.request.units();
-    firm.firm.hold(now, units);
-    if (firm.firm.held()) {
-      held.add(firm);
+  private void updateHold(Flow firmFlow) {
+    heldBackFirms.remove(firmFlow);
+    double units = firmFlow.waitingCount == 0 ? 0 : firmFlow.readyChildren.first().head.request.units();
+    firmFlow.firm.updateHold(nowMs, units);
+    if (firmFlow.firm.isHeldBack()) {
+      heldBackFirms.add(firmFlow);
     }
-    tree.refresh(firm);
+    tree.updateEligibility(firmFlow);
   }
 
   private void onEnded(Ended e) {
-    Waiting w = known.get(e.id());
-    if (w == null || Double.isNaN(w.releasedMs)) {
+    QueuedRequest request = requestsById.get(e.id());
+    if (request == null || Double.isNaN(request.releasedMs)) {
       onLeft(e.id());
       return;
     }
-    known.remove(e.id());
-    Firm firm = w.firm();
-    firm.out--;
+    requestsById.remove(e.id());
+    Firm firm = request.firm();
+    firm.outstanding--;
     boolean ran = e.result() == Result.SERVED || e.result() == Result.FAILED;
     if (ran) {
-      limit.ended(now, w.releasedMs, w.request.aimMs(), e.result() == Result.FAILED);
-      settle(w, e.units());
-      firm.settle(now, e.units() > 0 ? e.units() - w.request.units() : 0);
+      limit.onAnswer(nowMs, request.releasedMs, request.request.aimMs(), e.result() == Result.FAILED);
+      settle(request, e.units());
+      firm.settleUnits(nowMs, e.units() > 0 ? e.units() - request.request.units() : 0);
     } else {
-      limit.left();
-      tree.charge(w.leaf, e.result() == Result.LEFT ? 0 : -w.cost);
+      limit.endedWithoutAnswer();
+      tree.charge(request.flow, e.result() == Result.LEFT ? 0 : -request.cost);
     }
-    if (w.promised) {
-      keep(w, e.result());
+    if (request.hasPromise) {
+      recordPromiseOutcome(request, e.result());
     }
-    hold(w.leaf.parent);
+    updateHold(request.flow.parent);
   }
 
-  private void keep(Waiting w, Result how) {
-    if (how == Result.SPENT || how == Result.REFUSED) {
-      missedSpent += how == Result.SPENT ? 1 : 0;
-      missedFull += how == Result.REFUSED ? 1 : 0;
-      promises.owe(w.firm(), w.request.client(), now);
-    } else if (w.releasedMs - w.arrivedMs > Promises.WINDOW_MS) {
+  private void recordPromiseOutcome(QueuedRequest request, Result result) {
+    if (result == Result.SPENT || result == Result.REFUSED) {
+      missedSpent += result == Result.SPENT ? 1 : 0;
+      missedFull += result == Result.REFUSED ? 1 : 0;
+      promises.owe(request.firm(), request.request.client(), nowMs);
+    } else if (request.releasedMs - request.arrivedMs > Promises.CLAIM_WINDOW_MS) {
       missedLate++;
     } else {
-      kept++;
+      keptPromises++;
     }
   }
 
   /** Charges what it took beyond what it was charged, and learns what its class and its firm take. */
-  private void settle(Waiting w, double told) {
-    double units = w.request.units();
-    double actual = told > 0 ? told : units;
-    double took = now - w.releasedMs;
-    String name = w.request.className();
-    Takes of = takes.computeIfAbsent(takes.size() < MOST_CLASSES ? name : "", n -> new Takes());
+  private void settle(QueuedRequest request, double reportedUnits) {
+    double units = request.request.units();
+    double actualCost = reportedUnits > 0 ? reportedUnits : units;
+    double tookMs = nowMs - request.releasedMs;
+    String className = request.request.className();
+    ServiceTimeModel serviceTime = serviceTimes
+        .computeIfAbsent(serviceTimes.size() < MAX_CLASSES ? className : "", n -> new ServiceTimeModel());
     if (settings.cost() == Cost.WORK) {
-      w.firm().took(of.ratio(units, took));
-      actual = units * w.firm().factor;
+      request.firm().recordWorkRatio(serviceTime.workRatio(units, tookMs));
+      actualCost = units * request.firm().workFactor;
     }
-    of.saw(units, took);
-    tree.charge(w.leaf, actual - w.cost);
-    measure(actual);
+    serviceTime.observe(units, tookMs);
+    tree.charge(request.flow, actualCost - request.cost);
+    measureRate(actualCost);
   }
 
-  private void measure(double cost) {
-    if (Double.isNaN(windowAtMs)) {
-      windowAtMs = now;
-      busy = true;
+  private void measureRate(double cost) {
+    if (Double.isNaN(windowStartMs)) {
+      windowStartMs = nowMs;
+      windowBusy = true;
     }
     windowCost += cost;
-    double span = now - windowAtMs;
-    if (span >= WINDOW_MS) {
-      double seen = windowCost / span;
-      rate = Double.isNaN(rate) ? seen : busy ? rate + RATE_NEWEST * (seen - rate) : Math.max(rate, seen);
-      windowAtMs = now;
+    double spanMs = nowMs - windowStartMs;
+    if (spanMs >= RATE_WINDOW_MS) {
+      double measured = windowCost / spanMs;
+      poolCostPerMs = Double.isNaN(poolCostPerMs) ? measured : windowBusy ? poolCostPerMs + RATE_SMOOTHING
+          * (measured - poolCostPerMs) : Math.max(poolCostPerMs, measured);
+      windowStartMs = nowMs;
       windowCost = 0;
-      busy = true;
+      windowBusy = true;
     }
   }
 
   // ---- Going ----
 
-  private void giveUp() {
-    while (!byLatest.isEmpty() && byLatest.first().latestMs < now) {
-      Waiting w = byLatest.first();
-      putOut(w, w.firm().held() && !w.promised ? Why.SPENT : Why.LATE);
+  private void refuseOverdue() {
+    while (!waitingByDeadline.isEmpty() && waitingByDeadline.first().latestReleaseMs < nowMs) {
+      QueuedRequest request = waitingByDeadline.first();
+      refuseWaiting(request,
+          request.firm().isHeldBack() && !request.hasPromise ? RefusalReason.SPENT : RefusalReason.LATE);
     }
   }
 
   /** Refuses one that waits. */
-  private void putOut(Waiting w, Why why) {
-    forget(w);
-    refuse(w, why);
+  private void refuseWaiting(QueuedRequest request, RefusalReason reason) {
+    removeWaiting(request);
+    refuse(request, reason);
   }
 
-  private void forget(Waiting w) {
-    known.remove(w.request.id());
-    byLatest.remove(w);
-    bytes -= w.request.bytes();
-    if (w.expressed) {
-      express.remove(w);
+  private void removeWaiting(QueuedRequest request) {
+    requestsById.remove(request.request.id());
+    waitingByDeadline.remove(request);
+    waitingBytes -= request.request.bytes();
+    if (request.isExpress) {
+      expressQueue.remove(request);
     } else {
-      tree.remove(w);
-      hold(w.leaf.parent);
+      tree.remove(request);
+      updateHold(request.flow.parent);
     }
   }
 
   private void onLeft(String id) {
-    Waiting w = known.get(id);
-    if (w != null && Double.isNaN(w.releasedMs)) {
-      forget(w);
+    QueuedRequest request = requestsById.get(id);
+    if (request != null && Double.isNaN(request.releasedMs)) {
+      removeWaiting(request);
       left++;
     }
   }
 
-  private void refuse(Waiting w, Why why) {
-    refused[why.ordinal()]++;
-    if (w.promised) {
-      missedLate += why == Why.LATE ? 1 : 0;
-      missedFull += why == Why.LATE ? 0 : 1;
+  private void refuse(QueuedRequest request, RefusalReason reason) {
+    refusedByReason[reason.ordinal()]++;
+    if (request.hasPromise) {
+      missedLate += reason == RefusalReason.LATE ? 1 : 0;
+      missedFull += reason == RefusalReason.LATE ? 0 : 1;
     }
-    if (why == Why.DRAINING) {
-      out.add(new Refuse(w.request.id(), why, 0));
+    if (reason == RefusalReason.DRAINING) {
+      actions.add(new Refuse(request.request.id(), reason, 0));
       return;
     }
-    double told = promise(w, 0);
-    if (w.promised) {
-      promises.owe(w.firm(), w.request.client(), now);
+    double comeBackAtMs = promiseComeBack(request, 0);
+    if (request.hasPromise) {
+      promises.owe(request.firm(), request.request.client(), nowMs);
     }
-    out.add(new Refuse(w.request.id(), why, Double.isNaN(told) ? 0 : told - now));
+    actions.add(
+        new Refuse(request.request.id(), reason, Double.isNaN(comeBackAtMs) ? 0 : comeBackAtMs - nowMs));
   }
 
   private void onRefusing(Refusing e) {
-    Waiting w = known.get(e.id());
-    if (w == null) {
-      out.add(new Advise(e.id(), 0));
+    QueuedRequest request = requestsById.get(e.id());
+    if (request == null) {
+      actions.add(new Advise(e.id(), 0));
       return;
     }
     if (e.spent()) {
-      w.firm().spent(now);
-      hold(w.leaf.parent);
+      request.firm().onQuotaSpent(nowMs);
+      updateHold(request.flow.parent);
     }
-    double told = promise(w, e.holdOffMs());
-    out.add(new Advise(e.id(), Double.isNaN(told) ? 0 : told - now));
+    double comeBackAtMs = promiseComeBack(request, e.holdOffMs());
+    actions.add(new Advise(e.id(), Double.isNaN(comeBackAtMs) ? 0 : comeBackAtMs - nowMs));
   }
 
   /** The time from which on the client is let through, or NaN where none can be promised. */
-  private double promise(Waiting w, double leastMs) {
-    if (Double.isNaN(rate)) {
+  private double promiseComeBack(QueuedRequest request, double minWaitMs) {
+    if (Double.isNaN(poolCostPerMs)) {
       return Double.NaN;
     }
-    Firm firm = w.firm();
-    double units = w.request.units();
-    double takes = w.cost / (rate * tree.part(w.leaf.parent));
-    double pace = firm.paceRate(now);
-    takes = pace > 0 ? Math.max(takes, units / pace) : takes;
-    double drains = firm.drains(Math.max(1, expectedMs(w.request)));
-    takes = drains > 0 ? Math.max(takes, 1 / drains) : takes;
-    double earliest = now + Math.max(Math.max(leastMs, USUAL_MS), firm.untilPaced(now, pace > 0 ? units : 0));
-    return promises.promise(firm, w.request.client(), now, earliest, takes, w.cost / rate);
+    Firm firm = request.firm();
+    double units = request.request.units();
+    double firmTakesMs = request.cost / (poolCostPerMs * tree.shareOf(request.flow.parent));
+    double pacedUnitsPerMs = firm.pacedUnitsPerMs(nowMs);
+    firmTakesMs = pacedUnitsPerMs > 0 ? Math.max(firmTakesMs, units / pacedUnitsPerMs) : firmTakesMs;
+    double drainRate = firm.outstandingDrainRate(Math.max(1, expectedServiceMs(request.request)));
+    firmTakesMs = drainRate > 0 ? Math.max(firmTakesMs, 1 / drainRate) : firmTakesMs;
+    double earliestMs = nowMs
+        + Math.max(Math.max(minWaitMs, MIN_COME_BACK_MS),
+        firm.waitForQuotaMs(nowMs, pacedUnitsPerMs > 0 ? units : 0));
+    return promises
+        .promise(firm, request.request.client(), nowMs, earliestMs, firmTakesMs,
+        request.cost / poolCostPerMs);
   }
 
   // ---- Beside ----
 
-  private void onThrough(Through e) {
-    for (String plan : tree.plans()) {
-      Flow firm = tree.firm(plan, e.firm());
-      if (firm != null) {
-        firm.firm.through(now, e.part());
-        tree.weigh(firm, plans.getOrDefault(plan, settings.others()).firmWeight() * firm.firm.through());
-        hold(firm);
+  private void onFirmShare(FirmShare e) {
+    for (String plan : tree.planNames()) {
+      Flow firmFlow = tree.firm(plan, e.firm());
+      if (firmFlow != null) {
+        firmFlow.firm.doorShare(nowMs, e.share());
+        tree.setWeight(firmFlow,
+            plans.getOrDefault(plan, settings.others()).firmWeight() * firmFlow.firm.doorShare());
+        updateHold(firmFlow);
       }
     }
   }
 
-  private void arm() {
-    while (!held.isEmpty() && held.first().firm.readyAtMs <= now) {
-      hold(held.first());
-      pump();
+  private void scheduleWakeUp() {
+    while (!heldBackFirms.isEmpty() && heldBackFirms.first().firm.readyAtMs <= nowMs) {
+      updateHold(heldBackFirms.first());
+      releaseWhileRoom();
     }
-    double at = byLatest.isEmpty() ? Double.POSITIVE_INFINITY : byLatest.first().latestMs + 1;
-    at = held.isEmpty() ? at : Math.min(at, held.first().firm.readyAtMs);
-    if (at < wakeAtMs) {
-      wakeAtMs = at;
-      out.add(new WakeAt(at));
+    double wakeMs = waitingByDeadline.isEmpty() ? Double.POSITIVE_INFINITY
+        : waitingByDeadline.first().latestReleaseMs + 1;
+    wakeMs = heldBackFirms.isEmpty() ? wakeMs : Math.min(wakeMs, heldBackFirms.first().firm.readyAtMs);
+    if (wakeMs < wakeAtMs) {
+      wakeAtMs = wakeMs;
+      actions.add(new WakeAt(wakeMs));
     }
   }
 }
--- a/policy/src/main/java/willowdoor/fairness/FairTree.java
+++ b/policy/src/main/java/willowdoor/fairness/FairTree.java
@@ -23,260 +23,265 @@
 final class FairTree {
 
   /** The firm that stands for all without a place of their own. */
-  private static final Object SHARED = new Object();
+  private static final Object SHARED_FIRM_KEY = new Object();
   /** Idle flows looked at for one to forget. */
-  private static final int LOOKS = 4;
+  private static final int MAX_IDLE_INSPECTED = 4;
 
   private final Bounds bounds;
   private final Flow root = Flow.root();
-  private final TreeSet<Flow> fullest = new TreeSet<>(Comparator.<Flow>comparingDouble(f -> -f.fullness)
+  private final TreeSet<Flow> firmsByBacklog =
+      new TreeSet<>(Comparator.<Flow>comparingDouble(f -> -f.backlogPerWeight)
       .thenComparingLong(f -> f.firm.number));
-  private long order;
-  private long firmNumber;
-  private int firms;
-  private int leaves;
+  private long nextReadyOrder;
+  private long nextFirmNumber;
+  private int firmCount;
+  private int clientFlowCount;
 
   FairTree(Bounds bounds) {
     this.bounds = bounds;
   }
 
-  int waiting() {
-    return root.waiting;
+  int waitingCount() {
+    return root.waitingCount;
   }
 
-  int firms() {
-    return firms;
+  int firmCount() {
+    return firmCount;
   }
 
-  int leaves() {
-    return leaves;
+  int clientFlowCount() {
+    return clientFlowCount;
   }
 
-  boolean someoneMayBeServed() {
-    return !root.ready.isEmpty();
+  boolean hasEligibleFlow() {
+    return !root.readyChildren.isEmpty();
   }
 
   /** Plans of which a firm was seen. */
-  List<String> plans() {
+  List<String> planNames() {
     return root.children.keySet().stream().map(k -> (String) k).toList();
   }
 
   /** The firm's flow if it has one. */
   Flow firm(String plan, long firm) {
-    Flow p = root.children.get(plan);
-    return p == null ? null : p.children.get(firm);
+    Flow planFlow = root.children.get(plan);
+    return planFlow == null ? null : planFlow.children.get(firm);
   }
 
   /** The flow of a client; made if there is a place for it, else one that it shares. */
-  Flow leaf(String plan, PlanPart part, long firm, long client, int entryPoints) {
-    Flow p = root.children.get(plan);
-    if (p == null) {
-      p = root.add(plan, part.weight(), false);
-      p.least = part.firmWeight();
+  Flow clientFlow(String plan, PlanPart part, long firm, long client, int entryPoints) {
+    Flow planFlow = root.children.get(plan);
+    if (planFlow == null) {
+      planFlow = root.addChild(plan, part.weight(), false);
+      planFlow.firmWeight = part.firmWeight();
     }
-    Flow f = p.children.get(firm);
-    if (f == null) {
-      f = newFirm(p, part, firm, entryPoints);
+    Flow firmFlow = planFlow.children.get(firm);
+    if (firmFlow == null) {
+      firmFlow = newFirm(planFlow, part, firm, entryPoints);
     }
-    Flow own = f.children.get(client);
-    return own != null ? own : newClient(f, client);
+    Flow clientFlow = firmFlow.children.get(client);
+    return clientFlow != null ? clientFlow : newClient(firmFlow, client);
   }
 
   private Flow newFirm(Flow plan, PlanPart part, long firm, int entryPoints) {
     Object key = firm;
-    if (firms >= bounds.firms()) {
-      Flow forgotten = null;
-      for (Flow p : root.children.values()) {
-        forgotten = forgotten == null ? p.forgetOne(LOOKS) : forgotten;
+    if (firmCount >= bounds.firms()) {
+      Flow evicted = null;
+      for (Flow planFlow : root.children.values()) {
+        evicted = evicted == null ? planFlow.evictIdleChild(MAX_IDLE_INSPECTED) : evicted;
       }
-      if (forgotten == null) {
-        key = SHARED;
-        Flow shared = plan.children.get(SHARED);
+      if (evicted == null) {
+        key = SHARED_FIRM_KEY;
+        Flow shared = plan.children.get(SHARED_FIRM_KEY);
         if (shared != null) {
           return shared;
         }
       } else {
-        firms--;
-        leaves -= forgotten.children.size();
+        firmCount--;
+        clientFlowCount -= evicted.children.size();
       }
     }
-    Flow made = plan.add(key, part.firmWeight() / entryPoints, false);
-    made.firm = new Firm(part, firmNumber++, entryPoints);
-    firms++;
-    return made;
+    Flow firmFlow = plan.addChild(key, part.firmWeight() / entryPoints, false);
+    firmFlow.firm = new Firm(part, nextFirmNumber++, entryPoints);
+    firmCount++;
+    return firmFlow;
   }
 
   private Flow newClient(Flow firm, long client) {
     Object key = client;
-    if (firm.children.size() >= bounds.clientsOfFirm() || leaves >= bounds.flows()) {
-      if (firm.forgetOne(LOOKS) != null) {
-        leaves--;
+    if (firm.children.size() >= bounds.clientsOfFirm() || clientFlowCount >= bounds.flows()) {
+      if (firm.evictIdleChild(MAX_IDLE_INSPECTED) != null) {
+        clientFlowCount--;
       } else {
         int hash = (int) ((client * 0x9E3779B97F4A7C15L) >>> 33);
-        key = "shared " + hash % (leaves >= bounds.flows() ? 1 : bounds.sharedFlows());
+        key = "shared " + hash % (clientFlowCount >= bounds.flows() ? 1 : bounds.sharedFlows());
         Flow shared = firm.children.get(key);
         if (shared != null) {
           return shared;
         }
       }
     }
-    leaves++;
-    return firm.add(key, 1, true);
+    clientFlowCount++;
+    return firm.addChild(key, 1, true);
   }
 
-  void add(Waiting w) {
-    w.leaf.push(w);
-    count(w, 1);
-    refresh(w.leaf);
+  void add(QueuedRequest request) {
+    request.flow.addLast(request);
+    updateBacklog(request, 1);
+    updateEligibility(request.flow);
   }
 
   /** The same, ahead of its client's others. */
-  void addFirst(Waiting w) {
-    w.leaf.pushFirst(w);
-    count(w, 1);
-    refresh(w.leaf);
+  void addFirst(QueuedRequest request) {
+    request.flow.addFirst(request);
+    updateBacklog(request, 1);
+    updateEligibility(request.flow);
   }
 
   /** The next request by turn; it is charged. */
-  Waiting next() {
-    Flow f = root;
-    while (f.ready != null) {
-      f = f.ready.first();
+  QueuedRequest next() {
+    Flow flow = root;
+    while (flow.readyChildren != null) {
+      flow = flow.readyChildren.first();
     }
-    Waiting w = f.head;
-    f.unlink(w);
-    count(w, -1);
-    for (Flow c = f; c.parent != null; c = c.parent) {
-      c.parent.virtual = Math.max(c.parent.virtual, c.tag);
+    QueuedRequest request = flow.head;
+    flow.unlink(request);
+    updateBacklog(request, -1);
+    for (Flow ancestor = flow; ancestor.parent != null; ancestor = ancestor.parent) {
+      ancestor.parent.virtualTime = Math.max(ancestor.parent.virtualTime, ancestor.startTag);
     }
-    charge(f, w.cost);
-    refresh(f);
-    return w;
+    charge(flow, request.cost);
+    updateEligibility(flow);
+    return request;
   }
 
   /** It waits no longer, and costs nothing. */
-  void remove(Waiting w) {
-    w.leaf.unlink(w);
-    count(w, -1);
-    refresh(w.leaf);
+  void remove(QueuedRequest request) {
+    request.flow.unlink(request);
+    updateBacklog(request, -1);
+    updateEligibility(request.flow);
   }
 
   /** What has to go when too much waits: the latest request of the fullest client of the fullest firm. */
-  Waiting victim() {
-    Flow most = null;
-    for (Flow c : fullest.first().children.values()) {
-      most = c.waiting > 0 && (most == null || c.waitingCost > most.waitingCost) ? c : most;
+  QueuedRequest victim() {
+    Flow fullest = null;
+    for (Flow client : firmsByBacklog.first().children.values()) {
+      fullest = client.waitingCount > 0 && (fullest == null || client.waitingCost > fullest.waitingCost)
+          ? client : fullest;
     }
-    return most.tail;
+    return fullest.tail;
   }
 
   /** Charges a client, its firm and its plan; a negative amount gives back, not beyond the present. */
   void charge(Flow leaf, double cost) {
-    for (Flow c = leaf; c.parent != null; c = c.parent) {
-      double weight = c.weighs();
-      boolean was = leave(c);
-      c.tag = Math.max(c.parent.virtual, Math.max(c.parent.virtual, c.tag) + cost / weight);
-      if (was) {
-        enter(c);
+    for (Flow flow = leaf; flow.parent != null; flow = flow.parent) {
+      double weight = flow.effectiveWeight();
+      boolean wasReady = removeFromReady(flow);
+      flow.startTag = Math
+          .max(flow.parent.virtualTime, Math.max(flow.parent.virtualTime, flow.startTag) + cost / weight);
+      if (wasReady) {
+        addToReady(flow);
       }
     }
   }
 
   /** Another weight from here on. */
-  void weigh(Flow flow, double weight) {
-    boolean was = leave(flow);
+  void setWeight(Flow flow, double weight) {
+    boolean wasReady = removeFromReady(flow);
     flow.weight = weight;
-    if (was) {
-      enter(flow);
+    if (wasReady) {
+      addToReady(flow);
     }
   }
 
   /** A plan's parts from here on: of itself, and of the firms that it has. */
-  void change(String plan, PlanPart part) {
-    Flow p = root.children.get(plan);
-    if (p != null) {
-      p.least = part.firmWeight();
-      weigh(p, part.weight());
-      for (Flow f : p.children.values()) {
-        f.firm.change(part);
-        weigh(f, part.firmWeight() * f.firm.through());
-        refresh(f);
+  void setPlanPart(String plan, PlanPart part) {
+    Flow planFlow = root.children.get(plan);
+    if (planFlow != null) {
+      planFlow.firmWeight = part.firmWeight();
+      setWeight(planFlow, part.weight());
+      for (Flow firmFlow : planFlow.children.values()) {
+        firmFlow.firm.setPlanPart(part);
+        setWeight(firmFlow, part.firmWeight() * firmFlow.firm.doorShare());
+        updateEligibility(firmFlow);
       }
     }
   }
 
   /** Takes into account that a flow, or what is above it, may be served now or may not any more. */
-  void refresh(Flow from) {
-    for (Flow c = from; c.parent != null; c = c.parent) {
-      boolean may = c.mayBeServed();
-      if (c.isReady && !may) {
-        leave(c);
-      } else if (!c.isReady && may) {
-        c.tag = Math.max(c.tag, c.parent.virtual);
-        c.order = order++;
-        enter(c);
+  void updateEligibility(Flow from) {
+    for (Flow flow = from; flow.parent != null; flow = flow.parent) {
+      boolean eligible = flow.isEligible();
+      if (flow.isReady && !eligible) {
+        removeFromReady(flow);
+      } else if (!flow.isReady && eligible) {
+        flow.startTag = Math.max(flow.startTag, flow.parent.virtualTime);
+        flow.readyOrder = nextReadyOrder++;
+        addToReady(flow);
       }
     }
   }
 
   /** The part of all that is served which a flow would have if it had something waiting, from 0 to 1. */
-  double part(Flow leaf) {
-    double part = 1;
-    double joining = 0;
-    for (Flow c = leaf; c.parent != null; c = c.parent) {
-      double own = c.weight > 0 ? c.weight : c.readyWeight + joining;
-      double others = Math.max(0, readyWeight(c.parent) - (c.isReady ? c.weighs() : 0));
-      part *= own / (own + others);
-      joining = c.isReady ? 0 : own;
+  double shareOf(Flow leaf) {
+    double share = 1;
+    double joiningWeight = 0;
+    for (Flow flow = leaf; flow.parent != null; flow = flow.parent) {
+      double ownWeight = flow.weight > 0 ? flow.weight : flow.readyChildrenWeight + joiningWeight;
+      double othersWeight = Math
+          .max(0, readyWeight(flow.parent) - (flow.isReady ? flow.effectiveWeight() : 0));
+      share *= ownWeight / (ownWeight + othersWeight);
+      joiningWeight = flow.isReady ? 0 : ownWeight;
     }
-    return part;
+    return share;
   }
 
   /** Plans are few, and those without a weight change theirs as firms come and go. */
   private double readyWeight(Flow parent) {
     if (parent != root) {
-      return parent.readyWeight;
+      return parent.readyChildrenWeight;
     }
     double sum = 0;
-    for (Flow plan : root.ready) {
-      sum += plan.weighs();
+    for (Flow plan : root.readyChildren) {
+      sum += plan.effectiveWeight();
     }
     return sum;
   }
 
-  private void enter(Flow c) {
-    c.isReady = true;
-    c.parent.ready.add(c);
-    c.parent.readyWeight += c.weight;
+  private void addToReady(Flow flow) {
+    flow.isReady = true;
+    flow.parent.readyChildren.add(flow);
+    flow.parent.readyChildrenWeight += flow.weight;
   }
 
-  private boolean leave(Flow c) {
-    if (!c.isReady) {
+  private boolean removeFromReady(Flow flow) {
+    if (!flow.isReady) {
       return false;
     }
-    c.isReady = false;
-    c.parent.ready.remove(c);
-    c.parent.readyWeight = c.parent.ready.isEmpty() ? 0 : c.parent.readyWeight - c.weight;
+    flow.isReady = false;
+    flow.parent.readyChildren.remove(flow);
+    flow.parent.readyChildrenWeight = flow.parent.readyChildren.isEmpty() ? 0
+        : flow.parent.readyChildrenWeight - flow.weight;
     return true;
   }
 
-  private void count(Waiting w, int sign) {
-    Flow firm = w.leaf.parent;
-    if (firm.waiting > 0) {
-      fullest.remove(firm);
+  private void updateBacklog(QueuedRequest request, int sign) {
+    Flow firm = request.flow.parent;
+    if (firm.waitingCount > 0) {
+      firmsByBacklog.remove(firm);
     }
-    for (Flow c = w.leaf; c != null; c = c.parent) {
-      c.waiting += sign;
-      c.waitingCost = c.waiting == 0 ? 0 : c.waitingCost + sign * w.cost;
-      if (c.parent != null && c.waiting == 0) {
-        c.parent.idle.add(c);
-      } else if (c.parent != null && sign > 0 && c.waiting == 1) {
-        c.parent.idle.remove(c);
+    for (Flow flow = request.flow; flow != null; flow = flow.parent) {
+      flow.waitingCount += sign;
+      flow.waitingCost = flow.waitingCount == 0 ? 0 : flow.waitingCost + sign * request.cost;
+      if (flow.parent != null && flow.waitingCount == 0) {
+        flow.parent.idleChildren.add(flow);
+      } else if (flow.parent != null && sign > 0 && flow.waitingCount == 1) {
+        flow.parent.idleChildren.remove(flow);
       }
     }
-    if (firm.waiting > 0) {
-      firm.fullness = firm.waitingCost / firm.weight;
-      fullest.add(firm);
+    if (firm.waitingCount > 0) {
+      firm.backlogPerWeight = firm.waitingCost / firm.weight;
+      firmsByBacklog.add(firm);
     }
   }
 }
--- a/policy/src/main/java/willowdoor/fairness/Flow.java
+++ b/policy/src/main/java/willowdoor/fairness/Flow.java
@@ -14,44 +14,44 @@
 final class Flow {
 
   /** By start tag; those of one tag in the order in which they came to have something waiting. */
-  static final Comparator<Flow> BY_TAG = Comparator.<Flow>comparingDouble(f -> f.tag)
-      .thenComparingLong(f -> f.order);
+  static final Comparator<Flow> BY_START_TAG = Comparator.<Flow>comparingDouble(f -> f.startTag)
+      .thenComparingLong(f -> f.readyOrder);
 
   final Flow parent;
   final Object key;
   double weight;
   /** A plan's: what one firm weighs. */
-  double least = 1;
+  double firmWeight = 1;
   /** In the parent's virtual time: start of what is next here, or end of what was last. */
-  double tag;
-  long order;
+  double startTag;
+  long readyOrder;
   /** Virtual time of the children: the start tag last served. */
-  double virtual;
+  double virtualTime;
   /** Children that have something waiting and may be served. */
-  final TreeSet<Flow> ready;
-  double readyWeight;
+  final TreeSet<Flow> readyChildren;
+  double readyChildrenWeight;
   final Map<Object, Flow> children;
   /** Children with nothing waiting, longest idle first: the ones to be forgotten. */
-  final LinkedHashSet<Flow> idle;
-  int waiting;
+  final LinkedHashSet<Flow> idleChildren;
+  int waitingCount;
   double waitingCost;
   boolean isReady;
   /** Its place among all firms by what waits of each, as it was entered there. */
-  double fullness;
+  double backlogPerWeight;
   /** A firm's; null elsewhere. */
   Firm firm;
   /** A client's requests, first and last. */
-  Waiting head;
-  Waiting tail;
+  QueuedRequest head;
+  QueuedRequest tail;
 
   private Flow(Flow parent, Object key, double weight, boolean leaf) {
     this.parent = parent;
     this.key = key;
     this.weight = weight;
-    ready = leaf ? null : new TreeSet<>(BY_TAG);
+    readyChildren = leaf ? null : new TreeSet<>(BY_START_TAG);
     children = leaf ? null : new HashMap<>(4);
-    idle = leaf ? null : new LinkedHashSet<>(4);
-    tag = parent == null ? 0 : parent.virtual;
+    idleChildren = leaf ? null : new LinkedHashSet<>(4);
+    startTag = parent == null ? 0 : parent.virtualTime;
   }
 
   static Flow root() {
@@ -59,73 +59,74 @@
   }
 
   /** A child of this, with nothing waiting. */
-  Flow add(Object name, double ownWeight, boolean leaf) {
-    Flow made = new Flow(this, name, ownWeight, leaf);
-    children.put(name, made);
-    idle.add(made);
-    return made;
+  Flow addChild(Object childKey, double childWeight, boolean leaf) {
+    Flow child = new Flow(this, childKey, childWeight, leaf);
+    children.put(childKey, child);
+    idleChildren.add(child);
+    return child;
   }
 
   /** What it weighs at present; a plan without a weight weighs what its ready firms do, one at least. */
-  double weighs() {
-    return weight > 0 ? weight : readyWeight > 0 ? readyWeight : least;
+  double effectiveWeight() {
+    return weight > 0 ? weight : readyChildrenWeight > 0 ? readyChildrenWeight : firmWeight;
   }
 
-  boolean mayBeServed() {
-    return waiting > 0 && (firm == null || !firm.blocked()) && (ready == null || !ready.isEmpty());
+  boolean isEligible() {
+    return waitingCount > 0 && (firm == null || !firm.isBlocked())
+        && (readyChildren == null || !readyChildren.isEmpty());
   }
 
   /** Whether forgetting it changes nothing: its tag has passed, and nothing else is known of it. */
-  boolean forgettable() {
-    return waiting == 0 && tag <= parent.virtual && (firm == null || firm.forgettable());
+  boolean canBeEvicted() {
+    return waitingCount == 0 && startTag <= parent.virtualTime && (firm == null || firm.canBeEvicted());
   }
 
   /** Forgets one idle child, looking at the longest idle ones only; gives it, or null. */
-  Flow forgetOne(int looks) {
-    Iterator<Flow> each = idle.iterator();
-    for (int i = 0; i < looks && each.hasNext(); i++) {
-      Flow f = each.next();
-      if (f.forgettable()) {
-        each.remove();
-        children.remove(f.key);
-        return f;
+  Flow evictIdleChild(int maxInspected) {
+    Iterator<Flow> iterator = idleChildren.iterator();
+    for (int i = 0; i < maxInspected && iterator.hasNext(); i++) {
+      Flow child = iterator.next();
+      if (child.canBeEvicted()) {
+        iterator.remove();
+        children.remove(child.key);
+        return child;
       }
     }
     return null;
   }
 
-  void push(Waiting w) {
-    w.before = tail;
+  void addLast(QueuedRequest request) {
+    request.previous = tail;
     if (tail == null) {
-      head = w;
+      head = request;
     } else {
-      tail.after = w;
+      tail.next = request;
     }
-    tail = w;
+    tail = request;
   }
 
-  void pushFirst(Waiting w) {
-    w.after = head;
+  void addFirst(QueuedRequest request) {
+    request.next = head;
     if (head == null) {
-      tail = w;
+      tail = request;
     } else {
-      head.before = w;
+      head.previous = request;
     }
-    head = w;
+    head = request;
   }
 
-  void unlink(Waiting w) {
-    if (w.before == null) {
-      head = w.after;
+  void unlink(QueuedRequest request) {
+    if (request.previous == null) {
+      head = request.next;
     } else {
-      w.before.after = w.after;
+      request.previous.next = request.next;
     }
-    if (w.after == null) {
-      tail = w.before;
+    if (request.next == null) {
+      tail = request.previous;
     } else {
-      w.after.before = w.before;
+      request.next.previous = request.previous;
     }
-    w.before = null;
-    w.after = null;
+    request.previous = null;
+    request.next = null;
   }
 }
--- a/policy/src/main/java/willowdoor/fairness/Promises.java
+++ b/policy/src/main/java/willowdoor/fairness/Promises.java
@@ -13,44 +13,44 @@
  */
 final class Promises {
 
-  /** A client is in time from this much before its time until {@link #WINDOW_MS} after. */
-  static final double EARLY_MS = 10;
-  static final double WINDOW_MS = 1_000;
+  /** A client is in time from this much before its time until {@link #CLAIM_WINDOW_MS} after. */
+  static final double EARLY_TOLERANCE_MS = 10;
+  static final double CLAIM_WINDOW_MS = 1_000;
   /** A client whose promise was missed is taken at its next coming, for so long. */
   static final double OWED_MS = 10_000;
 
   /** A time that was told to a client of a firm; client 0 is any of the firm's. */
-  record Told(Firm firm, double atMs, double untilMs, long client, long number) { }
+  record Promise(Firm firm, double atMs, double untilMs, long client, long number) { }
 
   private final Bounds bounds;
   private final ComeBack rules;
-  private final TreeSet<Told> byEnd = new TreeSet<>(Comparator.<Told>comparingDouble(t -> t.untilMs)
+  private final TreeSet<Promise> byExpiry = new TreeSet<>(Comparator.<Promise>comparingDouble(t -> t.untilMs)
       .thenComparingLong(t -> t.number));
-  private long number;
-  private double freeAtMs = Double.NEGATIVE_INFINITY;
-  private long promised;
-  private long unclaimed;
-  private long owed;
+  private long nextNumber;
+  private double poolFreeAtMs = Double.NEGATIVE_INFINITY;
+  private long promisedCount;
+  private long unclaimedCount;
+  private long owedCount;
 
   Promises(Bounds bounds, ComeBack rules) {
     this.bounds = bounds;
     this.rules = rules;
   }
 
-  int remembered() {
-    return byEnd.size();
+  int rememberedCount() {
+    return byExpiry.size();
   }
 
-  long promised() {
-    return promised;
+  long promisedCount() {
+    return promisedCount;
   }
 
-  long unclaimed() {
-    return unclaimed;
+  long unclaimedCount() {
+    return unclaimedCount;
   }
 
-  long owed() {
-    return owed;
+  long owedCount() {
+    return owedCount;
   }
 
   /**
@@ -61,28 +61,29 @@
    * @param poolTakesMs and of the pool
    * @return the time, or NaN where none within reach can be kept
    */
-  double promise(Firm firm, long client, double now, double earliestMs, double firmTakesMs,
+  double promise(Firm firm, long client, double nowMs, double earliestMs, double firmTakesMs,
       double poolTakesMs) {
-    expire(now);
-    double at = Math.max(Math.max(now, earliestMs), Math.max(firm.promisedUntilMs, freeAtMs));
-    boolean reached = at - now <= rules.mostMs();
-    if (!reached || byEnd.size() >= bounds.promises() || firm.comeBacks.size() >= bounds.promisesOfFirm()) {
+    expire(nowMs);
+    double atMs = Math.max(Math.max(nowMs, earliestMs), Math.max(firm.promisedUntilMs, poolFreeAtMs));
+    boolean withinReach = atMs - nowMs <= rules.mostMs();
+    if (!withinReach || byExpiry.size() >= bounds.promises()
+        || firm.promises.size() >= bounds.promisesOfFirm()) {
       return Double.NaN;
     }
-    firm.promisedUntilMs = at + firmTakesMs / rules.share();
-    freeAtMs = Math.max(now, freeAtMs) + poolTakesMs / rules.share();
-    remember(new Told(firm, at, at + WINDOW_MS, client, number++));
-    promised++;
-    return at;
+    firm.promisedUntilMs = atMs + firmTakesMs / rules.share();
+    poolFreeAtMs = Math.max(nowMs, poolFreeAtMs) + poolTakesMs / rules.share();
+    remember(new Promise(firm, atMs, atMs + CLAIM_WINDOW_MS, client, nextNumber++));
+    promisedCount++;
+    return atMs;
   }
 
   /** The client comes: whether it does so when it was told to. */
-  boolean claim(Firm firm, long client, double now) {
-    expire(now);
-    for (Told t : firm.comeBacks) {
-      if (t.atMs - EARLY_MS <= now && (t.client == client || t.client == 0)) {
-        firm.comeBacks.remove(t);
-        byEnd.remove(t);
+  boolean claim(Firm firm, long client, double nowMs) {
+    expire(nowMs);
+    for (Promise promise : firm.promises) {
+      if (promise.atMs - EARLY_TOLERANCE_MS <= nowMs && (promise.client == client || promise.client == 0)) {
+        firm.promises.remove(promise);
+        byExpiry.remove(promise);
         return true;
       }
     }
@@ -90,24 +91,24 @@
   }
 
   /** Its promise was not kept: the client is taken when it comes next, whenever that is. */
-  void owe(Firm firm, long client, double now) {
-    if (byEnd.size() < bounds.promises() && firm.comeBacks.size() < bounds.promisesOfFirm()) {
-      remember(new Told(firm, now, now + OWED_MS, client, number++));
-      owed++;
+  void owe(Firm firm, long client, double nowMs) {
+    if (byExpiry.size() < bounds.promises() && firm.promises.size() < bounds.promisesOfFirm()) {
+      remember(new Promise(firm, nowMs, nowMs + OWED_MS, client, nextNumber++));
+      owedCount++;
     }
   }
 
-  private void remember(Told told) {
-    told.firm.comeBacks.add(told);
-    byEnd.add(told);
+  private void remember(Promise promise) {
+    promise.firm.promises.add(promise);
+    byExpiry.add(promise);
   }
 
   /** Forgets times that have passed without their client. */
-  void expire(double now) {
-    while (!byEnd.isEmpty() && byEnd.first().untilMs < now) {
-      Told passed = byEnd.pollFirst();
-      passed.firm.comeBacks.remove(passed);
-      unclaimed++;
+  void expire(double nowMs) {
+    while (!byExpiry.isEmpty() && byExpiry.first().untilMs < nowMs) {
+      Promise expired = byExpiry.pollFirst();
+      expired.firm.promises.remove(expired);
+      unclaimedCount++;
     }
   }
 }
--- a/policy/src/main/java/willowdoor/fairness/Waiting.java
+++ b/policy/src/main/java/willowdoor/fairness/QueuedRequest.java
@@ -3,37 +3,38 @@
 import willowdoor.fairness.FairEvent.Arrived;
 
 /** A request from its arrival until it is over. */
-final class Waiting {
+final class QueuedRequest {
 
   final Arrived request;
-  final Flow leaf;
-  final long number;
+  final Flow flow;
+  final long sequenceNumber;
   final double arrivedMs;
   /** It has to be let through by then, or an answer is of no use. */
-  final double latestMs;
+  final double latestReleaseMs;
   /** What it is charged; settled when it ends. */
   final double cost;
   /** It came back when it was told to. */
-  final boolean promised;
+  final boolean hasPromise;
   /** It waits ahead of all turns. */
-  boolean expressed;
+  boolean isExpress;
   double releasedMs = Double.NaN;
   /** Its neighbours in its flow. */
-  Waiting before;
-  Waiting after;
+  QueuedRequest previous;
+  QueuedRequest next;
 
-  Waiting(Arrived request, Flow leaf, long number, double arrivedMs, double latestMs, double cost,
-      boolean promised) {
+  QueuedRequest(Arrived request, Flow flow, long sequenceNumber, double arrivedMs, double latestReleaseMs,
+      double cost,
+      boolean hasPromise) {
     this.request = request;
-    this.leaf = leaf;
-    this.number = number;
+    this.flow = flow;
+    this.sequenceNumber = sequenceNumber;
     this.arrivedMs = arrivedMs;
-    this.latestMs = latestMs;
+    this.latestReleaseMs = latestReleaseMs;
     this.cost = cost;
-    this.promised = promised;
+    this.hasPromise = hasPromise;
   }
 
   Firm firm() {
-    return leaf.parent.firm;
+    return flow.parent.firm;
   }
 }
--- a/policy/src/main/java/willowdoor/membership/Membership.java
+++ b/policy/src/main/java/willowdoor/membership/Membership.java
@@ -158,6 +158,6 @@
   }
 
   private static BackendEntry copyWith(BackendEntry e, Phase phase, double startedMs) {
-    return new BackendEntry(e.id(), e.zone(), e.cell(), phase, e.size(), startedMs);
+    return new BackendEntry(e.id(), e.zone(), e.cell(), phase, e.capacity(), startedMs);
   }
 }
--- a/policy/src/main/java/willowdoor/policy/GatewayApi.java
+++ b/policy/src/main/java/willowdoor/policy/GatewayApi.java
@@ -42,22 +42,26 @@
       Repeat repeat, Group group, double repeatWindowMs, boolean stream) { }
 
   /** One plan; a rate, open limit or ceiling rate of 0 means that there is none. */
-  public record Plan(String name, double rate, double burst, int openLimit, double worthFactor,
+  public record Plan(String name, double rate, double burst, int maxOpenAttempts, double worthFactor,
       double beyondEarns, double beyondCost, double ceilingRate, double ceilingBurst, double ceilingSlack) { }
 
   /** What a gateway may use and do. */
-  public record Allowed(boolean sharedCount, double countLimitMs, boolean cancel, boolean duplicates,
-      int attempts, int open, boolean holdOff, double maxHoldOffMs, boolean rosterOnRequest) { }
+  public record Capabilities(boolean sharedCounter, double counterTimeoutMs, boolean mayCancel,
+      boolean mayDuplicate,
+      int maxAttempts, int maxOpenRequests, boolean mayAdviseRetry, double maxRetryAfterMs,
+      boolean rosterOnRequest) { }
 
   /** Figures of the rules. */
-  public record Rules(double answerSlackMs, double coldFrom, double coldMs, double tipMultiple,
+  public record Rules(double answerSlackMs, double coldShare, double coldMs, double tipMultiple,
       double tipAfterMs) { }
 
-  public record Settings(int gateways, int self, String zone, double maxUnits, double crossZonePrice,
-      boolean sizesTold, List<RequestClass> classes, List<Plan> plans, Allowed allowed, Rules rules) { }
+  public record Settings(int gateways, int selfIndex, String zone, double maxUnits, double crossZonePrice,
+      boolean capacitiesReported, List<RequestClass> classes, List<Plan> plans, Capabilities capabilities,
+      Rules rules) { }
 
   /** One backend of a roster; startedMs is 0 when it started long ago. */
-  public record BackendEntry(long id, String zone, int cell, Phase phase, double size, double startedMs) { }
+  public record BackendEntry(long id, String zone, int cell, Phase phase, double capacity,
+      double startedMs) { }
 
   /** A load report; a value that was not reported is NaN. */
   public record Load(double inFlight, double serviceMs) { }
@@ -70,13 +74,15 @@
   /**
    * A request to decide on.
    *
-   * @param place this gateway's place among those through which its customer's requests may come, or -1
-   * @param ceiling what of its customer's ceiling this gateway may use; null where gateways use it together
+   * @param entryPointIndex this gateway's place among those through which its customer's requests may come,
+   * or -1
+   * @param ceilingShare what of its customer's ceiling this gateway may use; null where gateways use it
+   * together
    * by
    *     the shared count, which has to be one count then at any moment
    */
   public record Request(String id, String className, String planName, long customer, int entryPoints,
-      double units, double giveUpMs, int place, CeilingShare ceiling) implements Event {
+      double units, double giveUpMs, int entryPointIndex, CeilingShare ceilingShare) implements Event {
 
     public Request(String id, String className, String planName, long customer, int entryPoints,
         double units, double giveUpMs) {
@@ -84,26 +90,27 @@
     }
 
     /** The same with that share. */
-    public Request with(CeilingShare other) {
-      return new Request(id, className, planName, customer, entryPoints, units, giveUpMs, place, other);
+    public Request withCeilingShare(CeilingShare share) {
+      return new Request(id, className, planName, customer, entryPoints, units, giveUpMs, entryPointIndex,
+          share);
     }
   }
 
   /** A share of a customer's ceiling, from 0 to 1, until a moment, and the share from that moment on. */
-  public record CeilingShare(double share, double untilMs, double then) { }
+  public record CeilingShare(double share, double untilMs, double nextShare) { }
 
   /**
    * A request that something else has to decide on first. One that would be refused by what is known already
    * is refused now; of any other nothing is said, and nothing is counted.
    */
-  public record Foresee(Request request) implements Event { }
+  public record PreCheck(Request request) implements Event { }
 
   /** A streamed answer has begun. */
-  public record StreamBegan(String request, int attempt) implements Event { }
+  public record StreamStarted(String request, int attempt) implements Event { }
 
   /** How an attempt ended; trueUnits is 0 when unknown, load is null when no report came. */
   public record Outcome(String request, int attempt, long backend, Status status, double latencyMs,
-      boolean over, double trueUnits, Load load) implements Event { }
+      boolean requestOver, double trueUnits, Load load) implements Event { }
 
   /** The request is over: its client has left. */
   public record ClientLeft(String request) implements Event { }
@@ -136,9 +143,10 @@
   /**
    * Final answer: refused, trying again is harmless; holdOffMs of 0 gives no advice.
    *
-   * @param spent for its customer's sake, whose quota, ceiling or places are used up; else for the fleet's
+   * @param quotaExhausted for its customer's sake, whose quota, ceiling or places are used up; else for the
+   * fleet's
    */
-  public record Refuse(String request, double holdOffMs, boolean spent) implements Action { }
+  public record Refuse(String request, double retryAfterMs, boolean quotaExhausted) implements Action { }
 
   /** Final answer: failed, nothing promised. */
   public record Fail(String request) implements Action { }
