--- a/policy/src/main/java/willowdoor/policy/GatewayState.java
+++ b/policy/src/main/java/willowdoor/policy/GatewayState.java
@@ -21,30 +21,30 @@
   }
 
   /** A mean that forgets: by samples where they come often, by time where they are rare. */
-  static final class Mean {
-    private final double weight;
-    private final double lifeMs;
-    private double at;
+  static final class DecayingMean {
+    private final double minWeight;
+    private final double decayMs;
+    private double updatedAt;
     double value;
 
-    Mean(double weight, double lifeMs, double now) {
-      this.weight = weight;
-      this.lifeMs = lifeMs;
-      this.at = now;
+    DecayingMean(double minWeight, double decayMs, double now) {
+      this.minWeight = minWeight;
+      this.decayMs = decayMs;
+      this.updatedAt = now;
     }
 
     void add(double sample, double now) {
-      value += Math.max(weight, 1 - Math.exp((at - now) / lifeMs)) * (sample - value);
-      at = now;
+      value += Math.max(minWeight, 1 - Math.exp((updatedAt - now) / decayMs)) * (sample - value);
+      updatedAt = now;
     }
 
-    double at() {
-      return at;
+    double updatedAt() {
+      return updatedAt;
     }
 
     /** The mean, less as it ages without samples. */
-    double fresh(double now) {
-      return value * Math.exp((at - now) / lifeMs);
+    double decayed(double now) {
+      return value * Math.exp((updatedAt - now) / decayMs);
     }
   }
 
@@ -53,140 +53,142 @@
    * older ones forgotten. It serves where units tell the work, where they are a guess of it, and where they
    * tell nothing of it: the line lies between one through nought and a level one.
    */
-  static final class Need {
+  static final class ServiceTimeModel {
     /** The last hundred answers count: some seconds of any class. */
-    private static final double WEIGHT = 0.01;
+    private static final double MIN_WEIGHT = 0.01;
     /** Answers that the first one counts for. */
-    private static final double FIRST = 3;
-    private final double unknownMs;
-    private double count;
-    private double units;
-    private double took;
-    private double units2;
-    private double unitsTook;
-
-    Need(double unknownMs) {
-      this.unknownMs = unknownMs;
+    private static final double FIRST_ANSWER_EXTRA = 3;
+    private final double defaultMs;
+    private double answers;
+    private double meanUnits;
+    private double meanMs;
+    private double meanSquaredUnits;
+    private double meanUnitsTimesMs;
+
+    ServiceTimeModel(double defaultMs) {
+      this.defaultMs = defaultMs;
     }
 
-    void learn(double u, double ms) {
-      if (count == 0) {
-        units = u;
-        took = ms;
-        units2 = u * u;
-        unitsTook = u * ms;
+    void learn(double units, double ms) {
+      if (answers == 0) {
+        meanUnits = units;
+        meanMs = ms;
+        meanSquaredUnits = units * units;
+        meanUnitsTimesMs = units * ms;
       }
-      count++;
-      double weight = Math.max(WEIGHT, 1 / (count + FIRST));
-      units += weight * (u - units);
-      took += weight * (ms - took);
-      units2 += weight * (u * u - units2);
-      unitsTook += weight * (u * ms - unitsTook);
+      answers++;
+      double weight = Math.max(MIN_WEIGHT, 1 / (answers + FIRST_ANSWER_EXTRA));
+      meanUnits += weight * (units - meanUnits);
+      meanMs += weight * (ms - meanMs);
+      meanSquaredUnits += weight * (units * units - meanSquaredUnits);
+      meanUnitsTimesMs += weight * (units * ms - meanUnitsTimesMs);
     }
 
-    Learned.Taken taken(String className) {
-      return new Learned.Taken(className, count, units, took, units2, unitsTook);
+    LearnedState.ClassServiceTime snapshot(String className) {
+      return new LearnedState
+          .ClassServiceTime(className, answers, meanUnits, meanMs, meanSquaredUnits, meanUnitsTimesMs);
     }
 
-    void goOn(Learned.Taken told) {
-      count = told.count();
-      units = told.units();
-      took = told.tookMs();
-      units2 = told.units2();
-      unitsTook = told.unitsTook();
+    void restore(LearnedState.ClassServiceTime saved) {
+      answers = saved.answers();
+      meanUnits = saved.meanUnits();
+      meanMs = saved.meanMs();
+      meanSquaredUnits = saved.meanSquaredUnits();
+      meanUnitsTimesMs = saved.meanUnitsTimesMs();
     }
 
-    double of(double u) {
-      if (count == 0) {
-        return unknownMs;
+    double expectedMs(double units) {
+      if (answers == 0) {
+        return defaultMs;
       }
-      double spread = units2 - units * units;
-      double slope = spread < 1e-6 || units <= 0 ? 0
-          : Math.max(0, Math.min(took / units, (unitsTook - units * took) / spread));
-      return Math.max(1, took + slope * (u - units));
+      double variance = meanSquaredUnits - meanUnits * meanUnits;
+      double slope = variance < 1e-6 || meanUnits <= 0 ? 0
+          : Math.max(0, Math.min(meanMs / meanUnits, (meanUnitsTimesMs - meanUnits * meanMs) / variance));
+      return Math.max(1, meanMs + slope * (units - meanUnits));
     }
   }
 
   /** One customer as this gateway sees it. */
   static class AccountState {
-    private static final double IMPLAUSIBLE = 10;
+    private static final double IMPLAUSIBLE_FACTOR = 10;
     final long customer;
     final Plan plan;
     /** Through how many gateways its requests may come. */
-    final int gateways;
+    final int entryPoints;
     /** Shift and length of its counts' windows; plain: one burst a window, no bucket followed. */
-    double phase;
+    double windowOffsetMs;
     double windowMs;
-    boolean plain;
+    boolean countsPerWindow;
     /** Units in the bucket as estimated, and when. */
     double level;
-    double levelAt;
+    double levelUpdatedAt;
     /** Spending of others taken for granted since the last answer. */
-    double assumed;
+    double assumedOthersUnits;
     /** Units a second of the others and of this gateway, and this gateway's units since the last answer. */
     double othersRate;
     double ownRate;
-    double ownSince;
+    double ownUnitsSinceSync;
     double syncedAt = Double.NaN;
     /** Units to go with the next add, that an unanswered call may have added, and in calls under way. */
-    double owed;
-    double maybe;
-    double flying;
+    double pendingUnits;
+    double uncertainUnits;
+    double inFlightUnits;
     /** The window last answered for, and its total then. */
-    long window = Long.MIN_VALUE;
-    double seen;
+    long totalWindow = Long.MIN_VALUE;
+    double lastTotal;
     /** The total seen at a counter that another one, begun with a copy, has replaced; 0 once that answered.
         */
-    double before;
+    double totalBeforeReplacement;
     /** The total of the window before the present one, as read once: which one was asked for, and told. */
-    long pastAsked = Long.MIN_VALUE;
-    long pastWindow = Long.MIN_VALUE;
-    double past;
+    long requestedPreviousWindow = Long.MIN_VALUE;
+    long previousTotalWindow = Long.MIN_VALUE;
+    double previousTotal;
     /** What this gateway itself has added to that window's count, as answered for. */
-    double given;
+    double confirmedAdds;
     /** The window in which the counter was replaced: until its end no answer raises the level. */
-    long rebuilt = Long.MIN_VALUE;
+    long replacementWindow = Long.MIN_VALUE;
     /** The ceiling: what counted sends may use together, and this gateway's own part. */
-    double counted;
-    double own;
+    double sharedCeilingUnits;
+    double localCeilingUnits;
     /** The gateway's share of the ceiling as told with the last request; null: by the shared count. */
-    GatewayApi.CeilingShare share;
+    GatewayApi.CeilingShare ceilingShare;
     /** What this gateway may send on unasked. */
-    double part;
-    int out;
+    double localQuotaUnits;
+    int attemptsInFlight;
     /** Places held here in the shared count of attempts out, asked for, in the window of that count. */
-    int places;
-    int asking;
+    int slots;
+    int slotRequests;
     /** What a call that was turned away has not added to that count. */
-    double placesOwed;
-    long placeWindow = Long.MIN_VALUE;
+    double pendingSlots;
+    long slotWindow = Long.MIN_VALUE;
     /** Until then all places are taken, as last answered. */
-    double fullUntil = Double.NEGATIVE_INFINITY;
+    double slotsFullUntil = Double.NEGATIVE_INFINITY;
 
-    AccountState(long customer, Plan plan, int gateways, double now) {
+    AccountState(long customer, Plan plan, int entryPoints, double now) {
       this.customer = customer;
       this.plan = plan;
-      this.gateways = gateways;
-      levelAt = now;
+      this.entryPoints = entryPoints;
+      levelUpdatedAt = now;
     }
 
-    long windowNow(double now) {
-      return (long) Math.floor((now + phase) / windowMs);
+    long currentWindow(double now) {
+      return (long) Math.floor((now + windowOffsetMs) / windowMs);
     }
 
     double windowStart(double now) {
-      return windowNow(now) * windowMs - phase;
+      return currentWindow(now) * windowMs - windowOffsetMs;
     }
 
     /** What it owes is another's from here on. */
-    Learned.Owed handOver(double now) {
-      Learned.Owed over = new Learned.Owed(customer, plan.name(), gateways, windowNow(now), owed);
-      owed = 0;
-      return over;
+    LearnedState.PendingAdd takePendingAdd(double now) {
+      LearnedState.PendingAdd pending = new LearnedState
+          .PendingAdd(customer, plan.name(), entryPoints, currentWindow(now), pendingUnits);
+      pendingUnits = 0;
+      return pending;
     }
 
-    int placesKnown() {
-      return Math.max(out, places) + asking;
+    int slotsInUse() {
+      return Math.max(attemptsInFlight, slots) + slotRequests;
     }
 
     /**
@@ -194,24 +196,25 @@
      * grant, and what may be under way. Guards against answers that are out of step with their calls, and so
      * another name's. Harm: none known; it is read once more.
      */
-    double implausible(Settings settings) {
-      return IMPLAUSIBLE * (plan.burst() + plan.rate() * windowMs / 1000
+    double implausibleTotal(Settings settings) {
+      return IMPLAUSIBLE_FACTOR * (plan.burst() + plan.rate() * windowMs / 1000
           + 10 * settings.gateways() * settings.maxUnits());
     }
 
-    String name(long ofWindow) {
-      return Long.toString(customer, 36) + ":" + ofWindow;
+    String counterName(long window) {
+      return Long.toString(customer, 36) + ":" + window;
     }
   }
 
   /** One call to the counter: what it adds, the request that waits for it, and whether it is for a place. */
-  record Call<A extends AccountState, J>(A account, long window, double amount, J job, boolean place) {
-    Call(A account, long window, double amount, J job) {
+  record CounterCall<A extends AccountState,
+      J>(A account, long window, double amount, J job, boolean forSlot) {
+    CounterCall(A account, long window, double amount, J job) {
       this(account, window, amount, job, false);
     }
 
-    String name() {
-      return account.name(window) + (place ? "o" : "");
+    String counterName() {
+      return account.counterName(window) + (forSlot ? "o" : "");
     }
   }
 
@@ -237,54 +240,56 @@
     Phase phase;
     int cell;
     /** Size as told, and relative to the mean. */
-    double told;
-    double size;
+    double reportedCapacity;
+    double relativeCapacity;
     /** When it started, as told, and as taken to be. */
-    double toldStart;
-    double startedMs;
+    double reportedStartMs;
+    double assumedStartMs;
     /** When a failed connection made it look restarted, unless that is settled. */
-    double doubtedAt = Double.NEGATIVE_INFINITY;
+    double suspectedRestartAt = Double.NEGATIVE_INFINITY;
     /** Failures of its zone and of its cell, shared by their backends. */
-    Mean zoneFailing;
-    Mean cellFailing;
-    double service = Double.NaN;
-    double failing;
-    int rests;
-    boolean trial;
-    double restUntil = Double.NEGATIVE_INFINITY;
-    double fullUntil = Double.NEGATIVE_INFINITY;
-    double answeredAt;
+    DecayingMean zoneFailureRate;
+    DecayingMean cellFailureRate;
+    double measuredSlowness = Double.NaN;
+    double failureRate;
+    int backoffCount;
+    boolean needsTrial;
+    double backoffUntil = Double.NEGATIVE_INFINITY;
+    double overloadedUntil = Double.NEGATIVE_INFINITY;
+    double lastAnswerAt;
     /** Requests held as last reported, of them from here, and when. */
-    double reported = Double.NaN;
-    double reportedOwn;
-    double reportedAt;
+    double reportedLoad = Double.NaN;
+    double ownLoadAtReport;
+    double loadReportedAt;
     double coldTokens;
-    double coldAt;
+    double coldTokensAt;
 
     BackendState(long id, double now) {
       this.id = id;
-      answeredAt = now;
-      coldAt = now;
+      lastAnswerAt = now;
+      coldTokensAt = now;
     }
 
     /** The failing share of its zone or of its cell, whichever is more. */
-    double nearFailing(double now) {
-      return Math.max(zoneFailing.fresh(now), cellFailing.fresh(now));
+    double groupFailureRate(double now) {
+      return Math.max(zoneFailureRate.decayed(now), cellFailureRate.decayed(now));
     }
 
-    Learned.Known known(double now) {
-      return new Learned.Known(id, service, failing, now - answeredAt, Math.max(0, restUntil - now), rests,
-          trial, coldTokens);
+    LearnedState.LearnedBackend snapshot(double now) {
+      return new LearnedState
+          .LearnedBackend(id, measuredSlowness, failureRate, now - lastAnswerAt,
+          Math.max(0, backoffUntil - now), backoffCount,
+          needsTrial, coldTokens);
     }
 
-    void goOn(Learned.Known told, double now, double agoMs) {
-      service = told.slow();
-      failing = told.failing();
-      answeredAt = now - told.agoMs() - agoMs;
-      restUntil = told.restMs() > agoMs ? now + told.restMs() - agoMs : restUntil;
-      rests = told.rests();
-      trial = told.trial();
-      coldTokens = Math.min(coldTokens, told.coldTokens());
+    void restore(LearnedState.LearnedBackend saved, double now, double transferMs) {
+      measuredSlowness = saved.slowness();
+      failureRate = saved.failureRate();
+      lastAnswerAt = now - saved.lastAnswerAgoMs() - transferMs;
+      backoffUntil = saved.backoffMs() > transferMs ? now + saved.backoffMs() - transferMs : backoffUntil;
+      backoffCount = saved.backoffCount();
+      needsTrial = saved.needsTrial();
+      coldTokens = Math.min(coldTokens, saved.coldTokens());
     }
 
     /** Its place in the order of one gateway, which differs from the orders of others. */
@@ -292,49 +297,50 @@
       return mix(id + (gateway << 32));
     }
 
-    boolean cold(Rules rules, double now) {
-      return startedMs > 0 && now - startedMs < rules.coldMs();
+    boolean isCold(Rules rules, double now) {
+      return assumedStartMs > 0 && now - assumedStartMs < rules.coldMs();
     }
 
     /** The part of its capacity that the rules promise by now. */
-    double warmShare(Rules rules, double now) {
-      return Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * (now - startedMs) / rules.coldMs());
+    double warmUpShare(Rules rules, double now) {
+      return Math.min(1,
+          rules.coldShare() + (1 - rules.coldShare()) * (now - assumedStartMs) / rules.coldMs());
     }
   }
 
   /** One request taken and not yet finally answered. */
   static class JobState {
     final Request request;
-    final RequestClass type;
-    final double takenAt;
+    final RequestClass requestClass;
+    final double receivedAt;
     /** Waits for the counter; its call is unanswered; its units are, or may be, in the shared count. */
-    boolean waiting;
-    boolean called;
-    boolean added;
+    boolean waitingForCounter;
+    boolean callPending;
+    boolean mayBeCounted;
     /** The total is being read a second time. */
-    boolean reread;
+    boolean totalReread;
     /** It holds one of its customer's places. */
-    boolean placed;
+    boolean holdsSlot;
     /** Units that its call adds. */
-    double asked;
-    boolean inQuota;
-    boolean held;
+    double unitsInCall;
+    boolean charged;
+    boolean waitingForBackend;
     boolean streaming;
     boolean mayHaveRun;
-    boolean abandoned;
+    boolean cancelledAsSilent;
     /** Its last attempt found no connection, or one that was dead or out of step. */
-    boolean unreached;
-    double keyedUntil = Double.POSITIVE_INFINITY;
-    int attempts;
+    boolean retryExempt;
+    double repeatsDroppedUntil = Double.POSITIVE_INFINITY;
+    int attemptCount;
 
-    JobState(Request request, RequestClass type, double now) {
+    JobState(Request request, RequestClass requestClass, double now) {
       this.request = request;
-      this.type = type;
-      this.takenAt = now;
+      this.requestClass = requestClass;
+      this.receivedAt = now;
     }
 
-    double aim() {
-      return type.aimMs() > 0 ? type.aimMs() : Math.max(1, request.giveUpMs() - takenAt);
+    double aimMs() {
+      return requestClass.aimMs() > 0 ? requestClass.aimMs() : Math.max(1, request.giveUpMs() - receivedAt);
     }
   }
 }
--- a/policy/src/main/java/willowdoor/policy/QuotaPolicy.java
+++ b/policy/src/main/java/willowdoor/policy/QuotaPolicy.java
@@ -15,121 +15,121 @@
   // ---- Constants ----
 
   /** Longest window of a count: many refills of any usual quota, so edges are rare. */
-  private static final double WINDOW_MS = 25_000;
+  private static final double MAX_WINDOW_MS = 25_000;
   /** Up to this many entry points each meets a customer often enough to follow its bucket that long. */
-  private static final double FOLLOWING = 3;
+  private static final double MAX_FOLLOWING_ENTRY_POINTS = 3;
   /** What a customer is taken to use of its rate before anything is known: most stay well under it. */
-  private static final double USUAL_USE = 0.5;
+  private static final double ASSUMED_RATE_SHARE = 0.5;
   /** Counts estimated to be past the limit by this share of it are not asked for: the answer is known. */
-  private static final double SURELY_SPENT = 0.5;
+  private static final double SURELY_SPENT_SHARE = 0.5;
   private static final double COUNT_TTL_MS = 60_000;
   /** How often waiting requests are looked at: well under what a person or an aim notices. */
   private static final double TICK_MS = 25;
   /** Without open requests a slow pulse is enough: it shows when this gateway stood still. */
-  private static final double PULSE_MS = 250;
+  private static final double IDLE_TICK_MS = 250;
   /** A wake-up later than this means that this gateway stood still: far more than any load explains. */
   private static final double STALL_MS = 100;
   /** A request waits for the counter at most this share of its aim; the rest is for the backends. */
-  private static final double COUNT_WAIT_OF_AIM = 0.06;
+  private static final double COUNTER_WAIT_SHARE_OF_AIM = 0.06;
   /** Calls failing in a row before the counter is taken to be away; fewer is a lost packet. */
-  private static final int COUNTER_AWAY_AFTER = 4;
+  private static final int COUNTER_AWAY_AFTER_FAILURES = 4;
   /** Least spacing of trial calls while the counter is away: of a gateway's, and of the whole fleet's. */
-  private static final double TRIAL_MS = 250;
-  private static final double FLEET_TRIAL_MS = 5;
+  private static final double COUNTER_TRIAL_MS = 250;
+  private static final double FLEET_COUNTER_TRIAL_MS = 5;
   /** Multiplicative decrease and additive increase of the share of requests that call, as in TCP. */
-  private static final double PACE_CUT = 0.7;
-  private static final double PACE_STEP = 0.02;
+  private static final double CALL_SHARE_DECREASE_FACTOR = 0.7;
+  private static final double CALL_SHARE_INCREASE = 0.02;
   /** Increase for each second between answers, so that gateways with few calls recover as soon as others. */
-  private static final double PACE_STEP_PER_S = 0.05;
-  private static final double PACE_LEAST = 0.02;
+  private static final double CALL_SHARE_INCREASE_PER_S = 0.05;
+  private static final double MIN_CALL_SHARE = 0.02;
   /** Where calling resumes when an absent counter is back, so that all gateways together do not flood it. */
-  private static final double PACE_BACK = 0.3;
+  private static final double CALL_SHARE_AFTER_RETURN = 0.3;
   /** Calls a second by which all gateways together put back what a replaced counter has lost. */
-  private static final double REBUILD_FLEET_PER_S = 2_000;
+  private static final double FLEET_RESTORE_CALLS_PER_S = 2_000;
   /** Share of a ceiling for many gateways by themselves: a largest request each would be all of it. */
-  private static final double OWN_OF_MANY = 0.25;
+  private static final double LOCAL_CEILING_SHARE = 0.25;
   /** A customer known to be spent is still asked about this often, as refunds of others may have come. */
   private static final double SPENT_RECHECK_MS = 400;
   /** A customer whose places were all taken is not asked about for this long: a fraction of an attempt. */
-  private static final double PLACE_RECHECK_MS = 50;
+  private static final double SLOT_RECHECK_MS = 50;
   /** How long the spending of a customer is remembered for its rates: longer than a burst, a few refills. */
   private static final double RATE_MEMORY_MS = 5_000;
   /** How long a rarely met customer is taken to go on as last seen: heavy use comes in long spells. */
-  private static final double SPELL_MS = 15_000;
+  private static final double USAGE_SPELL_MS = 15_000;
   /** Weight of the newest answer in a backend's failures; its slowness, which differs more; the fleet's. */
-  private static final double NEWEST = 0.2;
-  private static final double SLOWNESS_NEWEST = 0.05;
-  private static final double FLEET_NEWEST = 0.02;
+  private static final double FAILURE_WEIGHT = 0.2;
+  private static final double SLOWNESS_WEIGHT = 0.05;
+  private static final double FLEET_SLOWNESS_WEIGHT = 0.02;
   /** One answer shows no more slowness than this: beyond it, that an attempt fails is what matters. */
-  private static final double SLOWEST = 20;
+  private static final double MAX_SLOWNESS = 20;
   /** An attempt out for so many times what its size explains shows a slow backend; a silent one. */
-  private static final double OVERDUE = 1.5;
-  private static final double SILENT = 2.5;
+  private static final double OVERDUE_FACTOR = 1.5;
+  private static final double SILENT_FACTOR = 2.5;
   /** A backend failing more of its answers than this, as after three in a row, rests for a growing while. */
   private static final double FAILING_SHARE = 0.4;
-  private static final double REST_MS = 1_000;
+  private static final double BACKOFF_MS = 1_000;
   /** Backends that a gateway keeps to (subsetting), and gateways that each has at least: few connections. */
-  private static final int SUBSET = 12;
+  private static final int SUBSET_SIZE = 12;
   /** Backends compared for a request, over all gateways; two at least, as equal stale reports make a herd. */
   private static final double FLEET_CANDIDATES = 30;
   /** Further attempts for each request, earned by first attempts, and how many the fleet may save up. */
-  private static final double RETRY_EARNED = 0.15;
-  private static final double FLEET_RETRIES_SAVED = 30;
+  private static final double RETRY_TOKENS_PER_REQUEST = 0.15;
+  private static final double FLEET_MAX_RETRY_TOKENS = 30;
   /** A first attempt that can be repeated is given up after this share of the aim, so that a second fits. */
-  private static final double FIRST_TRY_OF_AIM = 0.65;
+  private static final double FIRST_ATTEMPT_SHARE_OF_AIM = 0.65;
   /** No repeat leaves in this last part of the time for which it is dropped: it may yet have to wait. */
-  private static final double QUEUED = 0.25;
+  private static final double REPEAT_MARGIN_SHARE = 0.25;
   /** Answer this long before the client gives up, so that the answer itself is in time. */
-  private static final double GUARD_MS = 15;
+  private static final double ANSWER_MARGIN_MS = 15;
   /** Attempts out at a backend, of all gateways, from which on further ones mostly wait: few for any. */
-  private static final double LEAST_KNEE = 3;
+  private static final double MIN_KNEE = 3;
   /** No crowd is seen before so many answers: they tell whether there is one. */
-  private static final int FIRST_ANSWERS = 20;
+  private static final int MIN_ANSWERS_TO_SHED = 20;
   /** It lies higher where answers at a crowd take less of their aims than this: by so much with each. */
-  private static final double KNEE_UP_UNDER = 0.12;
-  private static final double KNEE_UP = 0.02;
+  private static final double KNEE_RAISE_BELOW = 0.12;
+  private static final double KNEE_RAISE = 0.02;
   /** And lower again, to the least, where they take more than this. */
-  private static final double KNEE_DOWN_OVER = 0.25;
-  private static final double KNEE_DOWN = 0.02;
+  private static final double KNEE_LOWER_ABOVE = 0.25;
+  private static final double KNEE_LOWER = 0.02;
   /** Crowding, in knees, from which on the least worthy requests are shed, and how steeply more are. */
-  private static final double SHED_FROM = 0.5;
+  private static final double SHED_FROM_CROWDING = 0.5;
   private static final double SHED_SLOPE = 1.2;
   /** What has less of a chance to be in time is refused unless the fleet has room for anything. */
-  private static final double LEAST_CHANCE = 0.5;
+  private static final double MIN_CHANCE_IN_TIME = 0.5;
   /** So much more is asked of a request that no answer of the counter has confirmed. */
-  private static final double UNCONFIRMED = 0.3;
+  private static final double UNCONFIRMED_SURCHARGE = 0.3;
   /** How sharply the chance of an answer in time falls round the aim: answers to one size vary by a half. */
   private static final double IN_TIME_SHARPNESS = 3;
   /** A fleet less crowded than this has room for anything, also for what earns beyond its quota. */
-  private static final double SPARE = 0.4;
+  private static final double SPARE_CROWDING = 0.4;
   /** Weight of the newest answer in the fleet's wait: the last twenty count, or the last few seconds. */
-  private static final double PRESSURE_NEWEST = 0.05;
-  private static final double PRESSURE_LIFE_MS = 4_000;
+  private static final double PRESSURE_WEIGHT = 0.05;
+  private static final double PRESSURE_DECAY_MS = 4_000;
   /** A backend with fewer requests than this, of all gateways, is not taken to queue. */
-  private static final double IDLE_HELD = 3;
+  private static final double IDLE_REQUESTS = 3;
   /** Random spread of expected waits, so that gateways with the same reports pick different backends. */
-  private static final double SPREAD = 0.05;
+  private static final double WAIT_JITTER = 0.05;
   /** How long a backend's measured speed and failures are worth much without a further answer. */
-  private static final double LEARNED_LIFE_MS = 6_000;
+  private static final double LEARNED_DECAY_MS = 6_000;
   /** How long a load report is worth much: others' requests there are mostly answered by then. */
-  private static final double REPORT_LIFE_MS = 700;
+  private static final double LOAD_REPORT_DECAY_MS = 700;
   /** Wait for any usable backend this share of the aim before refusing. */
-  private static final double HOLD_OF_AIM = 0.4;
+  private static final double BACKEND_WAIT_SHARE_OF_AIM = 0.4;
   /** What a backend is taken to need before anything was seen of it. */
-  private static final double UNKNOWN_SERVICE_MS = 100;
+  private static final double DEFAULT_SERVICE_MS = 100;
 
   private final Settings settings;
   private final SplittableRandom random;
   final Map<String, Plan> plans = new HashMap<>();
   final Map<String, RequestClass> classes = new HashMap<>();
-  private List<Action> out = new ArrayList<>();
+  private List<Action> actions = new ArrayList<>();
   double now, startedAt;
 
   public QuotaPolicy(Settings settings, long seed) {
     this.settings = settings;
     this.random = new SplittableRandom(seed);
-    retriesSaved = Math.max(1, FLEET_RETRIES_SAVED / Math.max(1, settings.gateways()));
-    retryTokens = retriesSaved;
+    maxRetryTokens = Math.max(1, FLEET_MAX_RETRY_TOKENS / Math.max(1, settings.gateways()));
+    retryTokens = maxRetryTokens;
     settings.plans().forEach(p -> plans.put(p.name(), p));
     settings.classes().forEach(c -> classes.put(c.name(), c));
   }
@@ -138,30 +138,31 @@
   public List<Action> start(double nowMs) {
     now = nowMs;
     startedAt = nowMs;
-    out = new ArrayList<>();
-    arm(TICK_MS);
-    if (settings.allowed().rosterOnRequest()) {
-      out.add(new FollowRoster());
+    actions = new ArrayList<>();
+    armTimer(TICK_MS);
+    if (settings.capabilities().rosterOnRequest()) {
+      actions.add(new FollowRoster());
     }
-    return out;
+    return actions;
   }
 
   /** The part of a customer's use of late that came through this gateway; an even one while not known. */
-  public double through(long customer, int entryPoints) {
-    Account a = accounts.get(customer);
-    boolean known = a != null && callsFailed < COUNTER_AWAY_AFTER && a.ownRate + a.othersRate > 0;
-    return known ? a.ownRate / (a.ownRate + a.othersRate) : 1.0 / Math.max(1, entryPoints);
+  public double localUsageShare(long customer, int entryPoints) {
+    Account account = accounts.get(customer);
+    boolean known = account != null && consecutiveCallFailures < COUNTER_AWAY_AFTER_FAILURES
+        && account.ownRate + account.othersRate > 0;
+    return known ? account.ownRate / (account.ownRate + account.othersRate) : 1.0 / Math.max(1, entryPoints);
   }
 
   /** Takes one event and gives what to do, in order. */
   public List<Action> on(double nowMs, Event event) {
     now = nowMs;
-    out = new ArrayList<>();
-    noteStall();
+    actions = new ArrayList<>();
+    detectStall();
     if (event instanceof Request e) {
       onRequest(e);
-      if (wakeAt > now + TICK_MS && !open.isEmpty()) {
-        arm(TICK_MS);
+      if (wakeAt > now + TICK_MS && !openJobs.isEmpty()) {
+        armTimer(TICK_MS);
       }
     } else if (event instanceof Outcome e) {
       onOutcome(e);
@@ -175,137 +176,147 @@
       onRoster(e);
     } else if (event instanceof ClientLeft e) {
       onClientLeft(e.request());
-    } else if (event instanceof Foresee e) {
-      onForesee(e.request());
-    } else if (event instanceof StreamBegan e && open.containsKey(e.request())) {
-      open.get(e.request()).streaming = true;
+    } else if (event instanceof PreCheck e) {
+      onPreCheck(e.request());
+    } else if (event instanceof StreamStarted e && openJobs.containsKey(e.request())) {
+      openJobs.get(e.request()).streaming = true;
     }
-    return out;
+    return actions;
   }
 
   // ---- Quota ----
 
   /** What this gateway knows of one customer: a replica of its plan's bucket, fed by the shared totals. */
   final class Account extends AccountState {
-    Account(Request r, Plan plan) {
-      super(r.customer(), plan, Math.max(1, Math.min(r.entryPoints(), settings.gateways())), now);
-      share = r.ceiling();
+    Account(Request request, Plan plan) {
+      super(request.customer(), plan, Math.max(1, Math.min(request.entryPoints(), settings.gateways())), now);
+      ceilingShare = request.ceilingShare();
       double refillMs = plan.rate() > 0 ? 1000 * plan.burst() / plan.rate() : 0;
-      double followed = plan.ceilingRate() > 0 ? WINDOW_MS : WINDOW_MS * FOLLOWING / this.gateways;
-      windowMs = Math.max(refillMs, Math.min(WINDOW_MS, followed));
-      plain = windowMs < 2 * refillMs && settings.allowed().sharedCount();
-      phase = Math.floorMod(customer * 0x9E3779B97F4A7C15L, (long) WINDOW_MS);
-      level = settings.allowed().sharedCount() ? plan.burst() : plan.burst() / this.gateways;
+      double followedMs = plan.ceilingRate() > 0 ? MAX_WINDOW_MS : MAX_WINDOW_MS
+          * MAX_FOLLOWING_ENTRY_POINTS / this.entryPoints;
+      windowMs = Math.max(refillMs, Math.min(MAX_WINDOW_MS, followedMs));
+      countsPerWindow = windowMs < 2 * refillMs && settings.capabilities().sharedCounter();
+      windowOffsetMs = Math.floorMod(customer * 0x9E3779B97F4A7C15L, (long) MAX_WINDOW_MS);
+      level = settings.capabilities().sharedCounter() ? plan.burst() : plan.burst() / this.entryPoints;
       fillCeiling((now - startedAt) / 1000);
-      part = random.nextDouble() * settings.maxUnits();
-      othersRate = plan.rate() * (plain ? USUAL_USE : 1 - 1.0 / this.gateways);
+      localQuotaUnits = random.nextDouble() * settings.maxUnits();
+      othersRate = plan.rate() * (countsPerWindow ? ASSUMED_RATE_SHARE : 1 - 1.0 / this.entryPoints);
     }
 
     /**
      * The share of a ceiling for gateways by themselves: all for two, for more a largest request each; of
      * many, and where totals tell all, a part. Where shares are told, all, as no count can be relied on.
      */
-    double ownShare() {
-      double each = Math.max(2.0 / gateways, gateways * settings.maxUnits() / plan.ceilingBurst());
-      return share != null ? 1 : plain || gateways > FOLLOWING ? OWN_OF_MANY : Math.min(1, each);
+    double localCeilingShare() {
+      double each = Math.max(2.0 / entryPoints, entryPoints * settings.maxUnits() / plan.ceilingBurst());
+      return ceilingShare != null ? 1 : countsPerWindow || entryPoints > MAX_FOLLOWING_ENTRY_POINTS
+          ? LOCAL_CEILING_SHARE : Math.min(1, each);
     }
 
-    double countedMost() {
-      return (plan.ceilingBurst() + plan.ceilingSlack() / 2) * (1 - ownShare());
+    double maxSharedCeilingUnits() {
+      return (plan.ceilingBurst() + plan.ceilingSlack() / 2) * (1 - localCeilingShare());
     }
 
     /** Whether the window before that one is told, and by a counter that has lost nothing of it. */
-    boolean pastKnown(long counting) {
-      return pastWindow == counting - 1 && counterBackAt < windowStart(now) - windowMs;
+    boolean isPreviousTotalKnown(long window) {
+      return previousTotalWindow == window - 1 && counterReturnedAt < windowStart(now) - windowMs;
     }
 
     /** What is left of the ceiling with such a total, if all of the last window was spent at its end. */
-    double countedAtLeast(double total) {
-      boolean known = pastKnown(windowNow(now));
-      double begun = known ? windowStart(now) : Math.max(windowStart(now), counterBackAt);
-      double then = Math.max(0, countedMost() - (known ? Math.min(past, plan.burst()) : plan.burst()));
-      return Math.min(countedMost(), then + plan.ceilingRate() * (1 - ownShare()) * (now - begun) / 1000)
+    double minSharedCeilingUnits(double total) {
+      boolean previousKnown = isPreviousTotalKnown(currentWindow(now));
+      double filledFrom = previousKnown ? windowStart(now) : Math.max(windowStart(now), counterReturnedAt);
+      double unitsThen = Math
+          .max(0, maxSharedCeilingUnits()
+          - (previousKnown ? Math.min(previousTotal, plan.burst()) : plan.burst()));
+      return Math.min(maxSharedCeilingUnits(),
+          unitsThen + plan.ceilingRate() * (1 - localCeilingShare()) * (now - filledFrom) / 1000)
           - total;
     }
 
     /** The same, as followed from the answer before, with all that others used since then used just now. */
-    double countedOn(boolean fresh, long counting, double total, double added) {
-      double before = Math.min(seen, plan.burst());
-      double rest = !fresh ? -before : window == counting - 1 ? Math.min(past, plan.burst()) - before : past;
-      boolean on = syncedAt >= counterBackAt && (!fresh || pastKnown(counting));
-      return on ? counted - rest - Math.min(total, plan.burst() + added) + added : Double.NEGATIVE_INFINITY;
+    double followedSharedCeilingUnits(boolean newWindow, long window, double total, double added) {
+      double lastCapped = Math.min(lastTotal, plan.burst());
+      double earlierGrowth = !newWindow ? -lastCapped : totalWindow == window - 1
+          ? Math.min(previousTotal, plan.burst()) - lastCapped : previousTotal;
+      boolean continuous = syncedAt >= counterReturnedAt && (!newWindow || isPreviousTotalKnown(window));
+      return continuous ? sharedCeilingUnits - earlierGrowth - Math.min(total, plan.burst() + added) + added
+          : Double.NEGATIVE_INFINITY;
     }
 
-    void fillCeiling(double dt) {
+    void fillCeiling(double seconds) {
       double burst = plan.ceilingBurst() + plan.ceilingSlack() / 2;
-      double part = share == null ? ownShare() / gateways
-          : now < share.untilMs() ? share.share() : share.then();
-      counted = Math.min(countedMost(), counted + plan.ceilingRate() * (1 - ownShare()) * dt);
-      own = Math.min(burst * part, own + plan.ceilingRate() * part * dt);
+      double gatewayShare = ceilingShare == null ? localCeilingShare() / entryPoints
+          : now < ceilingShare.untilMs() ? ceilingShare.share() : ceilingShare.nextShare();
+      sharedCeilingUnits = Math
+          .min(maxSharedCeilingUnits(),
+          sharedCeilingUnits + plan.ceilingRate() * (1 - localCeilingShare()) * seconds);
+      localCeilingUnits = Math
+          .min(burst * gatewayShare, localCeilingUnits + plan.ceilingRate() * gatewayShare * seconds);
     }
 
     /** What another share than before has filled until now is counted by the less of both. */
-    void shared(CeilingShare told) {
-      CeilingShare before = share;
-      share = told != null && before != null && told.share() > before.share() ? before : told;
+    void updateCeilingShare(CeilingShare next) {
+      CeilingShare previous = ceilingShare;
+      ceilingShare = next != null && previous != null && next.share() > previous.share() ? previous : next;
       advance();
-      share = told;
+      ceilingShare = next;
     }
 
     /** This gateway's even part of the quota: what it may send on unasked. */
-    void fillPart(double dt) {
-      double most = Math.max(plan.burst() / gateways, settings.maxUnits());
-      part = Math.min(most, part + plan.rate() / gateways * dt);
+    void fillLocalQuota(double seconds) {
+      double cap = Math.max(plan.burst() / entryPoints, settings.maxUnits());
+      localQuotaUnits = Math.min(cap, localQuotaUnits + plan.rate() / entryPoints * seconds);
     }
 
     /** Refills to the present; others go on spending as they did, but this gateway keeps its own share. */
     void advance() {
-      double dt = (now - levelAt) / 1000;
-      levelAt = now;
-      if (dt <= 0) {
+      double seconds = (now - levelUpdatedAt) / 1000;
+      levelUpdatedAt = now;
+      if (seconds <= 0) {
         return;
       }
-      fillPart(dt);
-      if (plain) {
-        expectUse(dt);
+      fillLocalQuota(seconds);
+      if (countsPerWindow) {
+        deductExpectedUse(seconds);
         return;
       }
-      double least = plan.rate() * 0.05;
-      double share = (ownRate + least) / (ownRate + othersRate + least * gateways);
-      boolean shared = settings.allowed().sharedCount();
-      double others = shared ? Math.min(othersRate, plan.rate() * (1 - share)) : othersRate;
-      double cap = shared ? plan.burst() : plan.burst() / gateways;
-      double full = Math.min(cap, level + plan.rate() * dt);
-      level = Math.min(cap, level + (plan.rate() - others) * dt);
-      assumed += full - level;
-      fillCeiling(dt);
+      double rateFloor = plan.rate() * 0.05;
+      double ownShare = (ownRate + rateFloor) / (ownRate + othersRate + rateFloor * entryPoints);
+      boolean shared = settings.capabilities().sharedCounter();
+      double othersUse = shared ? Math.min(othersRate, plan.rate() * (1 - ownShare)) : othersRate;
+      double cap = shared ? plan.burst() : plan.burst() / entryPoints;
+      double levelWithoutOthers = Math.min(cap, level + plan.rate() * seconds);
+      level = Math.min(cap, level + (plan.rate() - othersUse) * seconds);
+      assumedOthersUnits += levelWithoutOthers - level;
+      fillCeiling(seconds);
     }
 
     /** Room left in this window, less what the others are expected to use; a new window starts at nought. */
-    void expectUse(double dt) {
-      double begun = now - windowStart(now);
-      double span = Math.min(begun, dt * 1000);
-      level = span == begun ? plan.burst() : level;
-      double usual = USUAL_USE * plan.rate();
-      double known = Double.isNaN(syncedAt) ? 0 : Math.exp((syncedAt - now) / SPELL_MS);
-      level -= (usual + known * (othersRate - usual)) * span / 1000;
+    void deductExpectedUse(double seconds) {
+      double sinceWindowStart = now - windowStart(now);
+      double elapsedMs = Math.min(sinceWindowStart, seconds * 1000);
+      level = elapsedMs == sinceWindowStart ? plan.burst() : level;
+      double assumedRate = ASSUMED_RATE_SHARE * plan.rate();
+      double confidence = Double.isNaN(syncedAt) ? 0 : Math.exp((syncedAt - now) / USAGE_SPELL_MS);
+      level -= (assumedRate + confidence * (othersRate - assumedRate)) * elapsedMs / 1000;
     }
 
     /** Far from its limit by all that is known: where calls are scarce, they are for others. */
-    boolean comfortable() {
-      return !plain && level > plan.burst() / 2;
+    boolean isFarFromLimit() {
+      return !countsPerWindow && level > plan.burst() / 2;
     }
 
     /** Whether the customer is known to be spent, so that a call would only add to the counter's load. */
-    boolean surelySpent(double units) {
-      boolean told = window == windowNow(now) && seen >= plan.burst();
-      return plain ? level < (told ? units : -SURELY_SPENT * plan.burst())
-          : most() < units && now - syncedAt < SPENT_RECHECK_MS;
+    boolean isSurelySpent(double units) {
+      boolean totalPastBurst = totalWindow == currentWindow(now) && lastTotal >= plan.burst();
+      return countsPerWindow ? level < (totalPastBurst ? units : -SURELY_SPENT_SHARE * plan.burst())
+          : maxLevel() < units && now - syncedAt < SPENT_RECHECK_MS;
     }
 
     /** The most the bucket can hold if the others have spent nothing since the last answer. */
-    double most() {
-      return Math.min(plan.burst(), level + assumed) - flying;
+    double maxLevel() {
+      return Math.min(plan.burst(), level + assumedOthersUnits) - inFlightUnits;
     }
   }
 
@@ -313,39 +324,40 @@
   final Map<Long, Account> accounts = new LinkedHashMap<>(16, 0.75f, true) {
     @Override
     protected boolean removeEldestEntry(Map.Entry<Long, Account> e) {
-      return now - e.getValue().levelAt > COUNT_TTL_MS && e.getValue().out == 0;
+      return now - e.getValue().levelUpdatedAt > COUNT_TTL_MS && e.getValue().attemptsInFlight == 0;
     }
   };
-  private final Map<String, ArrayDeque<Call<Account, Job>>> calls = new HashMap<>();
+  private final Map<String, ArrayDeque<CounterCall<Account, Job>>> pendingCalls = new HashMap<>();
   /** Accounts whose units are to be put back at a counter that replaced another, at most all there are. */
-  private final ArrayDeque<Account> rebuilding = new ArrayDeque<>();
-  private double pace = 1;
-  private double pacedAt = Double.NEGATIVE_INFINITY, trialAt = Double.NEGATIVE_INFINITY, answeredAt;
-  private double counterBackAt = Double.NEGATIVE_INFINITY;
-  private int callsFailed;
+  private final ArrayDeque<Account> accountsToRestore = new ArrayDeque<>();
+  private double callShare = 1;
+  private double callShareCutAt = Double.NEGATIVE_INFINITY, nextTrialAt = Double.NEGATIVE_INFINITY,
+      lastCounterAnswerAt;
+  private double counterReturnedAt = Double.NEGATIVE_INFINITY;
+  private int consecutiveCallFailures;
 
-  Account account(Request r) {
-    Account a = accounts.computeIfAbsent(r.customer(), c -> new Account(r,
-        plans.getOrDefault(r.planName(), mostCarefulPlan())));
-    a.shared(r.ceiling());
-    return a;
+  Account account(Request request) {
+    Account account = accounts.computeIfAbsent(request.customer(), c -> new Account(request,
+        plans.getOrDefault(request.planName(), strictestPlan())));
+    account.updateCeilingShare(request.ceilingShare());
+    return account;
   }
 
-  private Plan mostCarefulPlan() {
+  private Plan strictestPlan() {
     return settings.plans().stream().filter(p -> p.rate() > 0).min(Comparator.comparingDouble(Plan::rate))
         .orElse(new Plan("", 0, 0, 0, 0, 0, 0, 0, 0, 0));
   }
 
-  private void check(Job job) {
-    Account a = job.account;
-    if (a.plan.openLimit() <= 0) {
+  private void checkQuota(Job job) {
+    Account account = job.account;
+    if (account.plan.maxOpenAttempts() <= 0) {
       checkUnits(job);
-    } else if (a.placesKnown() >= a.plan.openLimit() || now < a.fullUntil) {
-      beyondQuota(job);
-    } else if (settings.allowed().sharedCount() && mayCall(pace * pace)) {
-      askPlace(a, job);
+    } else if (account.slotsInUse() >= account.plan.maxOpenAttempts() || now < account.slotsFullUntil) {
+      onQuotaExceeded(job);
+    } else if (settings.capabilities().sharedCounter() && shouldCallCounter(callShare * callShare)) {
+      requestSlot(account, job);
     } else {
-      withoutPlace(job);
+      decideSlotLocally(job);
     }
   }
 
@@ -356,86 +368,87 @@
    * name lasts a window, so that a place whose gateway died is lost until its end at most; what this gateway
    * has out then is carried over with its first ask in the new one.
    */
-  private void askPlace(Account a, Job job) {
-    long window = a.windowNow(now);
-    double carried = window == a.placeWindow ? 0 : a.places;
-    a.placesOwed = window == a.placeWindow ? a.placesOwed : 0;
-    a.placeWindow = window;
-    job.waiting = true;
-    a.asking++;
-    calls(new Call<>(a, window, 1 + carried + a.placesOwed, job, true));
-    a.placesOwed = 0;
+  private void requestSlot(Account account, Job job) {
+    long window = account.currentWindow(now);
+    double carried = window == account.slotWindow ? 0 : account.slots;
+    account.pendingSlots = window == account.slotWindow ? account.pendingSlots : 0;
+    account.slotWindow = window;
+    job.waitingForCounter = true;
+    account.slotRequests++;
+    callCounter(new CounterCall<>(account, window, 1 + carried + account.pendingSlots, job, true));
+    account.pendingSlots = 0;
   }
 
   /** Counted by this gateway alone: an even part of the places, one at least. */
-  private void withoutPlace(Job job) {
-    Account a = job.account;
-    if (a.out < Math.max(1, a.plan.openLimit() / a.gateways)) {
+  private void decideSlotLocally(Job job) {
+    Account account = job.account;
+    if (account.attemptsInFlight < Math.max(1, account.plan.maxOpenAttempts() / account.entryPoints)) {
       checkUnits(job);
     } else {
-      beyondQuota(job);
+      onQuotaExceeded(job);
     }
   }
 
   /** A total below what this gateway itself holds shows a loss, which is put back; no answer means added. */
-  private void onPlaceCounted(Call<Account, Job> call, Counted e) {
-    Account a = call.account();
+  private void onSlotCounted(CounterCall<Account, Job> call, Counted result) {
+    Account account = call.account();
     Job job = call.job();
-    if (e.status().provesNotRun() && call.window() == a.placeWindow) {
-      a.placesOwed += call.amount() - (job == null ? 0 : 1);
+    if (result.status().provesNotRun() && call.window() == account.slotWindow) {
+      account.pendingSlots += call.amount() - (job == null ? 0 : 1);
     }
     if (job == null) {
       return;
     }
-    a.asking--;
-    boolean added = !e.status().provesNotRun();
-    boolean over = !open.containsKey(job.request.id()) && job.live == null;
+    account.slotRequests--;
+    boolean added = !result.status().provesNotRun();
+    boolean requestEnded = !openJobs.containsKey(job.request.id()) && job.currentAttempt == null;
     if (added) {
-      job.placed = true;
-      a.places++;
-    }
-    if (e.status() == Status.OK && call.window() == a.placeWindow && e.total() < a.places) {
-      calls(new Call<>(a, call.window(), a.places - e.total(), null, true));
-    }
-    if (over) {
-      freePlace(job);
-    } else if (job.waiting) {
-      job.waiting = false;
-      if (e.status() != Status.OK) {
-        withoutPlace(job);
-      } else if (e.total() <= a.plan.openLimit()) {
+      job.holdsSlot = true;
+      account.slots++;
+    }
+    if (result.status() == Status.OK && call.window() == account.slotWindow
+        && result.total() < account.slots) {
+      callCounter(new CounterCall<>(account, call.window(), account.slots - result.total(), null, true));
+    }
+    if (requestEnded) {
+      releaseSlot(job);
+    } else if (job.waitingForCounter) {
+      job.waitingForCounter = false;
+      if (result.status() != Status.OK) {
+        decideSlotLocally(job);
+      } else if (result.total() <= account.plan.maxOpenAttempts()) {
         checkUnits(job);
       } else {
-        a.fullUntil = now + PLACE_RECHECK_MS;
-        beyondQuota(job);
+        account.slotsFullUntil = now + SLOT_RECHECK_MS;
+        onQuotaExceeded(job);
       }
     }
   }
 
   /** Gives its place back once none of its attempts is out and none will follow. */
-  private void freePlace(Job job) {
-    if (job.placed && job.live == null) {
-      job.placed = false;
-      Account a = job.account;
-      a.places--;
-      calls(new Call<>(a, a.placeWindow, -1, null, true));
+  private void releaseSlot(Job job) {
+    if (job.holdsSlot && job.currentAttempt == null) {
+      job.holdsSlot = false;
+      Account account = job.account;
+      account.slots--;
+      callCounter(new CounterCall<>(account, account.slotWindow, -1, null, true));
     }
   }
 
   /** The plan's rate and ceiling. */
   private void checkUnits(Job job) {
-    Account a = job.account;
+    Account account = job.account;
     double units = job.request.units();
-    if (a.plan.rate() <= 0 && a.plan.ceilingRate() <= 0) {
+    if (account.plan.rate() <= 0 && account.plan.ceilingRate() <= 0) {
       dispatch(job);
-    } else if (!settings.allowed().sharedCount()) {
-      decide(job, false);
-    } else if (a.surelySpent(units)) {
-      beyondQuota(job);
-    } else if (mayCall(a.comfortable() ? pace * pace : Math.sqrt(pace))) {
-      call(a, job);
+    } else if (!settings.capabilities().sharedCounter()) {
+      decideByQuota(job, false);
+    } else if (account.isSurelySpent(units)) {
+      onQuotaExceeded(job);
+    } else if (shouldCallCounter(account.isFarFromLimit() ? callShare * callShare : Math.sqrt(callShare))) {
+      requestUnits(account, job);
     } else {
-      decide(job, false);
+      decideByQuota(job, false);
     }
   }
 
@@ -443,108 +456,113 @@
    * Whether to call the counter, with such a chance where it answers. Guards against a slow, full, silent or
    * refusing counter: fewer call, and spaced trials remain. Harm: longer held to the replica than needed.
    */
-  private boolean mayCall(double chance) {
-    if (callsFailed >= COUNTER_AWAY_AFTER) {
-      if (now < trialAt) {
+  private boolean shouldCallCounter(double probability) {
+    if (consecutiveCallFailures >= COUNTER_AWAY_AFTER_FAILURES) {
+      if (now < nextTrialAt) {
         return false;
       }
-      trialAt = nextTrial();
+      nextTrialAt = nextTrialTime();
       return true;
     }
-    return random.nextDouble() < Math.max(PACE_LEAST, chance);
+    return random.nextDouble() < Math.max(MIN_CALL_SHARE, probability);
   }
 
-  private void call(Account a, Job job) {
+  private void requestUnits(Account account, Job job) {
     double units = job.request.units();
-    job.waiting = true;
-    job.called = true;
-    job.asked = a.plain || a.level >= units ? units : 0;
-    if (a.plain && a.plan.ceilingRate() > 0 && a.pastAsked < a.windowNow(now) - 1) {
-      a.pastAsked = a.windowNow(now) - 1;
-      calls(new Call<>(a, a.pastAsked, 0, null));
-    }
-    calls(new Call<>(a, a.windowNow(now), job.asked + a.owed, job));
-    a.flying += job.asked;
-    a.owed = 0;
-  }
-
-  private void onCounted(Counted told) {
-    ArrayDeque<Call<Account, Job>> queue = calls.get(told.name());
+    job.waitingForCounter = true;
+    job.callPending = true;
+    job.unitsInCall = account.countsPerWindow || account.level >= units ? units : 0;
+    if (account.countsPerWindow && account.plan.ceilingRate() > 0
+        && account.requestedPreviousWindow < account.currentWindow(now) - 1) {
+      account.requestedPreviousWindow = account.currentWindow(now) - 1;
+      callCounter(new CounterCall<>(account, account.requestedPreviousWindow, 0, null));
+    }
+    callCounter(
+        new CounterCall<>(account, account.currentWindow(now), job.unitsInCall + account.pendingUnits, job));
+    account.inFlightUnits += job.unitsInCall;
+    account.pendingUnits = 0;
+  }
+
+  private void onCounted(Counted reply) {
+    ArrayDeque<CounterCall<Account, Job>> queue = pendingCalls.get(reply.name());
     if (queue == null) {
       return;
     }
-    Call<Account, Job> call = queue.poll();
+    CounterCall<Account, Job> call = queue.poll();
     if (queue.isEmpty()) {
-      calls.remove(told.name());
+      pendingCalls.remove(reply.name());
     }
-    Account a = call.account();
-    if (call.place()) {
-      judgeCounter(told);
-      onPlaceCounted(call, told);
+    Account account = call.account();
+    if (call.forSlot()) {
+      trackCounterHealth(reply);
+      onSlotCounted(call, reply);
       return;
     }
-    Counted e = told.status() != Status.OK || told.total() < a.implausible(settings) ? told
-        : new Counted(told.name(), Status.SPOILT, 0, told.latencyMs());
+    Counted result = reply.status() != Status.OK || reply.total() < account.implausibleTotal(settings) ? reply
+        : new Counted(reply.name(), Status.SPOILT, 0, reply.latencyMs());
     Job job = call.job();
-    a.advance();
+    account.advance();
     if (job == null) {
-      judgeCounter(e);
-      wasPutBack(call, e);
+      trackCounterHealth(result);
+      onBackgroundCounted(call, result);
       return;
     }
-    if (e.status() == Status.SPOILT && job.waiting && !job.reread) {
-      readAgain(e.name(), call);
+    if (result.status() == Status.SPOILT && job.waitingForCounter && !job.totalReread) {
+      rereadTotal(result.name(), call);
       return;
     }
-    a.flying -= job.asked;
-    if (!stalled() || e.status() == Status.OK) {
-      judgeCounter(e);
+    account.inFlightUnits -= job.unitsInCall;
+    if (!isStalled() || result.status() == Status.OK) {
+      trackCounterHealth(result);
     }
-    boolean added = !e.status().provesNotRun();
-    if (e.status() == Status.OK) {
-      observe(a, call, e.total());
+    boolean added = !result.status().provesNotRun();
+    if (result.status() == Status.OK) {
+      applyTotal(account, call, result.total());
     } else if (added) {
-      a.maybe += call.amount();
+      account.uncertainUnits += call.amount();
     } else {
-      a.owed += call.amount() - job.asked;
+      account.pendingUnits += call.amount() - job.unitsInCall;
     }
-    job.called = false;
-    if (!job.waiting) {
-      a.owed += (job.inQuota ? job.request.units() : 0) - (added ? job.asked : 0);
+    job.callPending = false;
+    if (!job.waitingForCounter) {
+      account.pendingUnits += (job.charged ? job.request.units() : 0) - (added ? job.unitsInCall : 0);
       return;
     }
-    job.waiting = false;
-    job.added = added && job.asked > 0;
-    decide(job, e.status() == Status.OK);
+    job.waitingForCounter = false;
+    job.mayBeCounted = added && job.unitsInCall > 0;
+    decideByQuota(job, result.status() == Status.OK);
   }
 
   /** An answer that cannot be read tells that the amount was added: the total is read once more. */
-  private void readAgain(String name, Call<Account, Job> call) {
-    call.job().reread = true;
-    calls.computeIfAbsent(name, n -> new ArrayDeque<>()).add(call);
-    out.add(new Add(name, 0, COUNT_TTL_MS));
-  }
-
-  private void judgeCounter(Counted e) {
-    boolean away = callsFailed >= COUNTER_AWAY_AFTER;
-    callsFailed = e.status() == Status.OK ? 0 : callsFailed + 1;
-    if (e.status() != Status.OK) {
-      pace *= now - pacedAt > settings.allowed().countLimitMs() ? PACE_CUT : 1;
-      trialAt = callsFailed == COUNTER_AWAY_AFTER ? nextTrial() : trialAt;
-    } else if (away) {
-      pace = PACE_BACK;
-      counterBackAt = now;
+  private void rereadTotal(String name, CounterCall<Account, Job> call) {
+    call.job().totalReread = true;
+    pendingCalls.computeIfAbsent(name, n -> new ArrayDeque<>()).add(call);
+    actions.add(new Add(name, 0, COUNT_TTL_MS));
+  }
+
+  private void trackCounterHealth(Counted result) {
+    boolean wasAway = consecutiveCallFailures >= COUNTER_AWAY_AFTER_FAILURES;
+    consecutiveCallFailures = result.status() == Status.OK ? 0 : consecutiveCallFailures + 1;
+    if (result.status() != Status.OK) {
+      callShare *= now - callShareCutAt > settings.capabilities().counterTimeoutMs()
+          ? CALL_SHARE_DECREASE_FACTOR : 1;
+      nextTrialAt = consecutiveCallFailures == COUNTER_AWAY_AFTER_FAILURES ? nextTrialTime() : nextTrialAt;
+    } else if (wasAway) {
+      callShare = CALL_SHARE_AFTER_RETURN;
+      counterReturnedAt = now;
     } else {
-      pace += PACE_STEP + PACE_STEP_PER_S * Math.min(1, (now - answeredAt) / 1000);
+      callShare += CALL_SHARE_INCREASE + CALL_SHARE_INCREASE_PER_S
+          * Math.min(1, (now - lastCounterAnswerAt) / 1000);
     }
-    pacedAt = e.status() == Status.OK || now - pacedAt <= settings.allowed().countLimitMs() ? pacedAt : now;
-    answeredAt = e.status() == Status.OK ? now : answeredAt;
-    pace = Math.min(1, Math.max(PACE_LEAST, pace));
+    callShareCutAt = result.status() == Status.OK || now
+        - callShareCutAt <= settings.capabilities().counterTimeoutMs() ? callShareCutAt : now;
+    lastCounterAnswerAt = result.status() == Status.OK ? now : lastCounterAnswerAt;
+    callShare = Math.min(1, Math.max(MIN_CALL_SHARE, callShare));
   }
 
   /** Trials of the whole fleet are bounded, and spread by chance; each gateway's come within seconds. */
-  private double nextTrial() {
-    double spacing = Math.max(TRIAL_MS, FLEET_TRIAL_MS * settings.gateways());
+  private double nextTrialTime() {
+    double spacing = Math.max(COUNTER_TRIAL_MS, FLEET_COUNTER_TRIAL_MS * settings.gateways());
     return now + spacing * (0.75 + 0.5 * random.nextDouble());
   }
 
@@ -552,48 +570,52 @@
    * Replays the growth of the shared total into the replica. Growth beyond what was added here is others'.
    * A total that halves is an emptied counter, not fresh quota: the replica keeps its level.
    */
-  private void observe(Account a, Call<Account, Job> call, double total) {
-    boolean fresh = a.window != call.window();
-    double growth = fresh ? total : total - a.seen;
-    if (!fresh && a.before > 0) {
-      growth = Math.max(call.amount(), total - a.before);
-    }
-    a.before = 0;
-    boolean carried = !Double.isNaN(a.syncedAt);
-    double started = call.window() * a.windowMs - a.phase;
-    double since = now - (fresh || !carried ? started : a.syncedAt);
+  private void applyTotal(Account account, CounterCall<Account, Job> call, double total) {
+    boolean newWindow = account.totalWindow != call.window();
+    double growth = newWindow ? total : total - account.lastTotal;
+    if (!newWindow && account.totalBeforeReplacement > 0) {
+      growth = Math.max(call.amount(), total - account.totalBeforeReplacement);
+    }
+    account.totalBeforeReplacement = 0;
+    boolean wasSynced = !Double.isNaN(account.syncedAt);
+    double windowStart = call.window() * account.windowMs - account.windowOffsetMs;
+    double sinceMs = now - (newWindow || !wasSynced ? windowStart : account.syncedAt);
     double others = growth - call.amount();
-    if (!fresh && others < 0 && total < a.seen / 2) {
+    if (!newWindow && others < 0 && total < account.lastTotal / 2) {
       others = Math.max(0, total - call.amount());
     }
-    if (a.plain) {
-      a.counted = Math.max(a.countedAtLeast(total - (call.job() == null ? 0 : call.job().asked)),
-          a.countedOn(fresh, call.window(), total, call.amount()));
-    }
-    a.given = fresh ? call.amount() : a.given + call.amount();
-    a.window = call.window();
-    a.seen = total;
-    if (a.plain) {
-      double told = a.plan.burst() - (total - call.job().asked);
-      double level = call.window() == a.rebuilt ? Math.min(a.level, told) : told;
-      a.level = call.window() == a.windowNow(now) ? level : a.level;
-      learnRates(a, Math.max(0, others), since);
+    if (account.countsPerWindow) {
+      account.sharedCeilingUnits = Math
+          .max(account.minSharedCeilingUnits(total - (call.job() == null ? 0 : call.job().unitsInCall)),
+          account.followedSharedCeilingUnits(newWindow, call.window(), total, call.amount()));
+    }
+    account.confirmedAdds = newWindow ? call.amount() : account.confirmedAdds + call.amount();
+    account.totalWindow = call.window();
+    account.lastTotal = total;
+    if (account.countsPerWindow) {
+      double levelByTotal = account.plan.burst() - (total - call.job().unitsInCall);
+      double level = call.window() == account.replacementWindow ? Math.min(account.level, levelByTotal)
+          : levelByTotal;
+      account.level = call.window() == account.currentWindow(now) ? level : account.level;
+      updateRates(account, Math.max(0, others), sinceMs);
       return;
     }
-    double mine = Math.min(a.maybe, Math.max(0, others));
-    others -= mine;
-    a.owed += a.maybe - mine;
-    a.maybe = 0;
-    if (carried) {
-      double replaced = a.assumed * Math.min(1, since / Math.max(1, now - a.syncedAt));
-      a.level = Math.min(a.plan.burst(), a.level + replaced - others);
+    double ownPart = Math.min(account.uncertainUnits, Math.max(0, others));
+    others -= ownPart;
+    account.pendingUnits += account.uncertainUnits - ownPart;
+    account.uncertainUnits = 0;
+    if (wasSynced) {
+      double replacedAssumption = account.assumedOthersUnits
+          * Math.min(1, sinceMs / Math.max(1, now - account.syncedAt));
+      account.level = Math.min(account.plan.burst(), account.level + replacedAssumption - others);
     } else {
-      a.level = Math.min(a.plan.burst(), a.level + a.plan.rate() * since / 1000 - others);
+      account.level = Math
+          .min(account.plan.burst(), account.level + account.plan.rate() * sinceMs / 1000 - others);
     }
-    a.counted -= others;
-    a.fillCeiling(0);
-    a.assumed = 0;
-    learnRates(a, others, since);
+    account.sharedCeilingUnits -= others;
+    account.fillCeiling(0);
+    account.assumedOthersUnits = 0;
+    updateRates(account, others, sinceMs);
   }
 
   /**
@@ -603,93 +625,99 @@
    * level, as others may not have put theirs back yet. Where a bucket is followed, the replica keeps what is
    * known. Totals are read from nought on, or from what was seen before, where a copy has a part.
    */
-  private void onCounterReplaced(double lostSince) {
+  private void onCounterReplaced(double lostSinceMs) {
     for (Account a : accounts.values()) {
-      double begun = a.windowStart(now);
-      boolean partly = lostSince > begun;
-      if (a.plain && a.window == a.windowNow(now)) {
-        a.owed += a.given * (partly ? (now - lostSince) / (now - begun) : 1);
-        a.rebuilt = a.window;
+      double windowStart = a.windowStart(now);
+      boolean partlyCopied = lostSinceMs > windowStart;
+      if (a.countsPerWindow && a.totalWindow == a.currentWindow(now)) {
+        a.pendingUnits += a.confirmedAdds * (partlyCopied ? (now - lostSinceMs) / (now - windowStart) : 1);
+        a.replacementWindow = a.totalWindow;
       }
-      a.given = 0;
-      if (a.places > 0 && !partly && a.placeWindow == a.windowNow(now)) {
-        calls(new Call<>(a, a.placeWindow, a.places, null, true));
+      a.confirmedAdds = 0;
+      if (a.slots > 0 && !partlyCopied && a.slotWindow == a.currentWindow(now)) {
+        callCounter(new CounterCall<>(a, a.slotWindow, a.slots, null, true));
       }
-      a.before = partly ? Math.max(a.before, a.seen) : 0;
-      a.seen = 0;
+      a.totalBeforeReplacement = partlyCopied ? Math.max(a.totalBeforeReplacement, a.lastTotal) : 0;
+      a.lastTotal = 0;
     }
-    rebuilding.clear();
-    accounts.values().stream().filter(a -> a.rebuilt == a.windowNow(now) && a.owed > 0)
-        .sorted(Comparator.comparingDouble(a -> -a.owed)).forEach(rebuilding::add);
-    putBack();
+    accountsToRestore.clear();
+    accounts.values().stream().filter(a -> a.replacementWindow == a.currentWindow(now) && a.pendingUnits > 0)
+        .sorted(Comparator.comparingDouble(a -> -a.pendingUnits)).forEach(accountsToRestore::add);
+    restoreCounts();
   }
 
   /** Puts back unasked too, the most spent first: a customer may turn to a gateway that knows nothing. */
-  private void putBack() {
-    int calls = (int) Math.max(1, REBUILD_FLEET_PER_S * TICK_MS / 1000 / Math.max(1, settings.gateways()));
-    while (calls > 0 && !rebuilding.isEmpty()) {
-      Account a = rebuilding.poll();
-      if (a.owed > 0 && a.rebuilt == a.windowNow(now)) {
-        calls--;
-        Call<Account, Job> call = new Call<>(a, a.rebuilt, a.owed, null);
-        calls(call);
-        a.owed = 0;
+  private void restoreCounts() {
+    int callsLeft = (int) Math
+        .max(1, FLEET_RESTORE_CALLS_PER_S * TICK_MS / 1000 / Math.max(1, settings.gateways()));
+    while (callsLeft > 0 && !accountsToRestore.isEmpty()) {
+      Account a = accountsToRestore.poll();
+      if (a.pendingUnits > 0 && a.replacementWindow == a.currentWindow(now)) {
+        callsLeft--;
+        CounterCall<Account, Job> call = new CounterCall<>(a, a.replacementWindow, a.pendingUnits, null);
+        callCounter(call);
+        a.pendingUnits = 0;
       }
     }
   }
 
-  private void calls(Call<Account, Job> call) {
-    String name = call.name();
-    calls.computeIfAbsent(name, n -> new ArrayDeque<>()).add(call);
-    out.add(new Add(name, call.amount(), COUNT_TTL_MS));
+  private void callCounter(CounterCall<Account, Job> call) {
+    String name = call.counterName();
+    pendingCalls.computeIfAbsent(name, n -> new ArrayDeque<>()).add(call);
+    actions.add(new Add(name, call.amount(), COUNT_TTL_MS));
   }
 
   /** The end of a call that put back what is known, and that no request waits for. */
-  private void wasPutBack(Call<Account, Job> call, Counted e) {
-    Account a = call.account();
-    if (e.status() == Status.OK && call.window() == a.pastAsked) {
-      a.past = e.total();
-      a.pastWindow = call.window();
-    } else if (e.status() == Status.OK && call.window() == a.window) {
-      a.given += call.amount();
-      a.seen = e.total();
-      a.level = Math.min(a.level, a.plan.burst() - e.total());
-    } else if (e.status().provesNotRun() && call.window() == a.window) {
-      a.owed += call.amount();
-    }
-  }
-
-  private void learnRates(Account a, double others, double sinceMs) {
-    double age = Double.isNaN(a.syncedAt) ? sinceMs : now - a.syncedAt;
-    double keep = Math.exp(-(a.plain ? age : sinceMs) / (a.plain ? SPELL_MS / 3 : RATE_MEMORY_MS));
+  private void onBackgroundCounted(CounterCall<Account, Job> call, Counted result) {
+    Account account = call.account();
+    if (result.status() == Status.OK && call.window() == account.requestedPreviousWindow) {
+      account.previousTotal = result.total();
+      account.previousTotalWindow = call.window();
+    } else if (result.status() == Status.OK && call.window() == account.totalWindow) {
+      account.confirmedAdds += call.amount();
+      account.lastTotal = result.total();
+      account.level = Math.min(account.level, account.plan.burst() - result.total());
+    } else if (result.status().provesNotRun() && call.window() == account.totalWindow) {
+      account.pendingUnits += call.amount();
+    }
+  }
+
+  private void updateRates(Account account, double others, double sinceMs) {
+    double sinceSyncMs = Double.isNaN(account.syncedAt) ? sinceMs : now - account.syncedAt;
+    double keep = Math
+        .exp(-(account.countsPerWindow ? sinceSyncMs : sinceMs) / (account.countsPerWindow
+        ? USAGE_SPELL_MS / 3 : RATE_MEMORY_MS));
     double seconds = Math.max(0.001, sinceMs / 1000);
-    a.othersRate = Math.max(0, keep * a.othersRate + (1 - keep) * others / seconds);
-    a.ownRate = keep * a.ownRate + (1 - keep) * a.ownSince / seconds;
-    a.ownSince = 0;
-    a.syncedAt = now;
+    account.othersRate = Math.max(0, keep * account.othersRate + (1 - keep) * others / seconds);
+    account.ownRate = keep * account.ownRate + (1 - keep) * account.ownUnitsSinceSync / seconds;
+    account.ownUnitsSinceSync = 0;
+    account.syncedAt = now;
   }
 
   /** By the answered total, or else by the replica with the share of the refill this gateway is used to. */
-  private void decide(Job job, boolean answered) {
-    Account a = job.account;
+  private void decideByQuota(Job job, boolean answered) {
+    Account account = job.account;
     double units = job.request.units();
-    double room = answered || a.plain ? a.level : a.level - a.flying + (job.called ? job.asked : 0);
-    boolean unasked = settings.allowed().sharedCount() && !answered;
-    boolean within = room >= units && (!unasked || !a.plain || a.part >= units)
-        || unasked && !a.plain && callsFailed >= COUNTER_AWAY_AFTER && a.part >= units;
-    boolean barred = a.plan.rate() > 0 && !within
-        || unasked && !a.comfortable() && pressed(job, UNCONFIRMED);
-    if (barred || !holdsCeiling(a, units, answered)) {
-      a.owed -= job.added && (!a.plain || within) ? units : 0;
-      job.added = false;
-      beyondQuota(job);
+    double available = answered || account.countsPerWindow ? account.level : account.level
+        - account.inFlightUnits + (job.callPending ? job.unitsInCall : 0);
+    boolean unconfirmed = settings.capabilities().sharedCounter() && !answered;
+    boolean withinQuota = available >= units
+        && (!unconfirmed || !account.countsPerWindow || account.localQuotaUnits >= units)
+        || unconfirmed && !account.countsPerWindow && consecutiveCallFailures >= COUNTER_AWAY_AFTER_FAILURES
+        && account.localQuotaUnits >= units;
+    boolean barred = account.plan.rate() > 0 && !withinQuota
+        || unconfirmed && !account.isFarFromLimit() && shouldShed(job, UNCONFIRMED_SURCHARGE);
+    if (barred || !takeFromCeiling(account, units, answered)) {
+      account.pendingUnits -= job.mayBeCounted && (!account.countsPerWindow || withinQuota) ? units : 0;
+      job.mayBeCounted = false;
+      onQuotaExceeded(job);
       return;
     }
-    a.level -= units;
-    a.part = Math.max(0, a.part - units);
-    a.ownSince += units;
-    job.inQuota = true;
-    a.owed += job.added || job.called ? 0 : units;
+    account.level -= units;
+    account.localQuotaUnits = Math.max(0, account.localQuotaUnits - units);
+    account.ownUnitsSinceSync += units;
+    job.charged = true;
+    account.pendingUnits += job.mayBeCounted || job.callPending ? 0 : units;
     dispatch(job);
   }
 
@@ -697,75 +725,76 @@
    * A hard ceiling: sends that the counter answered for come out of the part that is counted, all others out
    * of this gateway's own part, so the sum holds whatever the counter answers or forgets.
    */
-  private boolean holdsCeiling(Account a, double units, boolean answered) {
-    if (a.plan.ceilingRate() <= 0) {
+  private boolean takeFromCeiling(Account account, double units, boolean answered) {
+    if (account.plan.ceilingRate() <= 0) {
       return true;
     }
-    boolean together = answered && a.counted >= units;
-    boolean alone = !together && a.own >= units;
-    a.counted -= together ? units : 0;
-    a.own -= alone ? units : 0;
-    return together || alone;
+    boolean fromShared = answered && account.sharedCeilingUnits >= units;
+    boolean fromLocal = !fromShared && account.localCeilingUnits >= units;
+    account.sharedCeilingUnits -= fromShared ? units : 0;
+    account.localCeilingUnits -= fromLocal ? units : 0;
+    return fromShared || fromLocal;
   }
 
   /** Beyond its quota a request goes on only where the plan earns by it, under no ceiling, fleet idle. */
-  private void beyondQuota(Job job) {
-    if (earnsBeyond(job.account.plan)) {
+  private void onQuotaExceeded(Job job) {
+    if (servesBeyondQuota(job.account.plan)) {
       dispatch(job);
     } else {
-      refuse(job, refilledIn(job.account, job.request.units()), true);
+      refuse(job, msUntilRefilled(job.account, job.request.units()), true);
     }
   }
 
-  private boolean earnsBeyond(Plan plan) {
+  private boolean servesBeyondQuota(Plan plan) {
     return plan.beyondEarns() > plan.beyondCost() && plan.ceilingRate() <= 0
-        && crowding() < SPARE;
+        && crowding() < SPARE_CROWDING;
   }
 
   /** When its units are there again, or one of its places: an attempt's time later. */
-  private double refilledIn(Account a, double units) {
-    return a.plan.rate() > 0 ? Math.max(TICK_MS, (units - a.level) / a.plan.rate() * 1000) : fleetService;
+  private double msUntilRefilled(Account account, double units) {
+    return account.plan.rate() > 0 ? Math.max(TICK_MS, (units - account.level) / account.plan.rate() * 1000)
+        : fleetServiceMs;
   }
 
   /** Guards what is asked about a request before this module has it against a flood of a spent customer. */
-  private void onForesee(Request r) {
-    Account a = accounts.get(r.customer());
-    if (a == null || a.plan.rate() <= 0 || !settings.allowed().sharedCount()) {
+  private void onPreCheck(Request request) {
+    Account account = accounts.get(request.customer());
+    if (account == null || account.plan.rate() <= 0 || !settings.capabilities().sharedCounter()) {
       return;
     }
-    a.advance();
-    if (a.surelySpent(r.units()) && !earnsBeyond(a.plan)) {
-      out.add(new Refuse(r.id(), advised(refilledIn(a, r.units())), true));
+    account.advance();
+    if (account.isSurelySpent(request.units()) && !servesBeyondQuota(account.plan)) {
+      actions.add(new Refuse(request.id(), retryAdviceMs(msUntilRefilled(account, request.units())), true));
     }
   }
 
-  private void settle(Job job, double trueUnits) {
-    Account a = job.account;
-    if (job.inQuota && trueUnits > 0) {
+  private void settleTrueUnits(Job job, double trueUnits) {
+    Account account = job.account;
+    if (job.charged && trueUnits > 0) {
       double gap = trueUnits - job.request.units();
-      a.advance();
-      if (gap < 0 && a.plan.ceilingRate() > 0 && a.ownShare() < 1) {
-        double covered = Math.min(-gap, a.own);
-        a.own -= covered;
+      account.advance();
+      if (gap < 0 && account.plan.ceilingRate() > 0 && account.localCeilingShare() < 1) {
+        double covered = Math.min(-gap, account.localCeilingUnits);
+        account.localCeilingUnits -= covered;
         gap = -covered;
       }
-      a.level -= gap;
-      a.owed += gap;
+      account.level -= gap;
+      account.pendingUnits += gap;
     }
   }
 
-  private void takeBack(Job job) {
-    if (job.inQuota && job.attempts == 0) {
+  private void refundUnits(Job job) {
+    if (job.charged && job.attemptCount == 0) {
       job.account.level += job.request.units();
-      job.account.owed -= job.request.units();
-      job.inQuota = false;
+      job.account.pendingUnits -= job.request.units();
+      job.charged = false;
     }
   }
 
   // ---- Backends ----
 
   final class Backend extends BackendState {
-    final LinkedHashSet<Attempt<Job, Backend>> out = new LinkedHashSet<>();
+    final LinkedHashSet<Attempt<Job, Backend>> attemptsInFlight = new LinkedHashSet<>();
 
     Backend(long id) {
       super(id, now);
@@ -776,134 +805,145 @@
      * Requests here from all gateways, own ones that end before a request of such a need would in part; a
      * report is trusted less as it ages, so no backend stays shunned.
      */
-    double held(double needs) {
-      double mine = 0;
-      for (Attempt<Job, Backend> a : out) {
-        double theirs = a.job.need();
-        mine += Math.min(1, Math.max(theirs / 4, theirs - (now - a.sentAt) / fleetSlow) / needs);
+    double estimatedLoad(double expectedMs) {
+      double own = 0;
+      for (Attempt<Job, Backend> a : attemptsInFlight) {
+        double attemptMs = a.job.expectedMs();
+        own += Math.min(1,
+            Math.max(attemptMs / 4, attemptMs - (now - a.sentAt) / fleetSlowness) / expectedMs);
       }
-      double usual = outMean.value / Math.max(1, serving.size()) * (settings.gateways() - 1);
-      if (Double.isNaN(reported)) {
-        return mine + usual;
+      double othersAverage = meanAttemptsInFlight.value / Math.max(1, serving.size())
+          * (settings.gateways() - 1);
+      if (Double.isNaN(reportedLoad)) {
+        return own + othersAverage;
       }
-      double fresh = Math.exp((reportedAt - now) / REPORT_LIFE_MS);
-      return mine + usual + fresh * (Math.max(0, reported - reportedOwn) - usual);
+      double fresh = Math.exp((loadReportedAt - now) / LOAD_REPORT_DECAY_MS);
+      return own + othersAverage + fresh * (Math.max(0, reportedLoad - ownLoadAtReport) - othersAverage);
     }
 
     /** How much longer than usual requests take here. */
     double slowness() {
-      return Double.isNaN(service) ? fleetSlow : fleetSlow + remembered() * (service - fleetSlow);
+      return Double.isNaN(measuredSlowness) ? fleetSlowness : fleetSlowness + memoryWeight()
+          * (measuredSlowness - fleetSlowness);
     }
 
     /**
      * What was learned of a backend fades while it answers nothing. Guards against shunning one after
      * a trouble of any kind that nobody sees end. Harm: a lasting trouble is met again once in a while.
      */
-    double remembered() {
-      return Math.exp((answeredAt - now) / LEARNED_LIFE_MS);
+    double memoryWeight() {
+      return Math.exp((lastAnswerAt - now) / LEARNED_DECAY_MS);
     }
 
     /** Expected time to an answer: service time by requests held, longer where the oldest is overdue. */
-    double wait(Job job) {
-      double needs = job.need();
-      double w = needs * slowness() * (1 + held(needs) / size);
-      if (!out.isEmpty()) {
-        Attempt<Job, Backend> oldest = out.iterator().next();
-        w += Math.max(0, now - oldest.sentAt - OVERDUE * oldest.job.need() * fleetSlow);
+    double waitScore(Job job) {
+      double expectedMs = job.expectedMs();
+      double score = expectedMs * slowness() * (1 + estimatedLoad(expectedMs) / relativeCapacity);
+      if (!attemptsInFlight.isEmpty()) {
+        Attempt<Job, Backend> oldest = attemptsInFlight.iterator().next();
+        score += Math.max(0, now - oldest.sentAt - OVERDUE_FACTOR * oldest.job.expectedMs() * fleetSlowness);
       }
       if (!zone.equals(settings.zone())) {
-        w += settings.crossZonePrice() * job.aim();
+        score += settings.crossZonePrice() * job.aimMs();
       }
-      return w * (1 + 4 * Math.max(nearFailing(now), failing * remembered())) * (trial ? 0.5 : 1);
+      return score * (1 + 4 * Math.max(groupFailureRate(now), failureRate * memoryWeight()))
+          * (needsTrial ? 0.5 : 1);
     }
   }
 
   final TreeMap<Long, Backend> backends = new TreeMap<>();
-  private final Map<String, Mean> failing = new HashMap<>();
-  double fleetService = UNKNOWN_SERVICE_MS;
-  /** How much longer than by {@link #needs} requests take, over all backends: near 1, as needs follow. */
-  double fleetSlow = 1;
+  private final Map<String, DecayingMean> groupFailureRates = new HashMap<>();
+  double fleetServiceMs = DEFAULT_SERVICE_MS;
+  /**
+   * How much longer than by {@link #serviceTimes} requests take, over all backends: near 1, as needs follow.
+   */
+  double fleetSlowness = 1;
   private final List<Backend> serving = new ArrayList<>();
-  private final List<Backend> usual = new ArrayList<>();
-  private int warm;
-  private double warmAt = Double.NEGATIVE_INFINITY, sendRate, sendsAt;
+  private final List<Backend> subset = new ArrayList<>();
+  private int warmCount;
+  private double warmCountedAt = Double.NEGATIVE_INFINITY, sendRate, sendRateAt;
 
-  private void onRoster(Roster e) {
-    if (e.form() == RosterForm.FAILED) {
-      out.add(new WakeAt(now + 1000, "follow"));
+  private void onRoster(Roster roster) {
+    if (roster.form() == RosterForm.FAILED) {
+      actions.add(new WakeAt(now + 1000, "follow"));
       return;
     }
-    if (e.form() != RosterForm.CHANGES) {
+    if (roster.form() != RosterForm.CHANGES) {
       backends.values().forEach(b -> b.phase = Phase.REMOVED);
     }
-    for (BackendEntry x : e.entries()) {
+    for (BackendEntry x : roster.entries()) {
       Backend b = backends.computeIfAbsent(x.id(), Backend::new);
-      if (b.toldStart != x.startedMs() && b.phase != null) {
+      if (b.reportedStartMs != x.startedMs() && b.phase != null) {
         backends.put(b.id, b = new Backend(b.id));
       }
       b.zone = x.zone();
       b.cell = x.cell();
-      b.zoneFailing = failing(x.zone());
-      b.cellFailing = failing(x.zone() + "/" + x.cell());
+      b.zoneFailureRate = groupFailureRate(x.zone());
+      b.cellFailureRate = groupFailureRate(x.zone() + "/" + x.cell());
       b.phase = x.phase();
-      b.startedMs = Math.max(b.startedMs, x.startedMs());
-      b.toldStart = x.startedMs();
-      b.told = settings.sizesTold() ? Math.max(x.size(), 1e-6) : 1;
+      b.assumedStartMs = Math.max(b.assumedStartMs, x.startedMs());
+      b.reportedStartMs = x.startedMs();
+      b.reportedCapacity = settings.capacitiesReported() ? Math.max(x.capacity(), 1e-6) : 1;
     }
-    backends.values().removeIf(b -> b.phase == Phase.REMOVED && b.out.isEmpty());
+    backends.values().removeIf(b -> b.phase == Phase.REMOVED && b.attemptsInFlight.isEmpty());
     serving.clear();
     backends.values().stream().filter(b -> b.phase == Phase.SERVING).forEach(serving::add);
-    double mean = serving.stream().mapToDouble(b -> b.told).average().orElse(1);
-    serving.forEach(b -> b.size = b.told / mean);
-    usual.clear();
-    serving.stream().sorted(Comparator.comparingLong(b -> b.rank(settings.self())))
-        .limit(Math.max(SUBSET, SUBSET * serving.size() / Math.max(1, settings.gateways())))
-        .forEach(usual::add);
-    warmAt = Double.NEGATIVE_INFINITY;
+    double mean = serving.stream().mapToDouble(b -> b.reportedCapacity).average().orElse(1);
+    serving.forEach(b -> b.relativeCapacity = b.reportedCapacity / mean);
+    subset.clear();
+    serving.stream().sorted(Comparator.comparingLong(b -> b.rank(settings.selfIndex())))
+        .limit(Math.max(SUBSET_SIZE, SUBSET_SIZE * serving.size() / Math.max(1, settings.gateways())))
+        .forEach(subset::add);
+    warmCountedAt = Double.NEGATIVE_INFINITY;
   }
 
-  private Mean failing(String group) {
-    return failing.computeIfAbsent(group, g -> new Mean(NEWEST, PRESSURE_LIFE_MS, now));
+  private DecayingMean groupFailureRate(String groupName) {
+    return groupFailureRates
+        .computeIfAbsent(groupName, g -> new DecayingMean(FAILURE_WEIGHT, PRESSURE_DECAY_MS, now));
   }
 
   /**
    * The most promising of a few backends drawn by chance (power of two choices): with many gateways, equal
    * stale reports would send all to the same one. Rests are ignored where all drawn rest.
    */
-  private Backend pick(Job job) {
-    boolean bound = job.keyedTo != null && job.type.group() != Group.ALL;
-    List<Backend> among = bound ? serving.stream().filter(b -> inGroup(b, job)).toList() : usual;
+  private Backend pickBackend(Job job) {
+    boolean inKeyedGroup = job.keyedBackend != null && job.requestClass.group() != Group.ALL;
+    List<Backend> candidates = inKeyedGroup ? serving.stream().filter(b -> isInGroup(b, job)).toList()
+        : subset;
     int wanted = (int) Math.max(2, Math.ceil(FLEET_CANDIDATES / Math.max(2, settings.gateways())));
-    Backend best = bestOf(among, job, wanted, false);
-    best = best != null || bound ? best : bestOf(serving, job, wanted, false);
-    return best != null ? best : bestOf(among, job, wanted, true);
+    Backend best = pickBest(candidates, job, wanted, false);
+    best = best != null || inKeyedGroup ? best : pickBest(serving, job, wanted, false);
+    return best != null ? best : pickBest(candidates, job, wanted, true);
   }
 
-  private Backend bestOf(List<Backend> among, Job job, int wanted, boolean ignoreRest) {
+  private Backend pickBest(List<Backend> candidates, Job job, int wanted, boolean ignoreBackoff) {
     Backend best = null;
-    double bestWait = Double.POSITIVE_INFINITY;
-    boolean all = among.size() <= wanted;
-    int draws = all ? among.size() : 3 * wanted;
+    double bestScore = Double.POSITIVE_INFINITY;
+    boolean all = candidates.size() <= wanted;
+    int draws = all ? candidates.size() : 3 * wanted;
     for (int i = 0, found = 0; i < draws && found < wanted; i++) {
-      Backend b = among.get(all ? i : random.nextInt(among.size()));
-      if (!usable(b, job, ignoreRest)) {
+      Backend b = candidates.get(all ? i : random.nextInt(candidates.size()));
+      if (!isUsable(b, job, ignoreBackoff)) {
         continue;
       }
       found++;
-      double w = b.wait(job) * (1 + SPREAD * random.nextDouble()) * (b == job.lastBackend ? 4 : 1);
-      if (w < bestWait) {
-        bestWait = w;
+      double score = b.waitScore(job) * (1 + WAIT_JITTER * random.nextDouble())
+          * (b == job.lastBackend ? 4 : 1);
+      if (score < bestScore) {
+        bestScore = score;
         best = b;
       }
     }
     return best;
   }
 
-  private boolean usable(Backend b, Job job, boolean ignoreRest) {
-    boolean trialBarred = b.trial && (!b.out.isEmpty() || job.type.repeat() == Repeat.UNSAFE);
-    boolean resting = !ignoreRest && (now < b.restUntil || trialBarred || b.nearFailing(now) > FAILING_SHARE);
-    return b.phase == Phase.SERVING && now >= b.fullUntil && !resting
-        && (!b.cold(settings.rules(), now) || coldRoom(b));
+  private boolean isUsable(Backend backend, Job job, boolean ignoreBackoff) {
+    boolean trialBarred = backend.needsTrial
+        && (!backend.attemptsInFlight.isEmpty() || job.requestClass.repeat() == Repeat.UNSAFE);
+    boolean backingOff = !ignoreBackoff
+        && (now < backend.backoffUntil || trialBarred || backend.groupFailureRate(now) > FAILING_SHARE);
+    return backend.phase == Phase.SERVING && now >= backend.overloadedUntil && !backingOff
+        && (!backend.isCold(settings.rules(), now) || hasColdToken(backend));
   }
 
   /**
@@ -911,71 +951,75 @@
    * a warm one gets from here, attempts of every kind included, or of what a single core does, shared by all
    * gateways, where none is warm or this gateway is new. Harm: slower use of a fleet that comes back.
    */
-  private boolean coldRoom(Backend b) {
-    double floor = 1000 / Math.max(1, fleetService) / settings.gateways();
-    double rate = Math.max(sendsPerBackend(), floor) * b.warmShare(settings.rules(), now);
-    b.coldTokens = Math.min(1, b.coldTokens + rate * (now - b.coldAt) / 1000);
-    b.coldAt = now;
-    return b.coldTokens >= 1;
+  private boolean hasColdToken(Backend backend) {
+    double floor = 1000 / Math.max(1, fleetServiceMs) / settings.gateways();
+    double rate = Math.max(sendsPerWarmBackend(), floor) * backend.warmUpShare(settings.rules(), now);
+    backend.coldTokens = Math.min(1, backend.coldTokens + rate * (now - backend.coldTokensAt) / 1000);
+    backend.coldTokensAt = now;
+    return backend.coldTokens >= 1;
   }
 
-  private double sendsPerBackend() {
-    if (now - warmAt > 500) {
-      warm = (int) serving.stream().filter(b -> !b.cold(settings.rules(), now)).count();
-      warmAt = now;
+  private double sendsPerWarmBackend() {
+    if (now - warmCountedAt > 500) {
+      warmCount = (int) serving.stream().filter(b -> !b.isCold(settings.rules(), now)).count();
+      warmCountedAt = now;
     }
-    return warm == 0 ? 0 : sendRate * Math.exp((sendsAt - now) / PRESSURE_LIFE_MS) / warm;
+    return warmCount == 0 ? 0 : sendRate * Math.exp((sendRateAt - now) / PRESSURE_DECAY_MS) / warmCount;
   }
 
-  private boolean inGroup(Backend b, Job job) {
-    return b.zone.equals(job.keyedTo.zone) && (job.type.group() == Group.ZONE || b.cell == job.keyedTo.cell);
+  private boolean isInGroup(Backend backend, Job job) {
+    return backend.zone.equals(job.keyedBackend.zone)
+        && (job.requestClass.group() == Group.ZONE || backend.cell == job.keyedBackend.cell);
   }
 
-  private void learn(Backend b, Attempt<Job, Backend> attempt, Outcome e) {
-    Load load = e.load();
+  private void learnFromOutcome(Backend backend, Attempt<Job, Backend> attempt, Outcome outcome) {
+    Load load = outcome.load();
     if (load != null && !Double.isNaN(load.inFlight())) {
-      b.reported = load.inFlight();
-      b.reportedOwn = b.out.size();
-      b.reportedAt = now;
+      backend.reportedLoad = load.inFlight();
+      backend.ownLoadAtReport = backend.attemptsInFlight.size();
+      backend.loadReportedAt = now;
     }
-    boolean bad = switch (e.status()) {
+    boolean failed = switch (outcome.status()) {
       case ERROR, RESET, UNREACHABLE -> true;
-      case TIMED_OUT, CANCELLED -> b.answeredAt <= attempt.sentAt && attempt.sentAt > stalledUntil;
+      case TIMED_OUT, CANCELLED -> backend.lastAnswerAt <= attempt.sentAt && attempt.sentAt > stalledUntil;
       default -> false;
     };
-    double forget = b.remembered();
+    double memoryWeight = backend.memoryWeight();
     // A spoilt answer tells that the backend works; any may give one, so none rests for it.
-    if (e.status() == Status.OK || e.status() == Status.ERROR || e.status() == Status.REJECTED
-        || e.status() == Status.SPOILT) {
-      b.answeredAt = now;
-    }
-    if (e.status() == Status.OK || bad) {
-      b.failing *= forget;
-      b.failing += NEWEST * ((bad ? 1 : 0) - b.failing);
-      b.zoneFailing.add(bad ? 1 : 0, now);
-      b.cellFailing.add(bad ? 1 : 0, now);
-    }
-    if (e.status() == Status.OK) {
-      trust(b, attempt);
-      b.trial = false;
-      b.rests = b.failing < FAILING_SHARE / 4 ? 0 : b.rests;
-      double service = load != null && !Double.isNaN(load.serviceMs()) ? load.serviceMs() : e.latencyMs();
-      double known = b.slowness();
-      double slow = Math.min(SLOWEST, service / attempt.job.need());
-      b.service = known + SLOWNESS_NEWEST * (slow - known);
-      fleetSlow += FLEET_NEWEST * (slow - fleetSlow);
-      fleetService += NEWEST / 10 * (service - fleetService);
-    } else if (e.status() == Status.REJECTED) {
-      b.fullUntil = now + 2 * fleetService;
-    } else if (bad) {
-      if (e.status() == Status.UNREACHABLE && !b.cold(settings.rules(), now)) {
-        b.coldAt = b.startedMs = b.doubtedAt = now;
-        b.coldTokens = random.nextDouble();
+    if (outcome.status() == Status.OK || outcome.status() == Status.ERROR
+        || outcome.status() == Status.REJECTED
+        || outcome.status() == Status.SPOILT) {
+      backend.lastAnswerAt = now;
+    }
+    if (outcome.status() == Status.OK || failed) {
+      backend.failureRate *= memoryWeight;
+      backend.failureRate += FAILURE_WEIGHT * ((failed ? 1 : 0) - backend.failureRate);
+      backend.zoneFailureRate.add(failed ? 1 : 0, now);
+      backend.cellFailureRate.add(failed ? 1 : 0, now);
+    }
+    if (outcome.status() == Status.OK) {
+      clearSuspectedRestart(backend, attempt);
+      backend.needsTrial = false;
+      backend.backoffCount = backend.failureRate < FAILING_SHARE / 4 ? 0 : backend.backoffCount;
+      double serviceMs = load != null && !Double.isNaN(load.serviceMs()) ? load.serviceMs()
+          : outcome.latencyMs();
+      double knownSlowness = backend.slowness();
+      double slowness = Math.min(MAX_SLOWNESS, serviceMs / attempt.job.expectedMs());
+      backend.measuredSlowness = knownSlowness + SLOWNESS_WEIGHT * (slowness - knownSlowness);
+      fleetSlowness += FLEET_SLOWNESS_WEIGHT * (slowness - fleetSlowness);
+      fleetServiceMs += FAILURE_WEIGHT / 10 * (serviceMs - fleetServiceMs);
+    } else if (outcome.status() == Status.REJECTED) {
+      backend.overloadedUntil = now + 2 * fleetServiceMs;
+    } else if (failed) {
+      if (outcome.status() == Status.UNREACHABLE && !backend.isCold(settings.rules(), now)) {
+        backend.coldTokensAt = backend.assumedStartMs = backend.suspectedRestartAt = now;
+        backend.coldTokens = random.nextDouble();
       }
-      if (b.failing > FAILING_SHARE || b.trial) {
-        b.restUntil = now + REST_MS * (1 << Math.min(b.rests, 3)) * (1 + 0.3 * random.nextDouble());
-        b.rests++;
-        b.trial = true;
+      if (backend.failureRate > FAILING_SHARE || backend.needsTrial) {
+        backend.backoffUntil = now + BACKOFF_MS * (1 << Math.min(backend.backoffCount, 3))
+            * (1 + 0.3 * random.nextDouble());
+        backend.backoffCount++;
+        backend.needsTrial = true;
       }
     }
   }
@@ -984,11 +1028,11 @@
    * A backend that looked restarted and then answers what was sent before that has not restarted. Guards
    * against connections that fail for another cause, a few of which would make the whole fleet look cold.
    */
-  private void trust(Backend b, Attempt<Job, Backend> attempt) {
-    if (attempt.sentAt < b.doubtedAt) {
-      b.startedMs = b.toldStart;
-      b.doubtedAt = Double.NEGATIVE_INFINITY;
-      warmAt = Double.NEGATIVE_INFINITY;
+  private void clearSuspectedRestart(Backend backend, Attempt<Job, Backend> attempt) {
+    if (attempt.sentAt < backend.suspectedRestartAt) {
+      backend.assumedStartMs = backend.reportedStartMs;
+      backend.suspectedRestartAt = Double.NEGATIVE_INFINITY;
+      warmCountedAt = Double.NEGATIVE_INFINITY;
     }
   }
 
@@ -997,58 +1041,59 @@
   /** A request taken and not yet finally answered. */
   private final class Job extends JobState {
     final Account account;
-    Attempt<Job, Backend> live;
-    Backend keyedTo, lastBackend;
+    Attempt<Job, Backend> currentAttempt;
+    Backend keyedBackend, lastBackend;
 
-    Job(Request request, RequestClass type, Account account) {
-      super(request, type, now);
+    Job(Request request, RequestClass requestClass, Account account) {
+      super(request, requestClass, now);
       this.account = account;
     }
 
-    double need() {
-      return QuotaPolicy.this.need(type).of(request.units());
+    double expectedMs() {
+      return QuotaPolicy.this.serviceTime(requestClass).expectedMs(request.units());
     }
 
     double worth() {
-      return type.value() * account.plan.worthFactor();
+      return requestClass.value() * account.plan.worthFactor();
     }
   }
 
-  private final LinkedHashMap<String, Job> open = new LinkedHashMap<>();
-  private final Map<String, Attempt<Job, Backend>> attempts = new HashMap<>();
-  private final double retriesSaved;
+  private final LinkedHashMap<String, Job> openJobs = new LinkedHashMap<>();
+  private final Map<String, Attempt<Job, Backend>> attemptsByKey = new HashMap<>();
+  private final double maxRetryTokens;
   private double retryTokens;
   private double meanWorth = Double.NaN;
   /** What requests of a class take, for the classes of the settings and one for any other. */
-  final Map<String, Need> needs = new HashMap<>();
-  private final Mean took = new Mean(PRESSURE_NEWEST, PRESSURE_LIFE_MS, now);
+  final Map<String, ServiceTimeModel> serviceTimes = new HashMap<>();
+  private final DecayingMean recentLatencyMs = new DecayingMean(PRESSURE_WEIGHT, PRESSURE_DECAY_MS, now);
   /** Times of answers by their aims, and attempts out at a backend from which on further ones mostly wait. */
-  private final Mean ofAim = new Mean(PRESSURE_NEWEST, PRESSURE_LIFE_MS, now);
-  private int answers;
-  double knee = LEAST_KNEE;
-  private final Mean needed = new Mean(PRESSURE_NEWEST, PRESSURE_LIFE_MS, now);
-  private final Mean outMean = new Mean(0.3, 1000, now);
-  private double okAt = Double.NEGATIVE_INFINITY;
-  private int outNow;
+  private final DecayingMean recentShareOfAim = new DecayingMean(PRESSURE_WEIGHT, PRESSURE_DECAY_MS, now);
+  private int answerCount;
+  double knee = MIN_KNEE;
+  private final DecayingMean recentExpectedMs = new DecayingMean(PRESSURE_WEIGHT, PRESSURE_DECAY_MS, now);
+  private final DecayingMean meanAttemptsInFlight = new DecayingMean(0.3, 1000, now);
+  private double lastOkAt = Double.NEGATIVE_INFINITY;
+  private int attemptsInFlight;
 
   /** A class not in the settings is treated as one that must never run twice. */
-  private RequestClass type(Request r) {
-    RequestClass known = classes.get(r.className());
-    double left = r.giveUpMs() - now;
+  private RequestClass requestClass(Request request) {
+    RequestClass known = classes.get(request.className());
+    double left = request.giveUpMs() - now;
     return known != null ? known
-        : new RequestClass(r.className(), 1, 0, left / 2, left, Repeat.UNSAFE, Group.CELL, 0, false);
+        : new RequestClass(request.className(), 1, 0, left / 2, left, Repeat.UNSAFE, Group.CELL, 0, false);
   }
 
-  private void onRequest(Request r) {
-    outMean.add(outNow, now);
-    Job job = new Job(r, type(r), account(r));
-    open.put(r.id(), job);
+  private void onRequest(Request request) {
+    meanAttemptsInFlight.add(attemptsInFlight, now);
+    Job job = new Job(request, requestClass(request), account(request));
+    openJobs.put(request.id(), job);
     double worth = job.worth();
     meanWorth = Double.isNaN(meanWorth) ? worth : meanWorth + 0.01 * (worth - meanWorth);
-    if (open.size() >= settings.allowed().open() || late(job) || pressed(job, 0)) {
-      refuse(job, fleetService, false);
+    if (openJobs.size() >= settings.capabilities().maxOpenRequests() || isTooLate(job)
+        || shouldShed(job, 0)) {
+      refuse(job, fleetServiceMs, false);
     } else {
-      check(job);
+      checkQuota(job);
     }
   }
 
@@ -1060,140 +1105,143 @@
    * same where all backends are slow at once, so that alone sheds nothing that can be in time. Harm: backends
    * with many cores are used less than they could be until the knee is found.
    */
-  private boolean pressed(Job job, double more) {
-    double expected = job.need() * slowness();
-    double inTime = 1 / (1 + Math.pow(expected / job.aim(), IN_TIME_SHARPNESS));
+  private boolean shouldShed(Job job, double surcharge) {
+    double expected = job.expectedMs() * recentSlowness();
+    double inTime = 1 / (1 + Math.pow(expected / job.aimMs(), IN_TIME_SHARPNESS));
     double value = job.worth() / Math.max(1e-9, meanWorth) * inTime;
-    double bar = answers < FIRST_ANSWERS ? 0 : (crowding() - SHED_FROM) * SHED_SLOPE;
-    return inTime < LEAST_CHANCE && crowding() > SPARE || value < bar + more;
+    double bar = answerCount < MIN_ANSWERS_TO_SHED ? 0 : (crowding() - SHED_FROM_CROWDING) * SHED_SLOPE;
+    return inTime < MIN_CHANCE_IN_TIME && crowding() > SPARE_CROWDING || value < bar + surcharge;
   }
 
   /** Attempts out at all gateways for each backend, in knees; half of it as it was over the last second. */
   private double crowding() {
-    double held = (outMean.value + outNow) / 2;
-    return held * settings.gateways() / Math.max(1, serving.size()) / knee;
+    double attempts = (meanAttemptsInFlight.value + attemptsInFlight) / 2;
+    return attempts * settings.gateways() / Math.max(1, serving.size()) / knee;
   }
 
   /** How much longer than usual answers have taken lately, sizes allowed for; forgotten without answers. */
-  private double slowness() {
-    return needed.value <= 0 ? 1
-        : 1 + (took.value / needed.value - 1) * Math.exp((needed.at() - now) / PRESSURE_LIFE_MS);
+  private double recentSlowness() {
+    return recentExpectedMs.value <= 0 ? 1
+        : 1 + (recentLatencyMs.value / recentExpectedMs.value - 1)
+        * Math.exp((recentExpectedMs.updatedAt() - now) / PRESSURE_DECAY_MS);
   }
 
-  private Need need(RequestClass type) {
-    return needs.computeIfAbsent(type.name(), n -> new Need(UNKNOWN_SERVICE_MS));
+  private ServiceTimeModel serviceTime(RequestClass requestClass) {
+    return serviceTimes.computeIfAbsent(requestClass.name(), n -> new ServiceTimeModel(DEFAULT_SERVICE_MS));
   }
 
   /**
    * The time that this gateway itself stood still is not the fleet's. An attempt that timed out while others
    * were answered lost its answer: that tells of no wait. Harm: a few slow backends stay unseen here.
    */
-  private void measureWait(Attempt<Job, Backend> attempt, Outcome e) {
-    boolean lost = e.status() == Status.TIMED_OUT && okAt > attempt.sentAt;
-    okAt = e.status() == Status.OK ? now : okAt;
-    if (e.status() == Status.OK || e.status() == Status.REJECTED || e.status() == Status.TIMED_OUT && !lost) {
-      double stood = Math.max(0, stalledUntil - Math.max(stalledFrom, attempt.sentAt));
-      Need need = need(attempt.job.type);
-      double usual = attempt.job.need();
-      double waited = e.status() == Status.REJECTED ? Math.max(attempt.job.aim(), usual)
-          : Math.max(0, e.latencyMs() - stood);
-      took.add(Math.min(waited, 2 * attempt.job.aim()), now);
-      needed.add(usual, now);
-      answers++;
-      ofAim.add(Math.min(2, waited / attempt.job.aim()), now);
-      knee *= ofAim.value > KNEE_DOWN_OVER ? 1 - KNEE_DOWN
-          : ofAim.value < KNEE_UP_UNDER && crowding() > SHED_FROM
-              ? 1 + Math.min(1, KNEE_UP * crowding() * crowding()) : 1;
-      knee = Math.max(LEAST_KNEE, knee);
-      if (e.status() == Status.OK) {
-        need.learn(attempt.job.request.units(), waited);
+  private void recordLatency(Attempt<Job, Backend> attempt, Outcome outcome) {
+    boolean answerLost = outcome.status() == Status.TIMED_OUT && lastOkAt > attempt.sentAt;
+    lastOkAt = outcome.status() == Status.OK ? now : lastOkAt;
+    if (outcome.status() == Status.OK || outcome.status() == Status.REJECTED
+        || outcome.status() == Status.TIMED_OUT && !answerLost) {
+      double stalledMs = Math.max(0, stalledUntil - Math.max(stalledFrom, attempt.sentAt));
+      ServiceTimeModel model = serviceTime(attempt.job.requestClass);
+      double expectedMs = attempt.job.expectedMs();
+      double latencyMs = outcome.status() == Status.REJECTED ? Math.max(attempt.job.aimMs(), expectedMs)
+          : Math.max(0, outcome.latencyMs() - stalledMs);
+      recentLatencyMs.add(Math.min(latencyMs, 2 * attempt.job.aimMs()), now);
+      recentExpectedMs.add(expectedMs, now);
+      answerCount++;
+      recentShareOfAim.add(Math.min(2, latencyMs / attempt.job.aimMs()), now);
+      knee *= recentShareOfAim.value > KNEE_LOWER_ABOVE ? 1 - KNEE_LOWER
+          : recentShareOfAim.value < KNEE_RAISE_BELOW && crowding() > SHED_FROM_CROWDING
+              ? 1 + Math.min(1, KNEE_RAISE * crowding() * crowding()) : 1;
+      knee = Math.max(MIN_KNEE, knee);
+      if (outcome.status() == Status.OK) {
+        model.learn(attempt.job.request.units(), latencyMs);
       }
     }
   }
 
   private void dispatch(Job job) {
-    Backend b = pick(job);
-    job.held = b == null && !late(job);
-    if (b != null) {
-      send(job, b);
-    } else if (!job.held) {
+    Backend backend = pickBackend(job);
+    job.waitingForBackend = backend == null && !isTooLate(job);
+    if (backend != null) {
+      send(job, backend);
+    } else if (!job.waitingForBackend) {
       giveUp(job);
     }
   }
 
-  private void send(Job job, Backend b) {
-    double left = job.request.giveUpMs() - now - GUARD_MS;
-    if (left <= 0 || job.attempts >= settings.allowed().attempts()) {
+  private void send(Job job, Backend backend) {
+    double leftMs = job.request.giveUpMs() - now - ANSWER_MARGIN_MS;
+    if (leftMs <= 0 || job.attemptCount >= settings.capabilities().maxAttempts()) {
       giveUp(job);
       return;
     }
-    if (b.cold(settings.rules(), now)) {
-      b.coldTokens -= 1;
-    }
-    sendRate = sendRate * Math.exp((sendsAt - now) / PRESSURE_LIFE_MS) + 1000 / PRESSURE_LIFE_MS;
-    sendsAt = now;
-    double spent = job.attempts == 0 ? -RETRY_EARNED : job.unreached ? 0 : 1;
-    retryTokens = Math.min(retriesSaved, retryTokens - spent);
-    job.unreached = false;
-    Attempt<Job, Backend> attempt = new Attempt<>(job, job.attempts, b, now);
-    job.attempts++;
-    job.live = attempt;
-    job.lastBackend = b;
-    job.account.out++;
-    outNow++;
-    b.out.add(attempt);
-    attempts.put(job.request.id() + "#" + attempt.number, attempt);
-    out.add(new Send(job.request.id(), b.id, left));
+    if (backend.isCold(settings.rules(), now)) {
+      backend.coldTokens -= 1;
+    }
+    sendRate = sendRate * Math.exp((sendRateAt - now) / PRESSURE_DECAY_MS) + 1000 / PRESSURE_DECAY_MS;
+    sendRateAt = now;
+    double tokenCost = job.attemptCount == 0 ? -RETRY_TOKENS_PER_REQUEST : job.retryExempt ? 0 : 1;
+    retryTokens = Math.min(maxRetryTokens, retryTokens - tokenCost);
+    job.retryExempt = false;
+    Attempt<Job, Backend> attempt = new Attempt<>(job, job.attemptCount, backend, now);
+    job.attemptCount++;
+    job.currentAttempt = attempt;
+    job.lastBackend = backend;
+    job.account.attemptsInFlight++;
+    attemptsInFlight++;
+    backend.attemptsInFlight.add(attempt);
+    attemptsByKey.put(job.request.id() + "#" + attempt.number, attempt);
+    actions.add(new Send(job.request.id(), backend.id, leftMs));
   }
 
   /** A request that ended while it waited for the counter must not be sent when the answer comes. */
   private void onClientLeft(String id) {
-    Job job = open.remove(id);
+    Job job = openJobs.remove(id);
     if (job != null) {
-      job.waiting = false;
-      takeBack(job);
-      freePlace(job);
+      job.waitingForCounter = false;
+      refundUnits(job);
+      releaseSlot(job);
     }
   }
 
-  private void onOutcome(Outcome e) {
-    Attempt<Job, Backend> attempt = attempts.remove(e.request() + "#" + e.attempt());
+  private void onOutcome(Outcome outcome) {
+    Attempt<Job, Backend> attempt = attemptsByKey.remove(outcome.request() + "#" + outcome.attempt());
     if (attempt == null) {
       return;
     }
     Job job = attempt.job;
-    attempt.backend.out.remove(attempt);
-    job.account.out--;
-    outNow--;
-    measureWait(attempt, e);
-    job.live = job.live == attempt ? null : job.live;
-    if (e.over() || !open.containsKey(e.request())) {
-      freePlace(job);
-    }
-    learn(attempt.backend, attempt, e);
-    if (e.status() == Status.OK) {
-      settle(job, e.trueUnits());
-    }
-    job.mayHaveRun |= !e.status().provesNotRun();
-    if (job.mayHaveRun && job.type.repeat() == Repeat.KEYED && job.keyedTo == null) {
-      job.keyedTo = attempt.backend;
-      job.keyedUntil = attempt.sentAt + job.type.repeatWindowMs();
+    attempt.backend.attemptsInFlight.remove(attempt);
+    job.account.attemptsInFlight--;
+    attemptsInFlight--;
+    recordLatency(attempt, outcome);
+    job.currentAttempt = job.currentAttempt == attempt ? null : job.currentAttempt;
+    if (outcome.requestOver() || !openJobs.containsKey(outcome.request())) {
+      releaseSlot(job);
+    }
+    learnFromOutcome(attempt.backend, attempt, outcome);
+    if (outcome.status() == Status.OK) {
+      settleTrueUnits(job, outcome.trueUnits());
+    }
+    job.mayHaveRun |= !outcome.status().provesNotRun();
+    if (job.mayHaveRun && job.requestClass.repeat() == Repeat.KEYED && job.keyedBackend == null) {
+      job.keyedBackend = attempt.backend;
+      job.repeatsDroppedUntil = attempt.sentAt + job.requestClass.repeatWindowMs();
     }
     // None of these tells of overload, against which the budget of further attempts guards.
-    job.unreached = e.status() == Status.UNREACHABLE || e.status() == Status.BROKEN
-        || e.status() == Status.NOT_SENT || e.status() == Status.SPOILT;
-    if (e.over()) {
-      open.remove(e.request());
-    } else if (open.containsKey(e.request())) {
-      again(job);
+    job.retryExempt = outcome.status() == Status.UNREACHABLE || outcome.status() == Status.BROKEN
+        || outcome.status() == Status.NOT_SENT || outcome.status() == Status.SPOILT;
+    if (outcome.requestOver()) {
+      openJobs.remove(outcome.request());
+    } else if (openJobs.containsKey(outcome.request())) {
+      retryOrGiveUp(job);
     }
   }
 
-  private void again(Job job) {
-    boolean allowed = !job.mayHaveRun || job.type.repeat() == Repeat.SAFE
-        || job.type.repeat() == Repeat.KEYED && now < job.keyedUntil - QUEUED * job.type.repeatWindowMs();
-    double left = job.request.giveUpMs() - now;
-    if (!allowed || retryTokens < 1 && !job.unreached || left < fleetService / 2 + GUARD_MS) {
+  private void retryOrGiveUp(Job job) {
+    boolean allowed = !job.mayHaveRun || job.requestClass.repeat() == Repeat.SAFE
+        || job.requestClass.repeat() == Repeat.KEYED && now < job.repeatsDroppedUntil - REPEAT_MARGIN_SHARE
+        * job.requestClass.repeatWindowMs();
+    double leftMs = job.request.giveUpMs() - now;
+    if (!allowed || retryTokens < 1 && !job.retryExempt || leftMs < fleetServiceMs / 2 + ANSWER_MARGIN_MS) {
       giveUp(job);
     } else {
       dispatch(job);
@@ -1202,52 +1250,54 @@
 
   /** The final answer when no attempt will follow: a refusal where that promise holds, else a failure. */
   private void giveUp(Job job) {
-    boolean harmless = !job.mayHaveRun || job.type.repeat() == Repeat.SAFE
-        || job.type.repeat() == Repeat.KEYED && job.type.group() == Group.ALL && now < job.keyedUntil;
-    if (harmless) {
-      refuse(job, fleetService, false);
+    boolean retryIsHarmless = !job.mayHaveRun || job.requestClass.repeat() == Repeat.SAFE
+        || job.requestClass.repeat() == Repeat.KEYED && job.requestClass.group() == Group.ALL
+        && now < job.repeatsDroppedUntil;
+    if (retryIsHarmless) {
+      refuse(job, fleetServiceMs, false);
     } else {
-      freePlace(job);
-      open.remove(job.request.id());
-      out.add(new Fail(job.request.id()));
+      releaseSlot(job);
+      openJobs.remove(job.request.id());
+      actions.add(new Fail(job.request.id()));
     }
   }
 
-  private void refuse(Job job, double holdOffMs, boolean spent) {
-    takeBack(job);
-    freePlace(job);
-    open.remove(job.request.id());
-    out.add(new Refuse(job.request.id(), advised(holdOffMs), spent));
+  private void refuse(Job job, double retryAfterMs, boolean quotaExhausted) {
+    refundUnits(job);
+    releaseSlot(job);
+    openJobs.remove(job.request.id());
+    actions.add(new Refuse(job.request.id(), retryAdviceMs(retryAfterMs), quotaExhausted));
   }
 
-  private double advised(double holdOffMs) {
-    return settings.allowed().holdOff() ? Math.min(holdOffMs, settings.allowed().maxHoldOffMs()) : 0;
+  private double retryAdviceMs(double retryAfterMs) {
+    return settings.capabilities().mayAdviseRetry()
+        ? Math.min(retryAfterMs, settings.capabilities().maxRetryAfterMs()) : 0;
   }
 
   // ---- Timers ----
 
   private double wakeAt, stalledFrom, stalledUntil = Double.NEGATIVE_INFINITY;
 
-  private void onWoken(Woken e) {
-    if (e.label().equals("follow")) {
-      out.add(new FollowRoster());
+  private void onWoken(Woken woken) {
+    if (woken.label().equals("follow")) {
+      actions.add(new FollowRoster());
     } else if (now >= wakeAt) {
-      (stalled() ? List.<Job>of() : List.copyOf(open.values())).forEach(this::look);
-      putBack();
-      arm(stalled() ? 1 : open.isEmpty() && rebuilding.isEmpty() ? PULSE_MS : TICK_MS);
+      (isStalled() ? List.<Job>of() : List.copyOf(openJobs.values())).forEach(this::checkProgress);
+      restoreCounts();
+      armTimer(isStalled() ? 1 : openJobs.isEmpty() && accountsToRestore.isEmpty() ? IDLE_TICK_MS : TICK_MS);
     }
   }
 
-  private void arm(double ms) {
+  private void armTimer(double ms) {
     wakeAt = now + ms;
-    out.add(new WakeAt(wakeAt, "tick"));
+    actions.add(new WakeAt(wakeAt, "tick"));
   }
 
   /**
    * A wake-up long overdue shows that this gateway stood still. What came meanwhile is read first, and no
    * wait seen over that time is booked to a backend or the counter.
    */
-  private void noteStall() {
+  private void detectStall() {
     if (now - wakeAt > STALL_MS) {
       stalledUntil = now;
       stalledFrom = wakeAt;
@@ -1255,33 +1305,33 @@
     }
   }
 
-  private boolean stalled() {
+  private boolean isStalled() {
     return now <= stalledUntil;
   }
 
   /** Keeps every request moving: no wait for the counter or for a backend outlasts its bound. */
-  private void look(Job job) {
-    double waited = now - job.takenAt;
-    boolean late = late(job);
-    if (job.live != null) {
-      abandonSilent(job);
-    } else if (job.waiting && (late || waited > COUNT_WAIT_OF_AIM * job.aim())) {
-      job.waiting = false;
-      if (job.called) {
-        decide(job, false);
+  private void checkProgress(Job job) {
+    double waitedMs = now - job.receivedAt;
+    boolean tooLate = isTooLate(job);
+    if (job.currentAttempt != null) {
+      cancelIfSilent(job);
+    } else if (job.waitingForCounter && (tooLate || waitedMs > COUNTER_WAIT_SHARE_OF_AIM * job.aimMs())) {
+      job.waitingForCounter = false;
+      if (job.callPending) {
+        decideByQuota(job, false);
       } else {
-        withoutPlace(job);
+        decideSlotLocally(job);
       }
-    } else if (job.held && (late || waited > HOLD_OF_AIM * job.aim())) {
+    } else if (job.waitingForBackend && (tooLate || waitedMs > BACKEND_WAIT_SHARE_OF_AIM * job.aimMs())) {
       giveUp(job);
-    } else if (job.held) {
+    } else if (job.waitingForBackend) {
       dispatch(job);
     }
   }
 
   /** True when the next look would come too late for an answer in time. */
-  private boolean late(Job job) {
-    return now + GUARD_MS + TICK_MS >= job.request.giveUpMs();
+  private boolean isTooLate(Job job) {
+    return now + ANSWER_MARGIN_MS + TICK_MS >= job.request.giveUpMs();
   }
 
   /**
@@ -1289,14 +1339,15 @@
    * Guards against dead, cut off and stalled backends. One that its size explains is left alone, as taking it
    * back stops nothing on a backend that works on. Harm: one slow request looks the same; budgeted.
    */
-  private void abandonSilent(Job job) {
-    Attempt<Job, Backend> a = job.live;
-    if (a.backend.answeredAt <= a.sentAt
-        && now - a.sentAt > Math.max(job.aim() * FIRST_TRY_OF_AIM, SILENT * job.need())
-        && !job.abandoned && !job.streaming && settings.allowed().cancel()
-        && job.type.repeat() != Repeat.UNSAFE && retryTokens >= 1) {
-      job.abandoned = true;
-      out.add(new Cancel(job.request.id(), a.number));
+  private void cancelIfSilent(Job job) {
+    Attempt<Job, Backend> attempt = job.currentAttempt;
+    if (attempt.backend.lastAnswerAt <= attempt.sentAt
+        && now - attempt.sentAt > Math
+        .max(job.aimMs() * FIRST_ATTEMPT_SHARE_OF_AIM, SILENT_FACTOR * job.expectedMs())
+        && !job.cancelledAsSilent && !job.streaming && settings.capabilities().mayCancel()
+        && job.requestClass.repeat() != Repeat.UNSAFE && retryTokens >= 1) {
+      job.cancelledAsSilent = true;
+      actions.add(new Cancel(job.request.id(), attempt.number));
     }
   }
 }
--- a/policy/src/test/java/willowdoor/fairness/FairTreeTest.java
+++ b/policy/src/test/java/willowdoor/fairness/FairTreeTest.java
@@ -18,7 +18,7 @@
 /** The order against an ideal fluid schedule (GPS: A. K. Parekh and R. G. Gallager, 1993) in a hierarchy. */
 class FairTreeTest {
 
-  private static final double DEAREST = 40;
+  private static final double MAX_COST = 40;
   private static final Map<String, PlanPart> PLANS = Map.of("big", new PlanPart(3, 1, 0, 0, 0), "small",
       new PlanPart(1, 1, 0, 0, 0), "open", new PlanPart(0, 2, 0, 0, 0));
 
@@ -37,20 +37,20 @@
       return children.isEmpty() ? backlog : children.stream().mapToDouble(Fluid::backlog).sum();
     }
 
-    double weighs() {
+    double effectiveWeight() {
       return weight > 0 ? weight
           : children.stream().filter(c -> c.backlog() > 1e-9).mapToDouble(c -> c.weight).sum();
     }
 
     /** The rate of each leaf of this where this has so much. */
-    void rates(double rate, Map<Fluid, Double> to) {
+    void addLeafRates(double rate, Map<Fluid, Double> leafRates) {
       if (children.isEmpty()) {
-        to.put(this, rate);
+        leafRates.put(this, rate);
         return;
       }
       List<Fluid> busy = children.stream().filter(c -> c.backlog() > 1e-9).toList();
-      double sum = busy.stream().mapToDouble(Fluid::weighs).sum();
-      busy.forEach(c -> c.rates(rate * c.weighs() / sum, to));
+      double sum = busy.stream().mapToDouble(Fluid::effectiveWeight).sum();
+      busy.forEach(c -> c.addLeafRates(rate * c.effectiveWeight() / sum, leafRates));
     }
 
     /** Serves for so long at a rate of 1. */
@@ -58,7 +58,7 @@
       double left = time;
       while (left > 1e-9 && root.backlog() > 1e-9) {
         Map<Fluid, Double> rates = new HashMap<>();
-        root.rates(1, rates);
+        root.addLeafRates(1, rates);
         double step = left;
         for (Map.Entry<Fluid, Double> e : rates.entrySet()) {
           step = Math.min(step, e.getKey().backlog / e.getValue());
@@ -73,31 +73,32 @@
   }
 
   /** The largest spread of the difference of two flows' charges for their weights while both wait. */
-  private static final class Pair {
-    final Flow f;
-    final Flow m;
-    double least;
-    double most;
-    boolean both;
+  private static final class FlowPair {
+    final Flow first;
+    final Flow second;
+    double minDifference;
+    double maxDifference;
+    boolean bothWaited;
     double spread;
 
-    Pair(Flow f, Flow m) {
-      this.f = f;
-      this.m = m;
+    FlowPair(Flow first, Flow second) {
+      this.first = first;
+      this.second = second;
     }
 
-    void see(Map<Flow, Double> served) {
-      boolean now = f.waiting > 0 && m.waiting > 0;
-      double d = served.getOrDefault(f, 0.0) / f.weighs() - served.getOrDefault(m, 0.0) / m.weighs();
-      least = both && now ? Math.min(least, d) : d;
-      most = both && now ? Math.max(most, d) : d;
-      both = now;
-      spread = Math.max(spread, most - least);
+    void observe(Map<Flow, Double> served) {
+      boolean bothWait = first.waitingCount > 0 && second.waitingCount > 0;
+      double difference = served.getOrDefault(first, 0.0) / first.effectiveWeight()
+          - served.getOrDefault(second, 0.0) / second.effectiveWeight();
+      minDifference = bothWaited && bothWait ? Math.min(minDifference, difference) : difference;
+      maxDifference = bothWaited && bothWait ? Math.max(maxDifference, difference) : difference;
+      bothWaited = bothWait;
+      spread = Math.max(spread, maxDifference - minDifference);
     }
   }
 
   @RepeatedTest(12)
-  void noFlowIsFurtherFromItsPartThanTheBound(RepetitionInfo of) {
+  void flowsStayWithinTheFairnessBound(RepetitionInfo of) {
     long seed = of.getCurrentRepetition();
     SplittableRandom random = new SplittableRandom(seed);
     FairTree tree = new FairTree(Bounds.usual());
@@ -113,7 +114,7 @@
         plan.children.add(ofFirm);
         firm++;
         for (int c = 1; c <= 2; c++) {
-          Flow leaf = tree.leaf(p.getKey(), p.getValue(), firm, c, 1);
+          Flow leaf = tree.clientFlow(p.getKey(), p.getValue(), firm, c, 1);
           Fluid fluid = new Fluid(1);
           ofFirm.children.add(fluid);
           ideal.put(leaf, fluid);
@@ -121,13 +122,13 @@
         }
       }
     }
-    List<Pair> pairs = new ArrayList<>();
+    List<FlowPair> pairs = new ArrayList<>();
     for (Flow a : leaves) {
       for (Flow b : leaves) {
         if (a != b && a.parent == b.parent) {
-          pairs.add(new Pair(a, b));
+          pairs.add(new FlowPair(a, b));
         } else if (a.parent != b.parent && a.parent.parent == b.parent.parent) {
-          pairs.add(new Pair(a.parent, b.parent));
+          pairs.add(new FlowPair(a.parent, b.parent));
         }
       }
     }
@@ -138,81 +139,83 @@
       Flow to = leaves.get(random.nextInt(leaves.size()));
       int burst = random.nextInt(100) < 4 ? 1 + random.nextInt(50) : 0;
       for (int i = 0; i < burst; i++) {
-        double cost = 1 + random.nextDouble() * (DEAREST - 1);
-        tree.add(new Waiting(new Arrived("", "", "", 0, 0, 1, cost, 0, 0, 0), to, step * 100L + i, 0, 0, cost,
+        double cost = 1 + random.nextDouble() * (MAX_COST - 1);
+        tree.add(new QueuedRequest(new Arrived("", "", "", 0, 0, 1, cost, 0, 0, 0), to, step * 100L + i, 0, 0,
+            cost,
             false));
         ideal.get(to).backlog += cost;
       }
-      pairs.forEach(p -> p.see(served));
-      if (tree.waiting() > 0) {
-        Waiting next = tree.next();
-        for (Flow c = next.leaf; c != null; c = c.parent) {
+      pairs.forEach(p -> p.observe(served));
+      if (tree.waitingCount() > 0) {
+        QueuedRequest next = tree.next();
+        for (Flow c = next.flow; c != null; c = c.parent) {
           served.merge(c, next.cost, Double::sum);
         }
         Fluid.serve(root, next.cost);
       }
-      pairs.forEach(p -> p.see(served));
+      pairs.forEach(p -> p.observe(served));
       for (Flow leaf : leaves) {
         lag = Math.max(lag, ideal.get(leaf).served - served.getOrDefault(leaf, 0.0));
       }
     }
-    for (Pair p : pairs) {
-      double bound = DEAREST / p.f.weighs() + DEAREST / p.m.weighs();
+    for (FlowPair p : pairs) {
+      double bound = MAX_COST / p.first.effectiveWeight() + MAX_COST / p.second.effectiveWeight();
       assertTrue(p.spread <= bound, "seed " + seed + ": " + p.spread + " apart, bound " + bound);
     }
-    assertTrue(pairs.stream().anyMatch(p -> p.spread > DEAREST / 4), "seed " + seed
+    assertTrue(pairs.stream().anyMatch(p -> p.spread > MAX_COST / 4), "seed " + seed
         + ": nothing was compared");
     // Each level may put the dearest request of each sibling first, and the flow's own.
-    double behind = DEAREST * (3 + 3 + 2);
+    double behind = MAX_COST * (3 + 3 + 2);
     assertTrue(lag <= behind, "seed " + seed + ": " + lag + " behind the fluid, bound " + behind);
   }
 
-  private static Waiting waiting(Flow leaf, long number, double cost) {
-    return new Waiting(new Arrived("r" + number, "", "", 0, 0, 1, cost, 0, 0, 0), leaf, number, 0, 0, cost,
+  private static QueuedRequest waiting(Flow leaf, long number, double cost) {
+    return new QueuedRequest(new Arrived("r" + number, "", "", 0, 0, 1, cost, 0, 0, 0), leaf, number, 0, 0,
+        cost,
         false);
   }
 
   @Test
-  void whatLeavesCostsNothingAndWhatTookMoreIsPaidLater() {
+  void removedRequestsCostNothingAndExtraCostIsChargedLater() {
     FairTree tree = new FairTree(Bounds.usual());
     PlanPart part = new PlanPart(0, 1, 0, 0, 0);
-    Flow one = tree.leaf("p", part, 1, 1, 1);
-    Flow other = tree.leaf("p", part, 2, 1, 1);
+    Flow one = tree.clientFlow("p", part, 1, 1, 1);
+    Flow other = tree.clientFlow("p", part, 2, 1, 1);
     for (int i = 0; i < 60; i++) {
       tree.add(waiting(one, i, 1));
       tree.add(waiting(other, 100 + i, 1));
     }
-    Waiting gone = one.tail;
+    QueuedRequest gone = one.tail;
     tree.remove(gone);
-    assertEquals(59, one.waiting);
+    assertEquals(59, one.waitingCount);
     // The first one takes eleven times what it was charged: ten turns go to the other.
-    Waiting first = tree.next();
-    tree.charge(first.leaf, 10);
+    QueuedRequest first = tree.next();
+    tree.charge(first.flow, 10);
     int others = 0;
     for (int i = 0; i < 11; i++) {
-      others += tree.next().leaf == other ? 1 : 0;
+      others += tree.next().flow == other ? 1 : 0;
     }
     assertEquals(11, others);
-    assertEquals(one, tree.next().leaf);
+    assertEquals(one, tree.next().flow);
   }
 
   @Test
-  void placesAreBoundedAndWhoHasNoneSharesOne() {
+  void flowsAreBoundedAndFurtherClientsShareFlows() {
     FairTree tree = new FairTree(new Bounds(10_000, 1, 100, 1_000, 8, 2, 1, 1));
     PlanPart part = new PlanPart(0, 1, 0, 0, 0);
     for (int i = 0; i < 10_000; i++) {
-      tree.add(waiting(tree.leaf("p", part, i % 500, i, 1), i, 1));
+      tree.add(waiting(tree.clientFlow("p", part, i % 500, i, 1), i, 1));
     }
-    assertEquals(101, tree.firms());
-    assertTrue(tree.leaves() <= 1_000 + 101, tree.leaves() + " flows");
+    assertEquals(101, tree.firmCount());
+    assertTrue(tree.clientFlowCount() <= 1_000 + 101, tree.clientFlowCount() + " flows");
     int seen = 0;
-    while (tree.waiting() > 0) {
+    while (tree.waitingCount() > 0) {
       tree.next();
       seen++;
     }
     assertEquals(10_000, seen);
     // All is idle and passed: a new firm takes the place of an old one.
-    Flow fresh = tree.leaf("p", part, 9_999, 1, 1);
+    Flow fresh = tree.clientFlow("p", part, 9_999, 1, 1);
     assertEquals(9_999L, fresh.parent.key);
   }
 }
--- a/policy/src/test/java/willowdoor/policy/CeilingTest.java
+++ b/policy/src/test/java/willowdoor/policy/CeilingTest.java
@@ -156,7 +156,8 @@
   private static int sendsAtOnce(Fixtures f, CeilingShare share, int tries) {
     int sends = 0;
     for (int k = 0; k < tries; k++) {
-      f.on(new Request("t" + f.now + "-" + k, "safe", "ceiled", 42, 2, 1, f.now + 4000).with(share));
+      f.on(new Request("t" + f.now + "-" + k, "safe", "ceiled", 42, 2, 1, f.now + 4000)
+          .withCeilingShare(share));
       if (f.did(Add.class)) {
         f.total(1);
       }
--- a/policy/src/test/java/willowdoor/policy/CounterWorld.java
+++ b/policy/src/test/java/willowdoor/policy/CounterWorld.java
@@ -12,7 +12,7 @@
 import java.util.function.DoubleConsumer;
 import willowdoor.policy.GatewayApi.Action;
 import willowdoor.policy.GatewayApi.Add;
-import willowdoor.policy.GatewayApi.Allowed;
+import willowdoor.policy.GatewayApi.Capabilities;
 import willowdoor.policy.GatewayApi.BackendEntry;
 import willowdoor.policy.GatewayApi.CeilingShare;
 import willowdoor.policy.GatewayApi.Counted;
@@ -316,7 +316,7 @@
   static Settings settings(int doorCount, int self) {
     return new Settings(doorCount, self, "a", MOST_UNITS, 0, false,
         List.of(new RequestClass("safe", 1, 0, 1000, 4000, Repeat.SAFE, Group.ALL, 0, false)),
-        List.of(BASIC, FULL), new Allowed(true, LIMIT_MS, true, false, 4, 100_000, true, 2000, false),
+        List.of(BASIC, FULL), new Capabilities(true, LIMIT_MS, true, false, 4, 100_000, true, 2000, false),
         new Rules(8, 0.2, 10_000, 3, 2000));
   }
 
@@ -415,7 +415,8 @@
     Request r = new Request(id, "safe", t.plan().name(), f.number, t.spread(), units, now + 4000, place,
         null);
     if (divided && t.plan().ceilingRate() > 0) {
-      r = r.with(d.rights(new RightsEvent.Requested(f.number, t.spread(), place, t.plan().ceilingRate(),
+      r = r.withCeilingShare(d
+          .rights(new RightsEvent.Requested(f.number, t.spread(), place, t.plan().ceilingRate(),
           t.plan().ceilingBurst(), MOST_UNITS, units)));
     }
     d.tell(r);
--- a/policy/src/test/java/willowdoor/policy/EmbedExampleTest.java
+++ b/policy/src/test/java/willowdoor/policy/EmbedExampleTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import willowdoor.policy.GatewayApi.Action;
 import willowdoor.policy.GatewayApi.Add;
-import willowdoor.policy.GatewayApi.Allowed;
+import willowdoor.policy.GatewayApi.Capabilities;
 import willowdoor.policy.GatewayApi.BackendEntry;
 import willowdoor.policy.GatewayApi.Counted;
 import willowdoor.policy.GatewayApi.Event;
@@ -41,7 +41,7 @@
   void servesWithinTheQuotaAndRefusesTheRest() {
     RequestClass read = new RequestClass("read", 1, 0, 500, 2000, Repeat.SAFE, Group.ALL, 0, false);
     Plan basic = new Plan("basic", 2, 10, 0, 1, 0, 1, 0, 0, 0);
-    Allowed allowed = new Allowed(true, 30, true, false, 3, 1000, false, 0, false);
+    Capabilities allowed = new Capabilities(true, 30, true, false, 3, 1000, false, 0, false);
     Settings settings = new Settings(1, 0, "a", 4, 0, false, List.of(read), List.of(basic), allowed,
         new Rules(8, 0.2, 10_000, 3, 2000));
     QuotaPolicy policy = new QuotaPolicy(settings, 1);
--- a/policy/src/test/java/willowdoor/policy/Fixtures.java
+++ b/policy/src/test/java/willowdoor/policy/Fixtures.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import willowdoor.policy.GatewayApi.Action;
 import willowdoor.policy.GatewayApi.Add;
-import willowdoor.policy.GatewayApi.Allowed;
+import willowdoor.policy.GatewayApi.Capabilities;
 import willowdoor.policy.GatewayApi.BackendEntry;
 import willowdoor.policy.GatewayApi.Counted;
 import willowdoor.policy.GatewayApi.Event;
@@ -48,7 +48,7 @@
 
   Fixtures(Settings settings, double startMs) {
     now = startMs;
-    policy = new QuotaPolicy(settings, 7 + settings.self());
+    policy = new QuotaPolicy(settings, 7 + settings.selfIndex());
     take(policy.start(now));
   }
 
@@ -65,7 +65,8 @@
         new RequestClass("stream", 1, 0, 1000, 4000, Repeat.SAFE, Group.ALL, 0, true));
     return new Settings(gateways, self, "a", 4, 0, false, classes,
         List.of(RATED, CEILED, SLOW, FREE, NARROW, WIDE, BROAD),
-        new Allowed(counter, 30, true, false, 4, 1000, true, 2000, ask), new Rules(8, 0.2, 10_000, 3, 2000));
+        new Capabilities(counter, 30, true, false, 4, 1000, true, 2000, ask),
+        new Rules(8, 0.2, 10_000, 3, 2000));
   }
 
   static Fixtures counted() {
--- a/policy/src/test/java/willowdoor/policy/LearnedTest.java
+++ b/policy/src/test/java/willowdoor/policy/LearnedTest.java
@@ -35,7 +35,7 @@
 
   private static Fixtures after(Fixtures before, double agoMs) {
     Fixtures f = fresh();
-    Learned.of(before.policy, before.now).inherit(f.policy, f.now, agoMs);
+    LearnedState.takeFrom(before.policy, before.now).restoreInto(f.policy, f.now, agoMs);
     return f;
   }
 
@@ -74,9 +74,9 @@
     before.request("safe", "rated", 2);
     Send s = before.total(2).only(Send.class);
     before.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 50, true, 4, null));
-    Learned told = Learned.of(before.policy, before.now);
+    LearnedState told = LearnedState.takeFrom(before.policy, before.now);
     Fixtures next = new Fixtures(Fixtures.settings(true, 2, false), before.now + 120_000).backends(4);
-    told.inherit(next.policy, next.now, 120_000);
+    told.restoreInto(next.policy, next.now, 120_000);
     next.request("safe", "rated", 1);
     assertEquals(1, next.only(Add.class).amount());
   }
@@ -85,9 +85,9 @@
   @Test
   void whatIsNotKnownHereIsLeft() {
     Fixtures f = fresh();
-    new Learned(50, 1, 2, List.of(new Learned.Taken("gone", 9, 1, 9, 1, 9)),
-        List.of(new Learned.Known(99, 9, 1, 0, 500, 3, true, 0)),
-        List.of(new Learned.Owed(42, "gone", 2, 0, 7))).inherit(f.policy, f.now, 0);
+    new LearnedState(50, 1, 2, List.of(new LearnedState.ClassServiceTime("gone", 9, 1, 9, 1, 9)),
+        List.of(new LearnedState.LearnedBackend(99, 9, 1, 0, 500, 3, true, 0)),
+        List.of(new LearnedState.PendingAdd(42, "gone", 2, 0, 7))).restoreInto(f.policy, f.now, 0);
     f.request("safe", "rated", 1);
     assertEquals(1, f.only(Add.class).amount());
   }
@@ -95,11 +95,13 @@
   /** For what is left of its rest since it was told. */
   @Test
   void aBackendThatRestsRestsOn() {
-    Learned told = new Learned(50, 1, 3, List.of(), List.of(new Learned.Known(SLOW, 0.1, 0, 0, 5_000, 2, true,
+    LearnedState told =
+        new LearnedState(50, 1, 3, List.of(),
+        List.of(new LearnedState.LearnedBackend(SLOW, 0.1, 0, 0, 5_000, 2, true,
         0)), List.of());
     for (int ago : new int[] {1_000, 5_000}) {
       Fixtures f = fresh();
-      told.inherit(f.policy, f.now, ago);
+      told.restoreInto(f.policy, f.now, ago);
       int there = 0;
       for (int i = 0; i < 40; i++) {
         f.request("safe", "free", 1);
--- a/policy/src/test/java/willowdoor/policy/PlacesTest.java
+++ b/policy/src/test/java/willowdoor/policy/PlacesTest.java
@@ -50,7 +50,7 @@
     f.total(3);
     assertTrue(f.did(Refuse.class), "two places, and this would be the third attempt");
     assertEquals(-1, f.only(Add.class).amount());
-    assertTrue(f.only(Refuse.class).holdOffMs() > 0, "told when a place may be free");
+    assertTrue(f.only(Refuse.class).retryAfterMs() > 0, "told when a place may be free");
     f.request("safe", "narrow", 1);
     assertTrue(f.did(Refuse.class) && !f.did(Add.class), "not asked again at once");
   }
--- a/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
@@ -17,7 +17,7 @@
 import willowdoor.policy.GatewayApi.CounterReplaced;
 import willowdoor.policy.GatewayApi.Fail;
 import willowdoor.policy.GatewayApi.FollowRoster;
-import willowdoor.policy.GatewayApi.Foresee;
+import willowdoor.policy.GatewayApi.PreCheck;
 import willowdoor.policy.GatewayApi.Outcome;
 import willowdoor.policy.GatewayApi.Phase;
 import willowdoor.policy.GatewayApi.Refuse;
@@ -26,7 +26,7 @@
 import willowdoor.policy.GatewayApi.RosterForm;
 import willowdoor.policy.GatewayApi.Send;
 import willowdoor.policy.GatewayApi.Status;
-import willowdoor.policy.GatewayApi.StreamBegan;
+import willowdoor.policy.GatewayApi.StreamStarted;
 import willowdoor.policy.GatewayApi.Woken;
 
 class QuotaPolicyTest {
@@ -76,13 +76,13 @@
   @Test
   void whatIsForeseenIsRefusedForASpentCustomerOnlyAndCountsNothing() {
     Fixtures f = Fixtures.counted();
-    f.on(new Foresee(new Request("x", "safe", "rated", 1, 2, 3, f.now + 2_000)));
+    f.on(new PreCheck(new Request("x", "safe", "rated", 1, 2, 3, f.now + 2_000)));
     assertFalse(f.did(Refuse.class) || f.did(Add.class) || f.did(Send.class), "nothing is known of it");
     f.request("safe", "rated", 3);
-    f.on(new Foresee(new Request("y", "safe", "rated", 42, 2, 3, f.now + 2_000)));
+    f.on(new PreCheck(new Request("y", "safe", "rated", 42, 2, 3, f.now + 2_000)));
     assertFalse(f.did(Refuse.class) || f.did(Add.class), "its count is not told yet");
     f.total(200);
-    f.pass(10).on(new Foresee(new Request("z", "safe", "rated", 42, 2, 3, f.now + 2_000)));
+    f.pass(10).on(new PreCheck(new Request("z", "safe", "rated", 42, 2, 3, f.now + 2_000)));
     assertEquals("z", f.only(Refuse.class).request());
     assertFalse(f.did(Add.class));
   }
@@ -353,7 +353,7 @@
   void aBegunStreamIsLeftAlone() {
     Fixtures f = Fixtures.counted();
     String id = f.request("stream", "free", 1);
-    f.on(new StreamBegan(id, 0)).run(6000);
+    f.on(new StreamStarted(id, 0)).run(6000);
     assertTrue(f.last.isEmpty(), f.last.toString());
   }
 
--- a/policy/src/test/java/willowdoor/policy/SheddingTest.java
+++ b/policy/src/test/java/willowdoor/policy/SheddingTest.java
@@ -45,7 +45,7 @@
     out(f, 3);
     f.run(100).request("safe", "free", 4);
     assertTrue(f.did(Refuse.class), "1,200 ms of an aim of 1,000");
-    assertTrue(f.only(Refuse.class).holdOffMs() > 0, "told when to come back");
+    assertTrue(f.only(Refuse.class).retryAfterMs() > 0, "told when to come back");
     f.request("safe", "free", 1);
     assertTrue(f.did(Send.class), "300 ms of an aim of 1,000");
   }
--- a/steward/src/main/java/willowdoor/steward/LeaderWatch.java
+++ b/steward/src/main/java/willowdoor/steward/LeaderWatch.java
@@ -12,34 +12,34 @@
 final class LeaderWatch {
 
   /** Between two looks. */
-  static final double LOOK_MS = 200;
+  static final double CHECK_INTERVAL_MS = 200;
   /** So many looks, 2 s, are four times what the library takes to miss a leader. */
-  static final int SILENT_LOOKS = 10;
+  static final int SILENT_CHECKS = 10;
   /** Where beginning anew brought no word either: each time twice as many looks, up to some 64 s. */
-  static final int MOST_SILENT_LOOKS = 320;
+  static final int MAX_SILENT_CHECKS = 320;
 
-  private int silent;
-  private int limit = SILENT_LOOKS;
+  private int silentChecks;
+  private int limit = SILENT_CHECKS;
 
   /** A word of a leader of this term or a later one has come. */
-  void heard() {
-    silent = 0;
-    limit = SILENT_LOOKS;
+  void leaderHeard() {
+    silentChecks = 0;
+    limit = SILENT_CHECKS;
   }
 
   /**
-   * To be called each {@link #LOOK_MS}.
+   * To be called each {@link #CHECK_INTERVAL_MS}.
    *
-   * @param follows whether the node names another as its leader
+   * @param hasOtherLeader whether the node names another as its leader
    * @return whether to begin the node anew
    */
-  boolean look(boolean follows) {
-    silent = follows ? silent + 1 : 0;
-    if (silent < limit) {
+  boolean check(boolean hasOtherLeader) {
+    silentChecks = hasOtherLeader ? silentChecks + 1 : 0;
+    if (silentChecks < limit) {
       return false;
     }
-    silent = 0;
-    limit = Math.min(limit * 2, MOST_SILENT_LOOKS);
+    silentChecks = 0;
+    limit = Math.min(limit * 2, MAX_SILENT_CHECKS);
     return true;
   }
 }
--- a/steward/src/main/java/willowdoor/steward/Wire.java
+++ b/steward/src/main/java/willowdoor/steward/RaftJson.java
@@ -31,16 +31,16 @@
 import java.util.List;
 
 /** What stewards say to each other and keep on disk, as JSON: no Java object is deserialized. */
-final class Wire {
+final class RaftJson {
 
   static final String GROUP = "fleet";
   private static final JsonMapper JSON = new JsonMapper();
-  private static final RaftModelFactory MAKE = new DefaultRaftModelFactory();
+  private static final RaftModelFactory FACTORY = new DefaultRaftModelFactory();
 
-  private Wire() {
+  private RaftJson() {
   }
 
-  static byte[] bytes(RaftMessage message) {
+  static byte[] encode(RaftMessage message) {
     ObjectNode to = object();
     to.set("from", endpoint(message.getSender()));
     to.put("term", message.getTerm());
@@ -101,7 +101,7 @@
   }
 
   /** Reads a message; what it is not, or lacks, is named. */
-  static RaftMessage message(byte[] bytes) {
+  static RaftMessage decode(byte[] bytes) {
     JsonNode of = read(bytes);
     RaftEndpoint from = endpoint(at(of, "from"));
     int term = at(of, "term").asInt();
@@ -110,22 +110,22 @@
       case "Append":
         List<LogEntry> entries = new ArrayList<>();
         at(of, "entries").forEach(x -> entries.add(entry(x)));
-        return MAKE.createAppendEntriesRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
+        return FACTORY.createAppendEntriesRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
             .setPreviousLogTerm(at(of, "prevTerm").asInt()).setPreviousLogIndex(number(of, "prev"))
             .setCommitIndex(number(of, "commit")).setLogEntries(entries)
             .setQuerySequenceNumber(number(of, "query")).setFlowControlSequenceNumber(number(of, "flow"))
             .build();
       case "Appended":
-        return MAKE.createAppendEntriesSuccessResponseBuilder().setGroupId(GROUP).setSender(from)
+        return FACTORY.createAppendEntriesSuccessResponseBuilder().setGroupId(GROUP).setSender(from)
             .setTerm(term).setLastLogIndex(number(of, "last")).setQuerySequenceNumber(number(of, "query"))
             .setFlowControlSequenceNumber(number(of, "flow")).build();
       case "NotAppended":
-        return MAKE.createAppendEntriesFailureResponseBuilder().setGroupId(GROUP).setSender(from)
+        return FACTORY.createAppendEntriesFailureResponseBuilder().setGroupId(GROUP).setSender(from)
             .setTerm(term).setExpectedNextIndex(number(of, "next"))
             .setQuerySequenceNumber(number(of, "query")).setFlowControlSequenceNumber(number(of, "flow"))
             .build();
       case "Install":
-        return MAKE.createInstallSnapshotRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
+        return FACTORY.createInstallSnapshotRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
             .setSenderLeader(at(of, "leader").asBoolean()).setSnapshotTerm(at(of, "snapshotTerm").asInt())
             .setSnapshotIndex(number(of, "snapshot")).setTotalSnapshotChunkCount(at(of, "pieces").asInt())
             .setSnapshotChunk(of.has("piece") ? chunk(of.get("piece")) : null)
@@ -133,7 +133,7 @@
             .setQuerySequenceNumber(number(of, "query")).setFlowControlSequenceNumber(number(of, "flow"))
             .build();
       case "Installed":
-        return MAKE.createInstallSnapshotResponseBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
+        return FACTORY.createInstallSnapshotResponseBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
             .setSnapshotIndex(number(of, "snapshot"))
             .setRequestedSnapshotChunkIndex(at(of, "piece").asInt())
             .setQuerySequenceNumber(number(of, "query")).setFlowControlSequenceNumber(number(of, "flow"))
@@ -146,20 +146,20 @@
   private static RaftMessage vote(JsonNode of, String is, RaftEndpoint from, int term) {
     switch (is) {
       case "Vote":
-        return MAKE.createVoteRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
+        return FACTORY.createVoteRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
             .setLastLogTerm(at(of, "lastTerm").asInt()).setLastLogIndex(number(of, "last"))
             .setSticky(at(of, "sticky").asBoolean()).build();
       case "PreVote":
-        return MAKE.createPreVoteRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
+        return FACTORY.createPreVoteRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
             .setLastLogTerm(at(of, "lastTerm").asInt()).setLastLogIndex(number(of, "last")).build();
       case "Voted":
-        return MAKE.createVoteResponseBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
+        return FACTORY.createVoteResponseBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
             .setGranted(at(of, "granted").asBoolean()).build();
       case "PreVoted":
-        return MAKE.createPreVoteResponseBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
+        return FACTORY.createPreVoteResponseBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
             .setGranted(at(of, "granted").asBoolean()).build();
       case "Elect":
-        return MAKE.createTriggerLeaderElectionRequestBuilder().setGroupId(GROUP).setSender(from)
+        return FACTORY.createTriggerLeaderElectionRequestBuilder().setGroupId(GROUP).setSender(from)
             .setTerm(term).setLastLogTerm(at(of, "lastTerm").asInt()).setLastLogIndex(number(of, "last"))
             .build();
       default:
@@ -184,14 +184,14 @@
     Object operation;
     if (of.has("members")) {
       JsonNode members = of.get("members");
-      operation = MAKE.createUpdateRaftGroupMembersOpBuilder().setMembers(endpoints(at(members, "all")))
+      operation = FACTORY.createUpdateRaftGroupMembersOpBuilder().setMembers(endpoints(at(members, "all")))
           .setVotingMembers(endpoints(at(members, "voting")))
           .setEndpoint(endpoint(at(members, "endpoint")))
           .setMode(MembershipChangeMode.valueOf(at(members, "mode").asText())).build();
     } else {
       operation = binary(of, "op");
     }
-    return MAKE.createLogEntryBuilder().setIndex(number(of, "index")).setTerm(at(of, "term").asInt())
+    return FACTORY.createLogEntryBuilder().setIndex(number(of, "index")).setTerm(at(of, "term").asInt())
         .setOperation(operation).build();
   }
 
@@ -204,7 +204,7 @@
   }
 
   static SnapshotChunk chunk(JsonNode of) {
-    return MAKE.createSnapshotChunkBuilder().setIndex(number(of, "index")).setTerm(at(of, "term").asInt())
+    return FACTORY.createSnapshotChunkBuilder().setIndex(number(of, "index")).setTerm(at(of, "term").asInt())
         .setSnapshotChunkIndex(at(of, "piece").asInt()).setSnapshotChunkCount(at(of, "pieces").asInt())
         .setOperation(binary(of, "op")).setGroupMembersView(view(at(of, "view"))).build();
   }
@@ -217,7 +217,7 @@
   }
 
   static RaftGroupMembersView view(JsonNode of) {
-    return MAKE.createRaftGroupMembersViewBuilder().setLogIndex(number(of, "index"))
+    return FACTORY.createRaftGroupMembersViewBuilder().setLogIndex(number(of, "index"))
         .setMembers(endpoints(at(of, "all"))).setVotingMembers(endpoints(at(of, "voting"))).build();
   }
 
--- a/steward/src/main/java/willowdoor/steward/Machine.java
+++ b/steward/src/main/java/willowdoor/steward/RaftStateMachine.java
@@ -13,23 +13,23 @@
 import willowdoor.agreement.FleetSettings;
 
 /** The record as the library's state machine: bytes of commands in, outcomes out, snapshots in pieces. */
-final class Machine implements StateMachine {
+final class RaftStateMachine implements StateMachine {
 
   /** A piece of a snapshot has so many bytes at most, as one message carries it. */
   static final int CHUNK_BYTES = 256 << 10;
 
   private final DoubleSupplier now;
-  private final Runnable led;
+  private final Runnable onNewTerm;
   private FleetStateMachine record = new FleetStateMachine(FleetSettings.UNCONFIGURED);
 
   /**
    * For one steward.
    *
-   * @param led run when a term's first entry has been agreed on, whoever leads
+   * @param onNewTerm run when a term's first entry has been agreed on, whoever leads
    */
-  Machine(DoubleSupplier now, Runnable led) {
+  RaftStateMachine(DoubleSupplier now, Runnable onNewTerm) {
     this.now = now;
-    this.led = led;
+    this.onNewTerm = onNewTerm;
   }
 
   FleetStateMachine record() {
@@ -41,7 +41,7 @@
     Command command = Codec.readCommand((byte[]) operation);
     Outcome outcome = record.apply(command);
     if (command instanceof LeaderElected) {
-      led.run();
+      onNewTerm.run();
     }
     return outcome;
   }
--- a/steward/src/main/java/willowdoor/steward/Paced.java
+++ b/steward/src/main/java/willowdoor/steward/ScaledClockExecutor.java
@@ -11,34 +11,34 @@
  * The library's time: its heartbeats take whole seconds, one at least, which is too long to be without a
  * leader. So it is told that time goes faster, by the same factor at its clock and at its timers.
  */
-final class Paced extends Clock implements RaftNodeExecutor {
+final class ScaledClockExecutor extends Clock implements RaftNodeExecutor {
 
-  private final Surroundings around;
+  private final StewardEnvironment environment;
   private final double factor;
 
-  Paced(Surroundings around, double factor) {
-    this.around = around;
+  ScaledClockExecutor(StewardEnvironment environment, double factor) {
+    this.environment = environment;
     this.factor = factor;
   }
 
   @Override
   public void execute(Runnable task) {
-    around.later(0, task);
+    environment.schedule(0, task);
   }
 
   @Override
   public void submit(Runnable task) {
-    around.later(0, task);
+    environment.schedule(0, task);
   }
 
   @Override
   public void schedule(Runnable task, long delay, TimeUnit unit) {
-    around.later(unit.toMicros(delay) / 1e3 / factor, task);
+    environment.schedule(unit.toMicros(delay) / 1e3 / factor, task);
   }
 
   @Override
   public long millis() {
-    return (long) (around.now() * factor);
+    return (long) (environment.now() * factor);
   }
 
   @Override
--- a/steward/src/main/java/willowdoor/steward/Steward.java
+++ b/steward/src/main/java/willowdoor/steward/Steward.java
@@ -37,30 +37,30 @@
 
   private static final Logger LOG = Logger.getLogger(Steward.class.getName());
   /** By this the library's seconds are shorter: heartbeats each 0.1 s, a leader missed after 0.5 s. */
-  static final double PACE = 10;
+  static final double TIME_SCALE = 10;
   private static final int HEARTBEAT_SECS = 1;
-  private static final int MISSED_SECS = 5;
+  private static final int LEADER_TIMEOUT_SECS = 5;
   /** Of the library's time; votes are asked for again after this. */
-  private static final int ELECTION_MS = 1_000;
+  private static final int ELECTION_TIMEOUT_MS = 1_000;
   /** Commands that wait for a majority; one more is refused by the library. */
-  private static final int MOST_PENDING = 1_000;
+  private static final int MAX_PENDING_COMMANDS = 1_000;
   /** Of commands that one message carries: each may be as long as a command may be. */
-  private static final int MOST_AT_ONCE = 8;
-  private static final double AGAIN_MS = 200;
+  private static final int MAX_COMMANDS_PER_MESSAGE = 8;
+  private static final double CONFIGURE_RETRY_MS = 200;
 
-  private final Surroundings around;
+  private final StewardEnvironment environment;
   private final Collection<StewardId> members;
   private final StewardId self;
-  private final FleetSettings first;
+  private final FleetSettings initialTerms;
   private final BiConsumer<StewardId, byte[]> send;
   private final Predicate<StewardId> reachable;
   private final int snapshotAfter;
   private final DiskStore store;
-  private final LeaderWatch watch = new LeaderWatch();
-  private Machine machine;
+  private final LeaderWatch leaderWatch = new LeaderWatch();
+  private RaftStateMachine stateMachine;
   private RaftNode node;
   /** While it is begun anew; then its node has ended, but it hasn't. */
-  private boolean beginsAnew;
+  private boolean restarting;
   private boolean failed;
   private boolean stopped;
 
@@ -68,49 +68,53 @@
    * Begins with {@link #start}.
    *
    * @param members those who begin the record together, this one among them; for one that joins them later
-   *     the others, and it takes part once it was added ({@link #change})
-   * @param first the terms that it tells a record that has none, where it leads
+   *     the others, and it takes part once it was added ({@link #changeMembership})
+   * @param initialTerms the terms that it tells a record that has none, where it leads
    * @param send to another, with no answer and no promise that it arrives
    * @param reachable whether it may be worth sending to it
    * @param snapshotAfter so many commands
    * @param store its disk; what is on it goes before the members given here
    * @throws IOException if the disk can't be read
    */
-  public Steward(StewardId self, Collection<StewardId> members, FleetSettings first, Surroundings around,
+  public Steward(StewardId self, Collection<StewardId> members, FleetSettings initialTerms,
+      StewardEnvironment environment,
       BiConsumer<StewardId, byte[]> send, Predicate<StewardId> reachable, int snapshotAfter, DiskStore store)
       throws IOException {
     this.self = self;
     this.members = List.copyOf(members);
-    this.first = first;
-    this.around = around;
+    this.initialTerms = initialTerms;
+    this.environment = environment;
     this.send = send;
     this.reachable = reachable;
     this.snapshotAfter = snapshotAfter;
     this.store = store;
-    make();
+    createNode();
   }
 
-  private void make() throws IOException {
-    machine = new Machine(around::now, () -> around.later(0, this::configure));
-    Paced paced = new Paced(around, PACE);
-    RestoredRaftState before = store.restored();
+  private void createNode() throws IOException {
+    stateMachine = new RaftStateMachine(environment::now, () -> environment.schedule(0, this::configure));
+    ScaledClockExecutor scaledTime = new ScaledClockExecutor(environment, TIME_SCALE);
+    RestoredRaftState restored = store.restoredState();
     RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder();
-    if (before == null) {
+    if (restored == null) {
       builder.setLocalEndpoint(self).setInitialGroupMembers(List.<RaftEndpoint>copyOf(members));
     } else {
-      builder.setRestoredState(before);
+      builder.setRestoredState(restored);
     }
-    node = builder.setGroupId(Wire.GROUP).setStore(store)
+    node = builder.setGroupId(RaftJson.GROUP).setStore(store)
         .setConfig(RaftConfig.newBuilder().setLeaderHeartbeatPeriodSecs(HEARTBEAT_SECS)
-            .setLeaderHeartbeatTimeoutSecs(MISSED_SECS).setLeaderElectionTimeoutMillis(ELECTION_MS)
-            .setMaxPendingLogEntryCount(MOST_PENDING)
-            .setAppendEntriesRequestBatchSize(MOST_AT_ONCE).setCommitCountToTakeSnapshot(snapshotAfter)
+            .setLeaderHeartbeatTimeoutSecs(LEADER_TIMEOUT_SECS)
+            .setLeaderElectionTimeoutMillis(ELECTION_TIMEOUT_MS)
+            .setMaxPendingLogEntryCount(MAX_PENDING_COMMANDS)
+            .setAppendEntriesRequestBatchSize(MAX_COMMANDS_PER_MESSAGE)
+            .setCommitCountToTakeSnapshot(snapshotAfter)
             .build())
-        .setExecutor(paced).setClock(paced).setRandom(around.random()).setStateMachine(machine)
+        .setExecutor(scaledTime).setClock(scaledTime).setRandom(environment.random())
+        .setStateMachine(stateMachine)
         .setTransport(new Transport() {
           @Override
           public void send(RaftEndpoint to, RaftMessage message) {
-            send.accept((StewardId) to, Wire.bytes(message));
+            send.accept((StewardId) to, RaftJson.encode(message));
           }
 
           @Override
@@ -121,17 +125,17 @@
   }
 
   /** What another steward has promised to this one at the least; null where nothing is known. */
-  public DiskStore.Progress heard(StewardId who) {
-    return store.heard(who);
+  public DiskStore.Progress acknowledgedBy(StewardId who) {
+    return store.acknowledged(who);
   }
 
   /**
    * What this one's disk lacks of what it has promised by another's word; null where nothing. Guards against
    * a disk that was put back from an older copy, or was lost: the steward would promise otherwise now.
    */
-  public String lacks(DiskStore.Progress promised) throws IOException {
-    DiskStore.Progress own = store.own();
-    return promised.beyond(own) ? "entry " + promised.index() + " of term " + promised.term()
+  public String missingFromDisk(DiskStore.Progress promised) throws IOException {
+    DiskStore.Progress own = store.ownProgress();
+    return promised.isAheadOf(own) ? "entry " + promised.index() + " of term " + promised.term()
         + " was promised, and"
         + " the disk ends with entry " + own.index() + " of term " + own.term() : null;
   }
@@ -139,11 +143,11 @@
   /** Takes part from here on. */
   public void start() {
     node.start();
-    look();
+    checkHealth();
   }
 
-  private void look() {
-    if (stopped || ended()) {
+  private void checkHealth() {
+    if (stopped || hasEnded()) {
       return;
     }
     if (store.failed()) {
@@ -153,46 +157,46 @@
       node.terminate();
       return;
     }
-    if (!beginsAnew && watch.look(leader() != null && !leads())) {
-      beginAnew();
+    if (!restarting && leaderWatch.check(leader() != null && !isLeader())) {
+      restartNode();
     }
-    around.later(LeaderWatch.LOOK_MS, this::look);
+    environment.schedule(LeaderWatch.CHECK_INTERVAL_MS, this::checkHealth);
   }
 
   /** As a kill and a start would: what was not flushed is lost, what was proposed here has failed. */
-  private void beginAnew() {
+  private void restartNode() {
     LOG.warning("nothing was heard of the leader " + leader().name() + ", and no vote was begun: the node is"
         + " begun anew from its disk");
-    beginsAnew = true;
-    node.terminate().whenComplete((done, failure) -> around.later(0, () -> {
+    restarting = true;
+    node.terminate().whenComplete((done, failure) -> environment.schedule(0, () -> {
       if (stopped) {
         return;
       }
       try {
-        store.forget();
-        make();
+        store.rollback();
+        createNode();
         node.start();
       } catch (IOException e) {
         LOG.log(Level.SEVERE, "the node can't be begun anew", e);
         failed = true;
       }
-      beginsAnew = false;
+      restarting = false;
     }));
   }
 
   private void configure() {
-    if (leads() && record().state().terms().equals(FleetSettings.UNCONFIGURED)) {
-      propose(at -> new Configure(at, first)).whenComplete((done, failure) -> {
+    if (isLeader() && record().state().terms().equals(FleetSettings.UNCONFIGURED)) {
+      propose(at -> new Configure(at, initialTerms)).whenComplete((done, failure) -> {
         if (failure != null) {
-          around.later(AGAIN_MS, this::configure);
+          environment.schedule(CONFIGURE_RETRY_MS, this::configure);
         }
       });
     }
   }
 
   /** Whether it can't go on: its disk failed, or it was put out of the group. */
-  public boolean ended() {
-    return failed || !beginsAnew && RaftNodeStatus.isTerminal(node.getStatus());
+  public boolean hasEnded() {
+    return failed || !restarting && RaftNodeStatus.isTerminal(node.getStatus());
   }
 
   /** Takes part no longer. */
@@ -207,15 +211,15 @@
    * @throws IllegalArgumentException naming what can't be read
    */
   public void handle(byte[] message) {
-    RaftMessage read = Wire.message(message);
+    RaftMessage read = RaftJson.decode(message);
     if (read instanceof AppendEntriesSuccessResponse e) {
-      store.heard((StewardId) e.getSender(), e.getTerm(), e.getLastLogIndex());
+      store.acknowledged((StewardId) e.getSender(), e.getTerm(), e.getLastLogIndex());
     } else if (read instanceof VoteResponse e && e.isGranted()) {
-      store.heard((StewardId) e.getSender(), e.getTerm(), 0);
+      store.acknowledged((StewardId) e.getSender(), e.getTerm(), 0);
     }
     if ((read instanceof AppendEntriesRequest || read instanceof InstallSnapshotRequest)
         && read.getTerm() >= node.getTerm().getTerm()) {
-      watch.heard();
+      leaderWatch.leaderHeard();
     }
     if (!RaftNodeStatus.isTerminal(node.getStatus())) {
       node.handle(read);
@@ -229,14 +233,15 @@
    * @param command made with the time of this steward's clock, which counts only if it leads
    */
   public CompletableFuture<Outcome> propose(DoubleFunction<Command> command) {
-    if (!leads()) {
+    if (!isLeader()) {
       return notLeading();
     }
-    return node.<Outcome>replicate(Codec.bytes(command.apply(around.now()))).thenApply(x -> x.getResult());
+    return node.<Outcome>replicate(Codec.bytes(command.apply(environment.now())))
+        .thenApply(x -> x.getResult());
   }
 
   /** How a steward's part changes. */
-  public enum Change {
+  public enum MembershipChange {
     /** It hears what is agreed on and has no vote: to catch up by. */
     LISTEN,
     /** It has a vote. */
@@ -251,8 +256,8 @@
    *
    * @return those who vote then
    */
-  public CompletableFuture<List<StewardId>> change(StewardId who, Change change) {
-    if (!leads()) {
+  public CompletableFuture<List<StewardId>> changeMembership(StewardId who, MembershipChange change) {
+    if (!isLeader()) {
       return notLeading();
     }
     MembershipChangeMode mode = switch (change) {
@@ -261,11 +266,11 @@
       case LEAVE -> MembershipChangeMode.REMOVE_MEMBER;
     };
     return node.changeMembership(who, mode, node.getCommittedMembers().getLogIndex())
-        .thenApply(x -> voting());
+        .thenApply(x -> votingMembers());
   }
 
   /** Those who vote, as far as this one knows. */
-  public List<StewardId> voting() {
+  public List<StewardId> votingMembers() {
     return node.getCommittedMembers().getVotingMembers().stream().map(StewardId.class::cast).toList();
   }
 
@@ -275,7 +280,7 @@
   }
 
   /** Whether it believes that it leads; what it proposes shows whether it does. */
-  public boolean leads() {
+  public boolean isLeader() {
     return node.getLocalEndpoint().equals(node.getTerm().getLeaderEndpoint());
   }
 
@@ -286,6 +291,6 @@
 
   /** What this steward has heard as agreed, which may be behind. For its own thread. */
   public FleetStateMachine record() {
-    return machine.record();
+    return stateMachine.record();
   }
 }
--- a/steward/src/main/java/willowdoor/steward/link/Answer.java
+++ b/steward/src/main/java/willowdoor/steward/link/Answer.java
@@ -27,7 +27,7 @@
   record Recalled(int term, long index) implements Answer { }
 
   /** How all stands. */
-  record Stands(Standing standing) implements Answer { }
+  record Stands(FleetStatus standing) implements Answer { }
 
   /**
    * Nothing is known of what became of it: it may be agreed on yet.
--- a/steward/src/main/java/willowdoor/steward/link/Call.java
+++ b/steward/src/main/java/willowdoor/steward/link/Call.java
@@ -14,7 +14,7 @@
   record Beat(Command.Heartbeat beat) implements Call { }
 
   /** Have a steward's part changed. */
-  record Part(StewardId who, Steward.Change change) implements Call { }
+  record Part(StewardId who, Steward.MembershipChange change) implements Call { }
 
   /** Tell what that steward has promised to the one that is asked. */
   record Recall(StewardId who) implements Call { }
--- a/steward/src/main/java/willowdoor/steward/link/DoorLink.java
+++ b/steward/src/main/java/willowdoor/steward/link/DoorLink.java
@@ -39,12 +39,12 @@
    * @param version of the program, as releases name it
    * @param successorOf the attempt of a release that this process was started for, or 0
    */
-  public record Self(String group, String door, String incarnation, String zone, double weight,
+  public record Identity(String group, String door, String incarnation, String zone, double weight,
       String version, long successorOf) { }
 
   /** What the record has a door do; called on this link's thread, which must not be held up. */
-  public interface Hands {
-    /** Send nothing more to the backend, and tell {@link #letGo} once no attempt is out at it. */
+  public interface DoorControl {
+    /** Send nothing more to the backend, and tell {@link #backendReleased} once no attempt is out at it. */
     void takeOut(String backend);
 
     /** The backend may be sent to again. */
@@ -57,42 +57,43 @@
     void undrain();
 
     /**
-     * Start a process of that version in this one's place; tell {@link #cameToNothing} if it doesn't take it.
+     * Start a process of that version in this one's place; tell {@link #replacementFailed} if it doesn't take
+     * it.
      */
     void replace(long attempt, String version);
   }
 
   private static final Logger LOG = Logger.getLogger(DoorLink.class.getName());
   /** For the answer to anything; the door's own side answers an operator before that. */
-  private static final long LIMIT_MS = 600;
+  private static final long CALL_TIMEOUT_MS = 600;
   /** A list that the stewards did not take is told again after this. */
-  private static final long AGAIN_MS = 500;
+  private static final long RETRY_MS = 500;
   /** For an operator who is answered within the second, and may need two answers for it. */
-  private static final long LOOK_LIMIT_MS = 400;
+  private static final long OPERATOR_TIMEOUT_MS = 400;
 
-  private final Self self;
-  private final Hands hands;
-  private final EventLoopGroup group = OneThread.named("agreement");
+  private final Identity self;
+  private final DoorControl control;
+  private final EventLoopGroup group = SingleThreadLoop.create("agreement");
   private final EventLoop loop = group.next();
   private final DoorParticipant side;
   private final LinkClient link;
-  private final Map<String, CompletableFuture<Outcome>> asked = new HashMap<>();
-  private final Remembered remembered;
-  private final CompletableFuture<Void> told = new CompletableFuture<>();
+  private final Map<String, CompletableFuture<Outcome>> pendingRequests = new HashMap<>();
+  private final TakenOutFiles takenOutFiles;
+  private final CompletableFuture<Void> takenOutKnown = new CompletableFuture<>();
   /** What is yet to be kept; null where all is. Until then no backend is said to be let go. */
-  private Map<String, Long> unsaved;
-  private final List<String> unsaid = new ArrayList<>();
+  private Map<String, Long> unsavedTakenOut;
+  private final List<String> unreportedReleases = new ArrayList<>();
   private long generation;
   /** The stewards have taken this process. */
-  private boolean known;
+  private boolean registered;
   private boolean closed;
   private double wakeAt;
-  private long sightVersion;
+  private long backendsVersion;
   /** Null where the stewards have it. */
-  private List<Command.Backend> sight;
+  private List<Command.Backend> unsentBackends;
   /** The last list, told or not. */
-  private List<Command.Backend> seen;
-  private boolean sightUnderWay;
+  private List<Command.Backend> lastBackends;
+  private boolean sendingBackends;
 
   /**
    * Begins at once.
@@ -102,15 +103,15 @@
    * @param generation of its holding what only one process of the door can hold; 0 while another holds it.
    *     Only a holder goes by what was kept: another process that lives may have agreed to more since
    */
-  public DoorLink(Self self, List<InetSocketAddress> stewards, double drift, Path files, long generation,
-      Hands hands) {
+  public DoorLink(Identity self, List<InetSocketAddress> stewards, double drift, Path files, long generation,
+      DoorControl control) {
     this.self = self;
-    this.hands = hands;
-    remembered = new Remembered(files, self.incarnation());
+    this.control = control;
+    takenOutFiles = new TakenOutFiles(files, self.incarnation());
     this.generation = generation;
-    Map<String, Long> before = generation > 0 ? remembered.read() : null;
+    Map<String, Long> before = generation > 0 ? takenOutFiles.read() : null;
     if (before != null) {
-      told.complete(null);
+      takenOutKnown.complete(null);
     }
     side = new DoorParticipant(self.door(), self.incarnation(), drift, before == null ? Map.of() : before,
         self.version(), before == null ? self.successorOf() : 0);
@@ -118,49 +119,49 @@
         Role.DOOR,
         self.door(), ""));
     link.whenConnected(() -> {
-      tellSight();
-      on(new DoorEvent.TimerFired());
+      sendBackends();
+      handle(new DoorEvent.TimerFired());
     });
     loop.execute(() -> {
       link.start();
       if (before != null) {
-        before.keySet().forEach(hands::takeOut);
+        before.keySet().forEach(control::takeOut);
       }
-      on(new DoorEvent.TimerFired());
+      handle(new DoorEvent.TimerFired());
     });
   }
 
   /** What the instance does from here on. */
-  public void does(Activity doing) {
-    loop.execute(() -> on(new DoorEvent.ActivityChanged(doing)));
+  public void reportState(Activity doing) {
+    loop.execute(() -> handle(new DoorEvent.ActivityChanged(doing)));
   }
 
   /** No attempt is out at the backend any more. */
-  public void letGo(String backend) {
+  public void backendReleased(String backend) {
     loop.execute(() -> {
-      if (unsaved == null) {
-        on(new DoorEvent.BackendVacated(backend));
+      if (unsavedTakenOut == null) {
+        handle(new DoorEvent.BackendVacated(backend));
       } else {
-        unsaid.add(backend);
+        unreportedReleases.add(backend);
       }
     });
   }
 
   /** So the instance has answered since it began. */
-  public void counted(Tally tally) {
-    loop.execute(() -> on(new DoorEvent.TallyUpdated(tally)));
+  public void reportTally(Tally tally) {
+    loop.execute(() -> handle(new DoorEvent.TallyUpdated(tally)));
   }
 
   /** What was started for an attempt has ended, and this process serves on. */
-  public void cameToNothing(long attempt) {
-    loop.execute(() -> on(new DoorEvent.SuccessorFailed(attempt)));
+  public void replacementFailed(long attempt) {
+    loop.execute(() -> handle(new DoorEvent.SuccessorFailed(attempt)));
   }
 
   /** This process holds what only one process of the door can hold, by this number. */
-  public void holds(long number) {
+  public void lockAcquired(long newGeneration) {
     loop.execute(() -> {
-      generation = number;
-      remembered.alone();
+      generation = newGeneration;
+      takenOutFiles.deleteOthers();
       join();
     });
   }
@@ -170,18 +171,19 @@
    * not before the stewards know of this one: a door of which they know no process that lives sends nothing,
    * as far as they are concerned, and this one may send already.
    *
-   * @param told run once the stewards know
+   * @param onAcknowledged run once the stewards know
    */
-  public void ended(String incarnation, Runnable told) {
+  public void reportEnded(String incarnation, Runnable onAcknowledged) {
     loop.execute(() -> {
-      if (!closed && !known) {
-        loop.schedule(() -> ended(incarnation, told), AGAIN_MS, TimeUnit.MILLISECONDS);
+      if (!closed && !registered) {
+        loop.schedule(() -> reportEnded(incarnation, onAcknowledged), RETRY_MS, TimeUnit.MILLISECONDS);
       } else if (!closed) {
-        link.ask(new Call.Put(new Command.Leave(0, self.door(), incarnation)), false, LIMIT_MS, answer -> {
+        link.call(new Call.Put(new Command.Leave(0, self.door(), incarnation)), false, CALL_TIMEOUT_MS,
+            answer -> {
           if (answer instanceof Came) {
-            told.run();
+            onAcknowledged.run();
           } else {
-            loop.schedule(() -> ended(incarnation, told), AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> reportEnded(incarnation, onAcknowledged), RETRY_MS, TimeUnit.MILLISECONDS);
           }
         });
       }
@@ -189,43 +191,43 @@
   }
 
   /** The list of backends, whole, as this door has heard it. */
-  public void sight(long version, List<Command.Backend> backends) {
+  public void reportBackends(long version, List<Command.Backend> backends) {
     loop.execute(() -> {
-      sightVersion = version;
-      sight = List.copyOf(backends);
-      seen = sight;
-      on(new DoorEvent.BackendListChanged(Command.BackendListId.of(version, sight)));
-      tellSight();
+      backendsVersion = version;
+      unsentBackends = List.copyOf(backends);
+      lastBackends = unsentBackends;
+      handle(new DoorEvent.BackendListChanged(Command.BackendListId.of(version, unsentBackends)));
+      sendBackends();
     });
   }
 
   /** An operator asks here; answered within the second. */
-  public CompletableFuture<Outcome> ask(String request, Subject subject, String by, String reason,
+  public CompletableFuture<Outcome> requestPermit(String request, Subject subject, String by, String reason,
       boolean force) {
     CompletableFuture<Outcome> answer = new CompletableFuture<>();
     loop.execute(() -> {
-      CompletableFuture<Outcome> before = asked.putIfAbsent(request, answer);
+      CompletableFuture<Outcome> before = pendingRequests.putIfAbsent(request, answer);
       if (before != null) {
         before.whenComplete((outcome, failure) -> answer.complete(outcome));
       }
-      on(new DoorEvent.PermitRequested(request, subject, by, reason, force));
+      handle(new DoorEvent.PermitRequested(request, subject, by, reason, force));
     });
     return answer;
   }
 
   /** How all stands, by a majority's word; null where nobody says so in time. */
-  public CompletableFuture<Standing> look() {
-    CompletableFuture<Standing> answer = new CompletableFuture<>();
-    loop.execute(() -> link.ask(new Call.Look(), false, LOOK_LIMIT_MS,
+  public CompletableFuture<FleetStatus> status() {
+    CompletableFuture<FleetStatus> answer = new CompletableFuture<>();
+    loop.execute(() -> link.call(new Call.Look(), false, OPERATOR_TIMEOUT_MS,
         x -> answer.complete(x instanceof Answer.Stands e ? e.standing() : null)));
     return answer;
   }
 
   /** Gives a permit back; null where nobody says what came of it in time. */
-  public CompletableFuture<Outcome> giveBack(Subject subject, long permit, String by) {
+  public CompletableFuture<Outcome> returnPermit(Subject subject, long permit, String by) {
     CompletableFuture<Outcome> answer = new CompletableFuture<>();
-    loop.execute(() -> link.ask(new Call.Put(new Command.ReturnPermit(0, subject, permit, by)), false,
-        LOOK_LIMIT_MS,
+    loop.execute(() -> link.call(new Call.Put(new Command.ReturnPermit(0, subject, permit, by)), false,
+        OPERATOR_TIMEOUT_MS,
         x -> answer.complete(x instanceof Came e ? e.outcome() : null)));
     return answer;
   }
@@ -234,12 +236,12 @@
    * Completed when it is known which backends are out, by the stewards or by what one before this one kept.
    * A door that serves earlier may send to one that an operator was told is out.
    */
-  public CompletableFuture<Void> told() {
-    return told;
+  public CompletableFuture<Void> takenOutKnown() {
+    return takenOutKnown;
   }
 
   /** Whether what needs agreement may begin now. */
-  public boolean inContact() throws InterruptedException {
+  public boolean isInContact() throws InterruptedException {
     return loop.submit(() -> side.hasLease(now())).sync().getNow();
   }
 
@@ -253,10 +255,10 @@
       CompletableFuture<Answer> said = new CompletableFuture<>();
       loop.execute(() -> {
         closed = true;
-        link.ask(new Call.Put(new Command.Leave(0, self.door(), self.incarnation())), false, LIMIT_MS,
+        link.call(new Call.Put(new Command.Leave(0, self.door(), self.incarnation())), false, CALL_TIMEOUT_MS,
             said::complete);
       });
-      said.get(2 * LIMIT_MS, TimeUnit.MILLISECONDS);
+      said.get(2 * CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
@@ -270,7 +272,7 @@
     return System.nanoTime() / 1e6;
   }
 
-  private void on(DoorEvent event) {
+  private void handle(DoorEvent event) {
     if (!closed) {
       side.handle(now(), event).forEach(this::execute);
     }
@@ -278,59 +280,59 @@
 
   private void execute(DoorAction action) {
     if (action instanceof DoorAction.SendHeartbeat e) {
-      link.ask(new Call.Beat(e.heartbeat()), false, LIMIT_MS, answer -> {
+      link.call(new Call.Beat(e.heartbeat()), false, CALL_TIMEOUT_MS, answer -> {
         if (answer instanceof Seen seen) {
-          on(new DoorEvent.HeartbeatAnswered(e.heartbeat().number(), seen.view()));
+          handle(new DoorEvent.HeartbeatAnswered(e.heartbeat().number(), seen.view()));
         }
       });
     } else if (action instanceof DoorAction.SendJoin) {
       join();
     } else if (action instanceof DoorAction.SendBackendList) {
-      sight = seen;
-      tellSight();
+      unsentBackends = lastBackends;
+      sendBackends();
     } else if (action instanceof DoorAction.SendPermitRequest e) {
-      ask(e.request());
+      requestPermit(e.request());
     } else if (action instanceof DoorAction.AnswerOperator e) {
-      CompletableFuture<Outcome> waiting = asked.remove(e.request());
+      CompletableFuture<Outcome> waiting = pendingRequests.remove(e.request());
       if (waiting != null) {
         waiting.complete(e.outcome());
       }
     } else if (action instanceof DoorAction.WakeAt e) {
-      wake(e.atMs());
+      scheduleWakeUp(e.atMs());
     } else if (action instanceof DoorAction.PersistOutBackends e) {
-      unsaved = e.out();
+      unsavedTakenOut = e.out();
       save();
     } else if (action instanceof DoorAction.AllowServing) {
-      told.complete(null);
+      takenOutKnown.complete(null);
     } else if (action instanceof DoorAction.TakeOut e) {
-      hands.takeOut(e.backend());
+      control.takeOut(e.backend());
     } else if (action instanceof DoorAction.PutBack e) {
-      hands.putBack(e.backend());
+      control.putBack(e.backend());
     } else if (action instanceof DoorAction.Drain) {
-      hands.drain();
+      control.drain();
     } else if (action instanceof DoorAction.Undrain) {
-      hands.undrain();
+      control.undrain();
     } else if (action instanceof DoorAction.StartSuccessor e) {
-      hands.replace(e.attempt(), e.version());
+      control.replace(e.attempt(), e.version());
     }
   }
 
   private void save() {
-    if (unsaved == null || closed) {
+    if (unsavedTakenOut == null || closed) {
       return;
     }
     try {
-      remembered.write(unsaved);
-      unsaved = null;
+      takenOutFiles.write(unsavedTakenOut);
+      unsavedTakenOut = null;
       if (generation > 0) {
-        remembered.alone();
+        takenOutFiles.deleteOthers();
       }
-      List<String> ready = List.copyOf(unsaid);
-      unsaid.clear();
-      ready.forEach(x -> on(new DoorEvent.BackendVacated(x)));
+      List<String> ready = List.copyOf(unreportedReleases);
+      unreportedReleases.clear();
+      ready.forEach(x -> handle(new DoorEvent.BackendVacated(x)));
     } catch (IOException e) {
       LOG.warning("what is out can't be kept, so no backend is said to be let go: " + e.getMessage());
-      loop.schedule(this::save, AGAIN_MS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::save, RETRY_MS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -339,57 +341,58 @@
    * still send to until the stewards hear that this one alone is left.
    */
   private void join() {
-    long said = generation;
-    link.ask(new Call.Put(new Command.Join(0, self.door(), self.incarnation(), self.zone(), self.weight(),
-        said, self.version())), false, LIMIT_MS, answer -> {
+    long sentGeneration = generation;
+    link.call(new Call.Put(new Command.Join(0, self.door(), self.incarnation(), self.zone(), self.weight(),
+        sentGeneration, self.version())), false, CALL_TIMEOUT_MS, answer -> {
           if (answer instanceof Came came && came.outcome() instanceof Outcome.Refused no) {
             LOG.warning("the stewards don't take this door: " + no.why());
           } else if (answer instanceof Came) {
-            known = true;
-          } else if (said == generation && !closed) {
+            registered = true;
+          } else if (sentGeneration == generation && !closed) {
             loop.schedule(() -> {
-              if (said == generation && !closed) {
+              if (sentGeneration == generation && !closed) {
                 join();
               }
-            }, AGAIN_MS, TimeUnit.MILLISECONDS);
+            }, RETRY_MS, TimeUnit.MILLISECONDS);
           }
         });
   }
 
-  private void ask(DoorEvent.PermitRequested e) {
-    link.ask(new Call
+  private void requestPermit(DoorEvent.PermitRequested e) {
+    link.call(new Call
         .Put(new Command.RequestPermit(0, e.request(), e.subject(), e.by(), e.reason(), e.force())), false,
-        LIMIT_MS, answer -> {
+        CALL_TIMEOUT_MS, answer -> {
           // Another answer leaves open what became of it: the door's side says so in its time.
           if (answer instanceof Came came) {
-            on(new DoorEvent.PermitAnswered(e.request(), came.outcome()));
+            handle(new DoorEvent.PermitAnswered(e.request(), came.outcome()));
           } else if (answer instanceof Failed failed) {
             LOG.info(e.request() + ": " + failed.why());
           }
         });
   }
 
-  private void tellSight() {
-    if (sight == null || sightUnderWay || closed) {
+  private void sendBackends() {
+    if (unsentBackends == null || sendingBackends || closed) {
       return;
     }
-    List<Command.Backend> told = sight;
-    sightUnderWay = true;
-    link.ask(new Call.Put(new Command.UpdateBackends(0, sightVersion, told)), false, LIMIT_MS, answer -> {
-      sightUnderWay = false;
-      if (answer instanceof Came && sight == told) {
-        sight = null;
+    List<Command.Backend> sent = unsentBackends;
+    sendingBackends = true;
+    link.call(new Call.Put(new Command.UpdateBackends(0, backendsVersion, sent)), false, CALL_TIMEOUT_MS,
+        answer -> {
+      sendingBackends = false;
+      if (answer instanceof Came && unsentBackends == sent) {
+        unsentBackends = null;
       } else {
-        loop.schedule(this::tellSight, AGAIN_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::sendBackends, RETRY_MS, TimeUnit.MILLISECONDS);
       }
     });
   }
 
-  private void wake(double atMs) {
+  private void scheduleWakeUp(double atMs) {
     wakeAt = atMs;
     loop.schedule(() -> {
       if (wakeAt == atMs) {
-        on(new DoorEvent.TimerFired());
+        handle(new DoorEvent.TimerFired());
       }
     }, (long) Math.ceil(Math.max(0, atMs - now()) * 1_000) + 1, TimeUnit.MICROSECONDS);
   }
--- a/steward/src/main/java/willowdoor/steward/link/Standing.java
+++ b/steward/src/main/java/willowdoor/steward/link/FleetStatus.java
@@ -21,13 +21,14 @@
  * @param notes what was written down, the oldest first
  * @param releases the last ones, the one under way last
  */
-public record Standing(String leader, long index, FleetSettings terms, int doors, int doorsOut, int backends,
+public record FleetStatus(String leader, long index, FleetSettings terms, int doors, int doorsOut,
+    int backends,
     int backendsOut, List<DoorProcessState> lives, List<Permit> permits, List<List<String>> held,
     List<Note> notes,
     List<Release> releases) {
 
   /** Keeps copies. */
-  public Standing {
+  public FleetStatus {
     lives = List.copyOf(lives);
     permits = List.copyOf(permits);
     held = held.stream().map(List::copyOf).toList();
--- a/steward/src/main/java/willowdoor/steward/link/LinkClient.java
+++ b/steward/src/main/java/willowdoor/steward/link/LinkClient.java
@@ -33,66 +33,67 @@
  *
  * <p>A connection that tells nothing is no better than none: where a call has no answer in its time, another
  * steward is turned to. Each call has exactly one answer, of a steward or that it failed here. At most
- * {@value #MOST_ASKED} wait; what doesn't fit the connection is not sent.
+ * {@value #MAX_PENDING_CALLS} wait; what doesn't fit the connection is not sent.
  */
 final class LinkClient {
 
-  static final int MOST_ASKED = 1_000;
+  static final int MAX_PENDING_CALLS = 1_000;
   /** So many bytes may wait for a peer that reads nothing. */
-  static final WriteBufferWaterMark MOST_WAITING = new WriteBufferWaterMark(1 << 20, 4 << 20);
+  static final WriteBufferWaterMark WRITE_BUFFER_LIMITS = new WriteBufferWaterMark(1 << 20, 4 << 20);
   private static final Logger LOG = Logger.getLogger(LinkClient.class.getName());
-  private static final int CONNECT_LIMIT_MS = 500;
-  private static final int HELLO_LIMIT_MS = 1_000;
-  private static final double LEAST_BACKOFF_MS = 20;
-  private static final double MOST_BACKOFF_MS = 400;
+  private static final int CONNECT_TIMEOUT_MS = 500;
+  private static final int HELLO_TIMEOUT_MS = 1_000;
+  private static final double MIN_BACKOFF_MS = 20;
+  private static final double MAX_BACKOFF_MS = 400;
 
-  private record Waiting(Consumer<Answer> then, Future<?> limit) { }
+  private record PendingCall(Consumer<Answer> callback, Future<?> timeout) { }
 
   private final EventLoop loop;
   private final List<InetSocketAddress> stewards;
   private final Hello hello;
-  private final int mostFrame;
+  private final int maxFrameBytes;
   private final Bootstrap bootstrap;
-  private final Map<Long, Waiting> asked = new HashMap<>();
-  private int at;
-  private double backoffMs = LEAST_BACKOFF_MS;
+  private final Map<Long, PendingCall> pendingCalls = new HashMap<>();
+  private int stewardIndex;
+  private double backoffMs = MIN_BACKOFF_MS;
   private long lastId;
   /** Null while there is none that may be used. */
   private Channel channel;
-  private Channel dialling;
+  private Channel connecting;
   private boolean closed;
   private String refusal = "";
-  private Runnable connected = () -> { };
+  private Runnable onConnected = () -> { };
 
   LinkClient(EventLoop loop, List<InetSocketAddress> stewards, Hello hello) {
     this.loop = loop;
     this.stewards = List.copyOf(stewards);
     this.hello = hello;
-    mostFrame = Frames.MOST_CALL;
-    at = ThreadLocalRandom.current().nextInt(stewards.size());
+    maxFrameBytes = FrameCodec.MAX_CALL_BYTES;
+    stewardIndex = ThreadLocalRandom.current().nextInt(stewards.size());
     bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_LIMIT_MS)
-        .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.WRITE_BUFFER_WATER_MARK, MOST_WAITING)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+        .option(ChannelOption.TCP_NODELAY, true)
+        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_LIMITS)
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel ch) {
-            Frames.add(ch.pipeline());
-            Frames.allow(ch.pipeline(), mostFrame);
-            ch.pipeline().addLast(new Link());
+            FrameCodec.addTo(ch.pipeline());
+            FrameCodec.setMaxLength(ch.pipeline(), maxFrameBytes);
+            ch.pipeline().addLast(new ConnectionHandler());
           }
         });
   }
 
   /** Runs it on each new connection that may be used. */
-  void whenConnected(Runnable then) {
-    connected = then;
+  void whenConnected(Runnable callback) {
+    onConnected = callback;
   }
 
   void start() {
-    dial();
+    connect();
   }
 
-  boolean usable() {
+  boolean isUsable() {
     return channel != null;
   }
 
@@ -104,14 +105,14 @@
   /** Ends the connection; what waits fails. */
   void close() {
     closed = true;
-    if (dialling != null) {
-      dialling.close();
+    if (connecting != null) {
+      connecting.close();
     }
     failAll("this process ends");
   }
 
   /** Passes on a message between stewards, or drops it: they are made for that. */
-  void pass(byte[] message) {
+  void sendToSteward(byte[] message) {
     if (channel != null && channel.isWritable()) {
       channel.writeAndFlush(message);
     }
@@ -120,87 +121,87 @@
   /**
    * Asks.
    *
-   * @param limitMs with no answer until then it has failed, and another steward is turned to
+   * @param timeoutMs with no answer until then it has failed, and another steward is turned to
    */
-  void ask(Call call, boolean passedOn, long limitMs, Consumer<Answer> then) {
-    if (channel == null || !channel.isWritable() || asked.size() >= MOST_ASKED) {
-      then.accept(new Failed(channel == null ? "no steward of " + stewards + " is reached"
+  void call(Call call, boolean passedOn, long timeoutMs, Consumer<Answer> callback) {
+    if (channel == null || !channel.isWritable() || pendingCalls.size() >= MAX_PENDING_CALLS) {
+      callback.accept(new Failed(channel == null ? "no steward of " + stewards + " is reached"
           + (refusal.isEmpty() ? "" : ": " + refusal) : "the link is full", true));
       return;
     }
     long id = ++lastId;
-    asked.put(id, new Waiting(then, loop.schedule(() -> overdue(id, limitMs), limitMs,
+    pendingCalls.put(id, new PendingCall(callback, loop.schedule(() -> timeOut(id, timeoutMs), timeoutMs,
         TimeUnit.MILLISECONDS)));
     channel.writeAndFlush(new Ask(id, passedOn, call));
   }
 
-  private void overdue(long id, long limitMs) {
-    Waiting waiting = asked.remove(id);
+  private void timeOut(long id, long timeoutMs) {
+    PendingCall waiting = pendingCalls.remove(id);
     if (waiting != null) {
       Channel silent = channel;
-      waiting.then.accept(new Failed("no answer within " + limitMs + " ms", true));
+      waiting.callback.accept(new Failed("no answer within " + timeoutMs + " ms", true));
       if (silent != null && silent == channel) {
         silent.close();
       }
     }
   }
 
-  private void dial() {
+  private void connect() {
     if (closed || loop.isShuttingDown()) {
       return;
     }
-    InetSocketAddress steward = stewards.get(at);
+    InetSocketAddress steward = stewards.get(stewardIndex);
     ChannelFuture dialled = bootstrap.connect(steward);
-    dialling = dialled.channel();
+    connecting = dialled.channel();
     dialled.addListener((ChannelFuture f) -> f.channel().closeFuture().addListener(ended -> {
       if (channel == f.channel()) {
         channel = null;
         failAll("the connection to the steward at " + steward + " ended");
       }
-      at = (at + 1) % stewards.size();
+      stewardIndex = (stewardIndex + 1) % stewards.size();
       double wait = backoffMs * (0.5 + ThreadLocalRandom.current().nextDouble());
-      backoffMs = Math.min(MOST_BACKOFF_MS, backoffMs * 2);
+      backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
       if (!loop.isShuttingDown()) {
-        loop.schedule(this::dial, (long) wait, TimeUnit.MILLISECONDS);
+        loop.schedule(this::connect, (long) wait, TimeUnit.MILLISECONDS);
       }
     }));
   }
 
   private void failAll(String why) {
-    List<Waiting> all = List.copyOf(asked.values());
-    asked.clear();
-    for (Waiting waiting : all) {
-      waiting.limit.cancel(false);
-      waiting.then.accept(new Failed(why, true));
+    List<PendingCall> all = List.copyOf(pendingCalls.values());
+    pendingCalls.clear();
+    for (PendingCall waiting : all) {
+      waiting.timeout.cancel(false);
+      waiting.callback.accept(new Failed(why, true));
     }
   }
 
-  private final class Link extends SimpleChannelInboundHandler<LinkMessage> {
-    private boolean welcome;
+  private final class ConnectionHandler extends SimpleChannelInboundHandler<LinkMessage> {
+    private boolean welcomed;
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       ctx.writeAndFlush(hello);
       ctx.executor().schedule(() -> {
-        if (!welcome) {
+        if (!welcomed) {
           ctx.close();
         }
-      }, HELLO_LIMIT_MS, TimeUnit.MILLISECONDS);
+      }, HELLO_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, LinkMessage message) {
-      if (message instanceof Welcome && !welcome) {
-        welcome = true;
+      if (message instanceof Welcome && !welcomed) {
+        welcomed = true;
         refusal = "";
-        backoffMs = LEAST_BACKOFF_MS;
+        backoffMs = MIN_BACKOFF_MS;
         channel = ctx.channel();
-        connected.run();
+        onConnected.run();
       } else if (message instanceof Reply e) {
-        Waiting waiting = asked.remove(e.id());
+        PendingCall waiting = pendingCalls.remove(e.id());
         if (waiting != null) {
-          waiting.limit.cancel(false);
-          waiting.then.accept(e.answer());
+          waiting.timeout.cancel(false);
+          waiting.callback.accept(e.answer());
         }
       } else if (message instanceof Refused e) {
         if (!refusal.equals(e.why())) {
--- a/steward/src/main/java/willowdoor/steward/link/Operator.java
+++ b/steward/src/main/java/willowdoor/steward/link/OperatorClient.java
@@ -16,17 +16,17 @@
 import willowdoor.steward.link.LinkMessage.Role;
 
 /** An operator's command at the stewards: asks until one answers, or the time is up. */
-public final class Operator implements AutoCloseable {
+public final class OperatorClient implements AutoCloseable {
 
-  private static final long CALL_LIMIT_MS = 1_000;
-  private static final long AGAIN_MS = 30;
+  private static final long CALL_TIMEOUT_MS = 1_000;
+  private static final long RETRY_MS = 30;
 
-  private final EventLoopGroup group = OneThread.named("operator");
+  private final EventLoopGroup group = SingleThreadLoop.create("operator");
   private final EventLoop loop = group.next();
   private final LinkClient link;
 
   /** One who is called by that name, at any of these stewards. */
-  public Operator(String group, String by, List<InetSocketAddress> stewards) {
+  public OperatorClient(String group, String by, List<InetSocketAddress> stewards) {
     link = new LinkClient(loop, stewards, new Hello(LinkMessage.OLDEST, LinkMessage.VERSION, group,
         Role.OPERATOR, by, ""));
     loop.execute(link::start);
@@ -38,12 +38,13 @@
   }
 
   /** Has a steward's part changed. */
-  public Answer part(StewardId who, Steward.Change change, long limitMs) throws InterruptedException {
+  public Answer changeMembership(StewardId who, Steward.MembershipChange change,
+      long limitMs) throws InterruptedException {
     return call(new Call.Part(who, change), limitMs);
   }
 
   /** How all stands, by a majority's word. */
-  public Answer look(long limitMs) throws InterruptedException {
+  public Answer status(long limitMs) throws InterruptedException {
     return call(new Call.Look(), limitMs);
   }
 
@@ -52,18 +53,18 @@
     long until = System.nanoTime() + limitMs * 1_000_000;
     loop.execute(() -> attempt(call, until, answer));
     try {
-      return answer.get(limitMs + 2 * CALL_LIMIT_MS, TimeUnit.MILLISECONDS);
+      return answer.get(limitMs + 2 * CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
       return new Failed("no answer within " + limitMs + " ms", true);
     }
   }
 
   private void attempt(Call call, long until, CompletableFuture<Answer> answer) {
-    link.ask(call, false, CALL_LIMIT_MS, came -> {
-      if (came instanceof Failed failed && failed.again() && System.nanoTime() < until) {
-        loop.schedule(() -> attempt(call, until, answer), AGAIN_MS, TimeUnit.MILLISECONDS);
+    link.call(call, false, CALL_TIMEOUT_MS, result -> {
+      if (result instanceof Failed failed && failed.again() && System.nanoTime() < until) {
+        loop.schedule(() -> attempt(call, until, answer), RETRY_MS, TimeUnit.MILLISECONDS);
       } else {
-        answer.complete(came);
+        answer.complete(result);
       }
     });
   }
--- a/steward/src/main/java/willowdoor/steward/link/OneThread.java
+++ b/steward/src/main/java/willowdoor/steward/link/SingleThreadLoop.java
@@ -6,12 +6,12 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 
 /** Loops of one thread that doesn't keep a process alive. */
-final class OneThread {
+final class SingleThreadLoop {
 
-  private OneThread() {
+  private SingleThreadLoop() {
   }
 
-  static EventLoopGroup named(String name) {
+  static EventLoopGroup create(String name) {
     return new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(name, true),
         NioIoHandler.newFactory());
   }
