--- a/steward/src/main/java/willowdoor/steward/link/StewardProcess.java
+++ b/steward/src/main/java/willowdoor/steward/link/StewardProcess.java
@@ -29,7 +29,7 @@
 import willowdoor.steward.DiskStore;
 import willowdoor.steward.Steward;
 import willowdoor.steward.StewardId;
-import willowdoor.steward.Surroundings;
+import willowdoor.steward.StewardEnvironment;
 import willowdoor.steward.link.Answer.Came;
 import willowdoor.steward.link.Answer.Failed;
 import willowdoor.steward.link.Answer.Seen;
@@ -46,18 +46,18 @@
  * <p>Whoever asks may ask any steward: one that doesn't lead passes the call on to the one that does, once.
  * Heartbeats that come close together are agreed on together.
  */
-public final class StewardProcess implements AutoCloseable, StewardServer.Host {
+public final class StewardProcess implements AutoCloseable, StewardServer.Handler {
 
   /**
    * What an operator says of a steward.
    *
    * @param group the fleet's name, the same at all of its stewards and doors
    * @param members those who begin the record together, with their addresses, this one among them
-   * @param first the terms of a record that was told none yet
+   * @param initialTerms the terms of a record that was told none yet
    * @param start what is known of its disk
    */
   public record Settings(String group, StewardId self, InetSocketAddress listen, Path store,
-      Map<StewardId, InetSocketAddress> members, FleetSettings first, Start start) {
+      Map<StewardId, InetSocketAddress> members, FleetSettings initialTerms, Start start) {
 
     /** Keeps a copy. */
     public Settings {
@@ -77,33 +77,33 @@
 
   private static final Logger LOG = Logger.getLogger(StewardProcess.class.getName());
   /** Heartbeats wait so long for others. */
-  private static final long GATHER_MS = 20;
-  private static final int MOST_TOGETHER = 100;
+  private static final long BATCH_DELAY_MS = 20;
+  private static final int MAX_BATCH_HEARTBEATS = 100;
   /** Of heartbeats that wait; one more has failed. */
-  private static final int MOST_GATHERED = 2_000;
-  private static final long PASS_ON_LIMIT_MS = 800;
-  private static final int SNAPSHOT_AFTER = 10_000;
-  private static final long LOOK_MS = 100;
+  private static final int MAX_PENDING_HEARTBEATS = 2_000;
+  private static final long FORWARD_TIMEOUT_MS = 800;
+  private static final int SNAPSHOT_AFTER_COMMANDS = 10_000;
+  private static final long HEALTH_CHECK_MS = 100;
   private static final long PING_MS = 500;
-  private static final long PING_LIMIT_MS = 2_000;
+  private static final long PING_TIMEOUT_MS = 2_000;
   /** The others are asked for so long what this one has promised them, before it takes part. */
-  private static final long RECALL_MS = 2_000;
-  private static final long RECALL_AGAIN_MS = 50;
+  private static final long RECALL_TIMEOUT_MS = 2_000;
+  private static final long RECALL_RETRY_MS = 50;
 
-  private record Gathered(Command.Heartbeat beat, Consumer<Answer> answer) { }
+  private record PendingHeartbeat(Command.Heartbeat heartbeat, Consumer<Answer> callback) { }
 
   private final Settings settings;
-  private final EventLoopGroup group = OneThread.named("steward");
+  private final EventLoopGroup group = SingleThreadLoop.create("steward");
   private final EventLoop loop = group.next();
   private final DiskStore store;
   private final Map<StewardId, LinkClient> links = new HashMap<>();
   private final Map<StewardId, InetSocketAddress> addresses = new HashMap<>();
-  private final List<Gathered> gathered = new ArrayList<>();
+  private final List<PendingHeartbeat> pendingHeartbeats = new ArrayList<>();
   private final CompletableFuture<Integer> ended = new CompletableFuture<>();
   private Steward steward;
   private StewardServer server;
-  private final Set<StewardId> recalling = new HashSet<>();
-  private boolean takesPart;
+  private final Set<StewardId> unansweredRecalls = new HashSet<>();
+  private boolean participating;
 
   /**
    * Takes part from here on.
@@ -128,12 +128,12 @@
   }
 
   private void start() throws IOException, InterruptedException {
-    settings.members().forEach(this::link);
+    settings.members().forEach(this::addLink);
     Set<StewardId> first = new HashSet<>(settings.members().keySet());
     if (settings.start() == Start.JOIN) {
       first.remove(settings.self());
     }
-    steward = new Steward(settings.self(), first, settings.first(), new Surroundings() {
+    steward = new Steward(settings.self(), first, settings.initialTerms(), new StewardEnvironment() {
       private final Random random = new Random();
 
       @Override
@@ -142,7 +142,7 @@
       }
 
       @Override
-      public void later(double delayMs, Runnable task) {
+      public void schedule(double delayMs, Runnable task) {
         if (!loop.isShuttingDown()) {
           loop.schedule(task, (long) (delayMs * 1_000), TimeUnit.MICROSECONDS);
         }
@@ -155,63 +155,65 @@
     }, (to, message) -> {
       LinkClient link = links.get(to);
       if (link != null) {
-        link.pass(message);
+        link.sendToSteward(message);
       }
-    }, to -> links.containsKey(to) && links.get(to).usable(), SNAPSHOT_AFTER, store);
+    }, to -> links.containsKey(to) && links.get(to).isUsable(), SNAPSHOT_AFTER_COMMANDS, store);
     server = new StewardServer(loop, settings.listen(), settings.group(), settings.self().name(), this);
     loop.submit(() -> {
       links.values().forEach(LinkClient::start);
-      recalling.addAll(links.keySet());
-      List.copyOf(recalling).forEach(this::recall);
-      loop.schedule(this::takePart, recalling.isEmpty() ? 0 : RECALL_MS, TimeUnit.MILLISECONDS);
+      unansweredRecalls.addAll(links.keySet());
+      List.copyOf(unansweredRecalls).forEach(this::recall);
+      loop.schedule(this::participate, unansweredRecalls.isEmpty() ? 0 : RECALL_TIMEOUT_MS,
+          TimeUnit.MILLISECONDS);
     }).sync();
-    loop.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(this::checkHealth, HEALTH_CHECK_MS, HEALTH_CHECK_MS, TimeUnit.MILLISECONDS);
     loop.scheduleWithFixedDelay(this::ping, PING_MS, PING_MS, TimeUnit.MILLISECONDS);
   }
 
   /** Asks until it is answered, or this one takes part without the answer. */
   private void recall(StewardId other) {
-    links.get(other).ask(new Call.Recall(settings.self()), false, PING_LIMIT_MS, answer -> {
-      if (takesPart || ended.isDone()) {
+    links.get(other).call(new Call.Recall(settings.self()), false, PING_TIMEOUT_MS, answer -> {
+      if (participating || ended.isDone()) {
         return;
       }
       if (!(answer instanceof Answer.Recalled e)) {
-        loop.schedule(() -> recall(other), RECALL_AGAIN_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> recall(other), RECALL_RETRY_MS, TimeUnit.MILLISECONDS);
         return;
       }
-      recalling.remove(other);
-      String lacks = lacks(new DiskStore.Progress(e.term(), e.index()));
+      unansweredRecalls.remove(other);
+      String lacks = missingFromDisk(new DiskStore.Progress(e.term(), e.index()));
       if (lacks != null) {
         LOG.severe("steward " + settings.self().name() + " can't take part: by steward " + other.name() + ", "
             + lacks + ". It is an older copy, or new; if it is all there is, count its disk number up, --join"
             + " with that, and have the others add it");
         ended.complete(1);
-      } else if (recalling.isEmpty()) {
-        takePart();
+      } else if (unansweredRecalls.isEmpty()) {
+        participate();
       }
     });
   }
 
-  private String lacks(DiskStore.Progress promised) {
+  private String missingFromDisk(DiskStore.Progress promised) {
     try {
-      return steward.lacks(promised);
+      return steward.missingFromDisk(promised);
     } catch (IOException e) {
       return e.getMessage();
     }
   }
 
-  private void takePart() {
-    if (takesPart || ended.isDone()) {
+  private void participate() {
+    if (participating || ended.isDone()) {
       return;
     }
-    takesPart = true;
-    if (!recalling.isEmpty()) {
-      LOG.warning("takes part without the word of " + recalling + ", whether its disk is the last one");
+    participating = true;
+    if (!unansweredRecalls.isEmpty()) {
+      LOG.warning("takes part without the word of " + unansweredRecalls
+          + ", whether its disk is the last one");
     }
     steward.start();
   }
 
-  private LinkClient link(StewardId other, InetSocketAddress address) {
+  private LinkClient addLink(StewardId other, InetSocketAddress address) {
     if (other.equals(settings.self())) {
       return null;
     }
@@ -233,7 +235,7 @@
   public void reload(Map<StewardId, InetSocketAddress> members) {
     loop.execute(() -> members.forEach((other, address) -> {
       if (!address.equals(addresses.get(other))) {
-        LinkClient link = link(other, address);
+        LinkClient link = addLink(other, address);
         if (link != null) {
           link.start();
         }
@@ -246,12 +248,12 @@
    * would be written into for minutes. A link that doesn't answer in time is begun again.
    */
   private void ping() {
-    links.values().stream().filter(LinkClient::usable)
-        .forEach(x -> x.ask(new Call.Ping(), false, PING_LIMIT_MS, answer -> { }));
+    links.values().stream().filter(LinkClient::isUsable)
+        .forEach(x -> x.call(new Call.Ping(), false, PING_TIMEOUT_MS, answer -> { }));
   }
 
-  private void look() {
-    if (steward.ended() && !ended.isDone()) {
+  private void checkHealth() {
+    if (steward.hasEnded() && !ended.isDone()) {
       LOG.severe("steward " + settings.self().name() + " can't go on: its disk failed, or the others have put"
           + " it out");
       ended.complete(1);
@@ -290,7 +292,7 @@
   }
 
   @Override
-  public String refuses(Hello hello) {
+  public String refusalReason(Hello hello) {
     if (hello.role() != Role.STEWARD) {
       return hello.name().isEmpty() ? "no name was told" : null;
     }
@@ -304,8 +306,8 @@
   }
 
   @Override
-  public void passed(byte[] message) {
-    if (!takesPart) {
+  public void onStewardMessage(byte[] message) {
+    if (!participating) {
       return;
     }
     try {
@@ -316,25 +318,25 @@
   }
 
   @Override
-  public void asked(Hello by, Ask ask, Consumer<Answer> answer) {
-    String why = notAllowed(by, ask);
+  public void onCall(Hello by, Ask ask, Consumer<Answer> answer) {
+    String why = denialReason(by, ask);
     if (ask.call() instanceof Call.Ping) {
       answer.accept(new Came(new Outcome.Done()));
     } else if (ask.call() instanceof Call.Recall e) {
-      DiskStore.Progress heard = steward.heard(e.who());
+      DiskStore.Progress heard = steward.acknowledgedBy(e.who());
       answer.accept(heard == null ? new Answer.Recalled(0, 0) : new Answer.Recalled(heard.term(),
           heard.index()));
     } else if (why != null) {
       answer.accept(new Failed(why, false));
-    } else if (steward.leads()) {
-      lead(ask.call(), answer);
+    } else if (steward.isLeader()) {
+      handleAsLeader(ask.call(), answer);
     } else {
-      passOn(ask, answer);
+      forward(ask, answer);
     }
   }
 
   /** A door speaks for itself only; an operator for no door; what leaders say nobody else does. */
-  private static String notAllowed(Hello by, Ask ask) {
+  private static String denialReason(Hello by, Ask ask) {
     if (by.role() == Role.STEWARD) {
       return ask.passedOn() ? null : "a steward only passes on";
     }
@@ -361,25 +363,26 @@
     return allowed ? null : "a " + c.getClass().getSimpleName() + " is not for " + by.name() + " to ask for";
   }
 
-  private void passOn(Ask ask, Consumer<Answer> answer) {
+  private void forward(Ask ask, Consumer<Answer> answer) {
     LinkClient link = steward.leader() == null ? null : links.get(steward.leader());
     if (link == null || ask.passedOn()) {
       answer.accept(new Failed("steward " + settings.self().name() + (steward.leader() == null
           ? " knows no leader" : " doesn't lead"), true));
     } else {
-      link.ask(ask.call(), true, PASS_ON_LIMIT_MS, answer);
+      link.call(ask.call(), true, FORWARD_TIMEOUT_MS, answer);
     }
   }
 
-  private void lead(Call call, Consumer<Answer> answer) {
+  private void handleAsLeader(Call call, Consumer<Answer> answer) {
     if (call instanceof Call.Beat e) {
-      gather(new Gathered(e.beat(), answer));
+      enqueueHeartbeat(new PendingHeartbeat(e.beat(), answer));
     } else if (call instanceof Call.Put e) {
       propose(e.command()::withLeaderTime, outcome -> answer.accept(new Came(outcome)), answer);
     } else if (call instanceof Call.Part e) {
-      answered(steward.change(e.who(), e.change()), voting -> answer.accept(new Votes(voting)), answer);
+      whenAgreed(steward.changeMembership(e.who(), e.change()), voting -> answer.accept(new Votes(voting)),
+          answer);
     } else {
-      propose(Command.Tick::new, outcome -> answer.accept(new Stands(standing())), answer);
+      propose(Command.Tick::new, outcome -> answer.accept(new Stands(status())), answer);
     }
   }
 
@@ -392,10 +395,10 @@
       failed.accept(new Failed(e.getMessage(), false));
       return;
     }
-    answered(agreed, then, failed);
+    whenAgreed(agreed, then, failed);
   }
 
-  private <T> void answered(CompletableFuture<T> agreed, Consumer<T> then, Consumer<Answer> failed) {
+  private <T> void whenAgreed(CompletableFuture<T> agreed, Consumer<T> then, Consumer<Answer> failed) {
     agreed.whenComplete((outcome, failure) -> {
       if (failure == null) {
         then.accept(outcome);
@@ -406,34 +409,36 @@
     });
   }
 
-  private void gather(Gathered beat) {
-    if (gathered.size() >= MOST_GATHERED) {
-      beat.answer().accept(new Failed(MOST_GATHERED + " heartbeats wait already", true));
+  private void enqueueHeartbeat(PendingHeartbeat beat) {
+    if (pendingHeartbeats.size() >= MAX_PENDING_HEARTBEATS) {
+      beat.callback().accept(new Failed(MAX_PENDING_HEARTBEATS + " heartbeats wait already", true));
       return;
     }
-    gathered.add(beat);
-    if (gathered.size() == 1) {
-      loop.schedule(this::sayGathered, GATHER_MS, TimeUnit.MILLISECONDS);
+    pendingHeartbeats.add(beat);
+    if (pendingHeartbeats.size() == 1) {
+      loop.schedule(this::proposeHeartbeats, BATCH_DELAY_MS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void sayGathered() {
-    for (int from = 0; from < gathered.size(); from += MOST_TOGETHER) {
-      List<Gathered> some = List.copyOf(gathered.subList(from, Math.min(gathered.size(), from
-          + MOST_TOGETHER)));
-      List<Command.Heartbeat> beats = some.stream().map(Gathered::beat).toList();
+  private void proposeHeartbeats() {
+    for (int from = 0; from < pendingHeartbeats.size(); from += MAX_BATCH_HEARTBEATS) {
+      List<PendingHeartbeat> some = List
+          .copyOf(pendingHeartbeats.subList(from, Math.min(pendingHeartbeats.size(), from
+          + MAX_BATCH_HEARTBEATS)));
+      List<Command.Heartbeat> beats = some.stream().map(PendingHeartbeat::heartbeat).toList();
       propose(at -> new Command.Heartbeats(at, beats), outcome -> {
         double leaseMs = outcome instanceof Outcome.HeartbeatsRecorded e ? e.leaseMs() : 0;
-        for (Gathered g : some) {
-          g.answer().accept(new Seen(steward.record().view(g.beat().door(), g.beat().incarnation(),
+        for (PendingHeartbeat g : some) {
+          g.callback().accept(
+              new Seen(steward.record().view(g.heartbeat().door(), g.heartbeat().incarnation(),
               leaseMs)));
         }
-      }, failed -> some.forEach(g -> g.answer().accept(failed)));
+      }, failed -> some.forEach(g -> g.callback().accept(failed)));
     }
-    gathered.clear();
+    pendingHeartbeats.clear();
   }
 
-  private Standing standing() {
+  private FleetStatus status() {
     FleetStateMachine record = steward.record();
     State state = record.state();
     Set<String> doors = new HashSet<>();
@@ -442,7 +447,7 @@
     state.permits()
         .forEach(x -> held.put(x, x.subject().kind() == Kind.BACKEND ? record.blockingProcesses(x.subject())
         : List.of()));
-    return new Standing(settings.self().name(), state.index(), state.terms(), doors.size(),
+    return new FleetStatus(settings.self().name(), state.index(), state.terms(), doors.size(),
         record.out(Kind.DOOR), state.backends().size(), record.out(Kind.BACKEND), state.lives(),
         state.permits(), List.copyOf(held.values()), state.notes(), state.releases());
   }
--- a/steward/src/main/java/willowdoor/steward/link/StewardServer.java
+++ b/steward/src/main/java/willowdoor/steward/link/StewardServer.java
@@ -27,51 +27,52 @@
 
 /**
  * The side of links that takes them. Guards against what is no link, or one of another fleet or version: it
- * is told so and ended. Bounds: {@value #MOST_LINKS} connections; a hello within {@value #HELLO_LIMIT_MS} ms;
+ * is told so and ended. Bounds: {@value #MAX_CONNECTIONS} connections; a hello within {@value
+ * #HELLO_TIMEOUT_MS} ms;
  * who doesn't read the answers is ended.
  */
 final class StewardServer {
 
-  static final int MOST_LINKS = 2_000;
-  static final int HELLO_LIMIT_MS = 2_000;
+  static final int MAX_CONNECTIONS = 2_000;
+  static final int HELLO_TIMEOUT_MS = 2_000;
   /** Doors beat several times in each lease; one that says nothing for so long is gone. */
-  private static final int SILENT_S = 30;
+  private static final int IDLE_TIMEOUT_S = 30;
   private static final Logger LOG = Logger.getLogger(StewardServer.class.getName());
 
   /** Who works on what comes. */
-  interface Host {
+  interface Handler {
     /** Why this one may not, or null. */
-    String refuses(Hello hello);
+    String refusalReason(Hello hello);
 
     /** What another steward sent. */
-    void passed(byte[] message);
+    void onStewardMessage(byte[] message);
 
     /** A call; its answer is given once, on the loop. */
-    void asked(Hello by, Ask ask, java.util.function.Consumer<Answer> answer);
+    void onCall(Hello by, Ask ask, java.util.function.Consumer<Answer> answer);
   }
 
   private final String name;
   private final String group;
-  private final Host host;
-  private final Channel listening;
-  private int links;
+  private final Handler handler;
+  private final Channel serverChannel;
+  private int connections;
   /** By steward: a new connection of it is the one it uses. */
-  private final Map<String, Channel> stewards = new HashMap<>();
+  private final Map<String, Channel> stewardChannels = new HashMap<>();
 
-  StewardServer(EventLoop loop, InetSocketAddress listen, String group, String name, Host host)
+  StewardServer(EventLoop loop, InetSocketAddress listen, String group, String name, Handler handler)
       throws IOException, InterruptedException {
     this.group = group;
     this.name = name;
-    this.host = host;
+    this.handler = handler;
     try {
-      listening = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+      serverChannel = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
           .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
-          .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, LinkClient.MOST_WAITING)
+          .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, LinkClient.WRITE_BUFFER_LIMITS)
           .childHandler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel ch) {
-              Frames.add(ch.pipeline());
-              ch.pipeline().addLast(new Link());
+              FrameCodec.addTo(ch.pipeline());
+              ch.pipeline().addLast(new ConnectionHandler());
             }
           }).bind(listen).sync().channel();
     } catch (InterruptedException e) {
@@ -82,24 +83,24 @@
   }
 
   InetSocketAddress address() {
-    return (InetSocketAddress) listening.localAddress();
+    return (InetSocketAddress) serverChannel.localAddress();
   }
 
-  private final class Link extends SimpleChannelInboundHandler<Object> {
+  private final class ConnectionHandler extends SimpleChannelInboundHandler<Object> {
     private Hello hello;
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      ctx.channel().closeFuture().addListener(ended -> links--);
-      if (++links > MOST_LINKS) {
-        refuse(ctx, MOST_LINKS + " links are open already");
+      ctx.channel().closeFuture().addListener(ended -> connections--);
+      if (++connections > MAX_CONNECTIONS) {
+        refuse(ctx, MAX_CONNECTIONS + " links are open already");
         return;
       }
       ctx.executor().schedule(() -> {
         if (hello == null) {
-          refuse(ctx, "no hello within " + HELLO_LIMIT_MS + " ms");
+          refuse(ctx, "no hello within " + HELLO_TIMEOUT_MS + " ms");
         }
-      }, HELLO_LIMIT_MS, TimeUnit.MILLISECONDS);
+      }, HELLO_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -107,9 +108,9 @@
       if (hello == null) {
         hello(ctx, message);
       } else if (message instanceof byte[] bytes && hello.role() == Role.STEWARD) {
-        host.passed(bytes);
+        handler.onStewardMessage(bytes);
       } else if (message instanceof Ask e) {
-        host.asked(hello, e, answer -> reply(ctx, new Reply(e.id(), answer)));
+        handler.onCall(hello, e, answer -> reply(ctx, new Reply(e.id(), answer)));
       } else {
         refuse(ctx, "not understood: " + (message instanceof byte[] ? "a message between stewards"
             : message));
@@ -126,20 +127,21 @@
           + " to " + e.most()
           + " (expected: one from " + LinkMessage.OLDEST + " to " + LinkMessage.VERSION + ")"
           : !e.group().equals(group) ? "this is a steward of \"" + group + "\", not of \"" + e.group() + '"'
-          : host.refuses(e);
+          : handler.refusalReason(e);
       if (why != null) {
         refuse(ctx, why);
         return;
       }
       hello = e;
-      Frames.allow(ctx.pipeline(), e.role() == Role.STEWARD ? Frames.MOST_STEWARDS : Frames.MOST_CALL);
+      FrameCodec.setMaxLength(ctx.pipeline(),
+          e.role() == Role.STEWARD ? FrameCodec.MAX_STEWARD_BYTES : FrameCodec.MAX_CALL_BYTES);
       if (e.role() == Role.STEWARD) {
-        Channel before = stewards.put(e.name(), ctx.channel());
+        Channel before = stewardChannels.put(e.name(), ctx.channel());
         if (before != null) {
           before.close();
         }
       } else {
-        ctx.pipeline().addFirst(new IdleStateHandler(SILENT_S, 0, 0));
+        ctx.pipeline().addFirst(new IdleStateHandler(IDLE_TIMEOUT_S, 0, 0));
       }
       ctx.writeAndFlush(new Welcome(version, name));
     }
@@ -167,7 +169,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       if (hello != null) {
-        stewards.remove(hello.name(), ctx.channel());
+        stewardChannels.remove(hello.name(), ctx.channel());
       }
     }
 
--- a/steward/src/main/java/willowdoor/steward/link/Remembered.java
+++ b/steward/src/main/java/willowdoor/steward/link/TakenOutFiles.java
@@ -20,18 +20,18 @@
  * others, so that two that live at a time don't write over each other. A process that begins takes all of
  * them together, which is too many out, if anything, until the stewards have told.
  */
-final class Remembered {
+final class TakenOutFiles {
 
-  private static final Logger LOG = Logger.getLogger(Remembered.class.getName());
-  private static final int MOST_BYTES = 4 << 20;
+  private static final Logger LOG = Logger.getLogger(TakenOutFiles.class.getName());
+  private static final int MAX_BYTES = 4 << 20;
 
   private final Path prefix;
-  private final Path own;
+  private final Path ownFile;
 
   /** By this prefix of the files' names, and this process's own part. */
-  Remembered(Path prefix, String incarnation) {
+  TakenOutFiles(Path prefix, String incarnation) {
     this.prefix = prefix.toAbsolutePath();
-    own = Path.of(this.prefix + "." + incarnation);
+    ownFile = Path.of(this.prefix + "." + incarnation);
   }
 
   private List<Path> files() throws IOException {
@@ -50,8 +50,8 @@
     try {
       for (Path file : files()) {
         try {
-          if (Files.size(file) > MOST_BYTES) {
-            throw new IOException("it is longer than " + MOST_BYTES + " bytes");
+          if (Files.size(file) > MAX_BYTES) {
+            throw new IOException("it is longer than " + MAX_BYTES + " bytes");
           }
           Map<String, Long> some = Codec.mapperFor().readValue(Files.readAllBytes(file),
               new TypeReference<>() { });
@@ -71,20 +71,20 @@
 
   /** Keeps this, and has it on the disk before it returns. */
   void write(Map<String, Long> out) throws IOException {
-    Path fresh = Path.of(own + ".new");
+    Path fresh = Path.of(ownFile + ".new");
     try (FileChannel file = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
         StandardOpenOption.TRUNCATE_EXISTING)) {
       file.write(java.nio.ByteBuffer.wrap(Codec.mapperFor().writeValueAsBytes(out)));
       file.force(true);
     }
-    Files.move(fresh, own, StandardCopyOption.ATOMIC_MOVE);
+    Files.move(fresh, ownFile, StandardCopyOption.ATOMIC_MOVE);
   }
 
   /** Removes those of other processes, which have ended; this one's own is there. */
-  void alone() {
+  void deleteOthers() {
     try {
       for (Path file : files()) {
-        if (!file.equals(own) && Files.exists(own)) {
+        if (!file.equals(ownFile) && Files.exists(ownFile)) {
           Files.deleteIfExists(file);
         }
       }
--- a/steward/src/test/java/willowdoor/steward/FromOutsideTest.java
+++ b/steward/src/test/java/willowdoor/steward/FromOutsideTest.java
@@ -20,10 +20,10 @@
 
   /** A second process on the same disk would vote twice. */
   @Test
-  void aDiskIsOpenInOneProcessOnly() throws Exception {
+  void diskIsOpenInOneProcessOnly() throws Exception {
     Path path = folder.resolve("one.db");
     try (DiskStore store = new DiskStore(path)) {
-      assertEquals(null, store.restored());
+      assertEquals(null, store.restoredState());
       assertTrue(assertThrows(IOException.class, () -> new DiskStore(path)).getMessage()
           .startsWith("the store " + path + " cannot be opened"));
     }
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void whatCannotBeReadIsNamed() {
+  void unreadableInputIsReported() {
     for (String bytes : new String[] {"{", "{\"is\":\"Nothing\"}", "{\"is\":\"Tick\",\"atMs\":1,\"more\":2}",
         "{\"is\":\"Tick\"}"}) {
       String message = assertThrows(IllegalArgumentException.class,
@@ -42,7 +42,7 @@
     for (String bytes : new String[] {"", "7", "{", "{\"from\":{\"name\":\"a\"}}",
         "{\"is\":\"Gossip\",\"term\":1,\"from\":{\"name\":\"a\",\"store\":\"b\"}}"}) {
       assertThrows(IllegalArgumentException.class,
-          () -> Wire.message(bytes.getBytes(StandardCharsets.UTF_8)), bytes);
+          () -> RaftJson.decode(bytes.getBytes(StandardCharsets.UTF_8)), bytes);
     }
     String endless = "x".repeat(Codec.MAX_COMMAND_BYTES);
     assertTrue(assertThrows(IllegalArgumentException.class,
--- a/steward/src/test/java/willowdoor/steward/LeaderWatchTest.java
+++ b/steward/src/test/java/willowdoor/steward/LeaderWatchTest.java
@@ -9,9 +9,9 @@
 
   private final LeaderWatch watch = new LeaderWatch();
 
-  private int looksUntilAnew() {
-    for (int looks = 1; looks <= 2 * LeaderWatch.MOST_SILENT_LOOKS; looks++) {
-      if (watch.look(true)) {
+  private int checksUntilRestart() {
+    for (int looks = 1; looks <= 2 * LeaderWatch.MAX_SILENT_CHECKS; looks++) {
+      if (watch.check(true)) {
         return looks;
       }
     }
@@ -19,39 +19,39 @@
   }
 
   @Test
-  void aLeaderThatIsNamedAndSilentIsGivenUp() {
-    assertEquals(LeaderWatch.SILENT_LOOKS, looksUntilAnew());
+  void silentLeaderCausesRestart() {
+    assertEquals(LeaderWatch.SILENT_CHECKS, checksUntilRestart());
   }
 
   @Test
-  void aWordBeginsTheCountAnew() {
+  void leaderMessageResetsCount() {
     for (int i = 0; i < 100; i++) {
-      assertFalse(watch.look(true));
-      if (i % (LeaderWatch.SILENT_LOOKS - 1) == 0) {
-        watch.heard();
+      assertFalse(watch.check(true));
+      if (i % (LeaderWatch.SILENT_CHECKS - 1) == 0) {
+        watch.leaderHeard();
       }
     }
   }
 
   /** Who leads, or knows that there is no leader, goes on by the library's own votes. */
   @Test
-  void whereNobodyIsNamedNothingIsBegunAnew() {
+  void noRestartWithoutKnownLeader() {
     for (int i = 0; i < 1_000; i++) {
-      assertFalse(watch.look(i % LeaderWatch.SILENT_LOOKS != 0));
+      assertFalse(watch.check(i % LeaderWatch.SILENT_CHECKS != 0));
     }
   }
 
   /** One that no leader ever tells anything, as it was put out, must not read its disk each 2 s. */
   @Test
-  void whereItBringsNothingItIsTriedMoreSeldom() {
-    assertEquals(10, looksUntilAnew());
-    assertEquals(20, looksUntilAnew());
+  void fruitlessRestartsBackOff() {
+    assertEquals(10, checksUntilRestart());
+    assertEquals(20, checksUntilRestart());
     int last = 0;
     for (int i = 0; i < 8; i++) {
-      last = looksUntilAnew();
+      last = checksUntilRestart();
     }
-    assertEquals(LeaderWatch.MOST_SILENT_LOOKS, last);
-    watch.heard();
-    assertEquals(LeaderWatch.SILENT_LOOKS, looksUntilAnew());
+    assertEquals(LeaderWatch.MAX_SILENT_CHECKS, last);
+    watch.leaderHeard();
+    assertEquals(LeaderWatch.SILENT_CHECKS, checksUntilRestart());
   }
 }
--- a/steward/src/test/java/willowdoor/steward/PinnedConsensusFormsTest.java
+++ b/steward/src/test/java/willowdoor/steward/PinnedConsensusFormsTest.java
@@ -38,14 +38,14 @@
 
   private static byte[] rewritten(String kind, byte[] form) {
     if (kind.equals("message")) {
-      return Wire.bytes(Wire.message(form));
+      return RaftJson.encode(RaftJson.decode(form));
     }
-    JsonNode node = Wire.read(form);
-    return Wire.write(switch (kind) {
-      case "entry" -> Wire.entry(Wire.entry(node));
-      case "chunk" -> Wire.chunk(Wire.chunk(node));
-      case "view" -> Wire.view(Wire.view(node));
-      case "endpoint" -> Wire.endpoint(Wire.endpoint(node));
+    JsonNode node = RaftJson.read(form);
+    return RaftJson.write(switch (kind) {
+      case "entry" -> RaftJson.entry(RaftJson.entry(node));
+      case "chunk" -> RaftJson.chunk(RaftJson.chunk(node));
+      case "view" -> RaftJson.view(RaftJson.view(node));
+      case "endpoint" -> RaftJson.endpoint(RaftJson.endpoint(node));
       default -> throw new IllegalArgumentException(kind);
     });
   }
@@ -57,7 +57,7 @@
       Files.copy(in, file);
     }
     try (DiskStore store = new DiskStore(file)) {
-      RestoredRaftState state = store.restored();
+      RestoredRaftState state = store.restoredState();
       assertNotNull(state);
       StewardId self = (StewardId) state.getLocalEndpointPersistentState().getLocalEndpoint();
       assertEquals(new StewardId("a", "s1"), self);
@@ -67,8 +67,8 @@
       assertEquals(2, state.getLogEntries().size());
       byte[] operation = (byte[]) state.getLogEntries().get(0).getOperation();
       assertEquals(new Command.Tick(7.5), Codec.readCommand(operation));
-      assertEquals(new DiskStore.Progress(2, 9), store.heard(new StewardId("c", "s3")));
-      assertEquals(new DiskStore.Progress(2, 6), store.own());
+      assertEquals(new DiskStore.Progress(2, 9), store.acknowledged(new StewardId("c", "s3")));
+      assertEquals(new DiskStore.Progress(2, 6), store.ownProgress());
     }
   }
 
--- a/steward/src/test/java/willowdoor/steward/link/LinkTest.java
+++ b/steward/src/test/java/willowdoor/steward/link/LinkTest.java
@@ -62,12 +62,12 @@
         new FleetSettings(one, one, 1_500), begin ? StewardProcess.Start.BEGIN : StewardProcess.Start.GO_ON);
   }
 
-  private Operator operator(String fleet) {
-    return new Operator(fleet, "ana", List.of(steward.address()));
+  private OperatorClient operator(String fleet) {
+    return new OperatorClient(fleet, "ana", List.of(steward.address()));
   }
 
   /** What it says to these frames, until it ends the connection. */
-  private String says(byte[]... frames) throws IOException {
+  private String exchange(byte[]... frames) throws IOException {
     try (Socket s = new Socket(steward.address().getAddress(), steward.address().getPort())) {
       s.setSoTimeout((int) LIMIT_MS);
       DataOutputStream out = new DataOutputStream(s.getOutputStream());
@@ -97,25 +97,26 @@
   }
 
   @Test
-  void whatIsNoLinkIsToldSo() throws Exception {
-    assertTrue(says(hello(3, "f", "DOOR",
+  void invalidConnectionsAreRefusedWithReason() throws Exception {
+    assertTrue(exchange(hello(3, "f", "DOOR",
         "d1")).contains("link versions 3 to 9 (expected: one from 2 to 2)"));
-    assertTrue(says(hello(1, "g", "DOOR", "d1")).contains("a steward of \\\"f\\\", not of \\\"g\\\""));
-    assertTrue(says(hello(1, "f", "STEWARD", "b")).contains("no steward b with disk 1 is one of us"));
-    assertTrue(says(hello(1, "f", "DOOR", "")).contains("no name was told"));
-    assertTrue(says(json("{\"is\":\"Ask\",\"id\":1,\"passedOn\":false,\"call\":{\"is\":\"Look\"}}"))
+    assertTrue(exchange(hello(1, "g", "DOOR", "d1")).contains("a steward of \\\"f\\\", not of \\\"g\\\""));
+    assertTrue(exchange(hello(1, "f", "STEWARD", "b")).contains("no steward b with disk 1 is one of us"));
+    assertTrue(exchange(hello(1, "f", "DOOR", "")).contains("no name was told"));
+    assertTrue(exchange(json("{\"is\":\"Ask\",\"id\":1,\"passedOn\":false,\"call\":{\"is\":\"Look\"}}"))
         .contains("the first message is Ask (expected: Hello)"));
-    assertTrue(says(json("{")).contains("not understood"));
-    assertTrue(says(new byte[] {7}).contains("a frame of kind 7 (expected: 0 or 1)"));
-    assertTrue(says(new byte[0]).contains("a frame of kind -1"));
-    assertTrue(says(json("x".repeat(Frames.MOST_FIRST))).contains("not understood"));
-    assertTrue(says(hello(1, "f", "DOOR", "d1"), new byte[] {1, 2}).contains("a message between stewards"));
-    assertTrue(says().contains("no hello within"));
+    assertTrue(exchange(json("{")).contains("not understood"));
+    assertTrue(exchange(new byte[] {7}).contains("a frame of kind 7 (expected: 0 or 1)"));
+    assertTrue(exchange(new byte[0]).contains("a frame of kind -1"));
+    assertTrue(exchange(json("x".repeat(FrameCodec.MAX_HELLO_BYTES))).contains("not understood"));
+    assertTrue(exchange(hello(1, "f", "DOOR", "d1"), new byte[] {1, 2})
+        .contains("a message between stewards"));
+    assertTrue(exchange().contains("no hello within"));
   }
 
   /** A peer that is gone without a word: what is written to it goes nowhere, and nothing ends. */
   @Test
-  void aLinkToAStewardThatSaysNothingIsBegunAgain() throws Exception {
+  void silentStewardLinkIsReconnected() throws Exception {
     try (ServerSocket mute = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       steward.close();
       StewardId self = new StewardId("a", "1");
@@ -123,7 +124,7 @@
       StewardProcess.Settings one = settings(true);
       steward = new StewardProcess(new StewardProcess.Settings("f", self, any, folder.resolve("two.db"),
           Map.of(self, any, new StewardId("b", "1"), new InetSocketAddress("127.0.0.1", mute.getLocalPort())),
-          one.first(), StewardProcess.Start.BEGIN));
+          one.initialTerms(), StewardProcess.Start.BEGIN));
       mute.setSoTimeout((int) LIMIT_MS);
       try (Socket first = mute.accept()) {
         byte[] welcome = json("{\"is\":\"Welcome\",\"version\":2,\"steward\":\"b\"}");
@@ -138,30 +139,30 @@
 
   /** Each speaks for itself. */
   @Test
-  void nobodySpeaksForOthers() throws Exception {
-    try (Operator ana = operator("f")) {
+  void callsOnBehalfOfOthersAreRefused() throws Exception {
+    try (OperatorClient ana = operator("f")) {
       Answer answer = ana.put(new Command.Join(0, "d1", "x", "a", 1, 0, "1.0"), LIMIT_MS);
       assertTrue(assertInstanceOf(Answer.Failed.class, answer).why().contains("a Join is not for ana"));
       answer = ana.put(new Command.LeaderElected(0), LIMIT_MS);
       assertTrue(assertInstanceOf(Answer.Failed.class, answer).why().contains("a Lead is not for ana"));
     }
-    try (Operator stranger = operator("g")) {
-      assertTrue(assertInstanceOf(Answer.Failed.class, stranger.look(500)).why().contains("not of \"g\""));
+    try (OperatorClient stranger = operator("g")) {
+      assertTrue(assertInstanceOf(Answer.Failed.class, stranger.status(500)).why().contains("not of \"g\""));
     }
   }
 
   /** What was agreed on is on its disk; without it, it doesn't begin as one that has promised nothing. */
   @Test
-  void comesBackWithItsDiskAndNotWithout() throws Exception {
+  void restartsWithDiskAndRefusesWithout() throws Exception {
     long before;
-    try (Operator ana = operator("f")) {
+    try (OperatorClient ana = operator("f")) {
       ana.put(new Command.Forget(0, "f1", "d9", "ana"), LIMIT_MS);
-      before = assertInstanceOf(Answer.Stands.class, ana.look(LIMIT_MS)).standing().index();
+      before = assertInstanceOf(Answer.Stands.class, ana.status(LIMIT_MS)).standing().index();
     }
     steward.close();
     steward = new StewardProcess(settings(false));
-    try (Operator ana = operator("f")) {
-      assertTrue(assertInstanceOf(Answer.Stands.class, ana.look(LIMIT_MS)).standing().index() > before);
+    try (OperatorClient ana = operator("f")) {
+      assertTrue(assertInstanceOf(Answer.Stands.class, ana.status(LIMIT_MS)).standing().index() > before);
     }
     steward.close();
     Files.delete(folder.resolve("a.db"));
@@ -172,12 +173,12 @@
 
   /** A door's whole way: joins, is told to go, says that it is empty, comes back, and leaves. */
   @Test
-  void aDoorGoesOutAndComesBack() throws Exception {
+  void doorDrainsAndReturns() throws Exception {
     CompletableFuture<Void> drained = new CompletableFuture<>();
     CompletableFuture<Void> back = new CompletableFuture<>();
-    DoorLink door = new DoorLink(new DoorLink.Self("f", "d1", "x", "a", 1, "1.0", 0),
+    DoorLink door = new DoorLink(new DoorLink.Identity("f", "d1", "x", "a", 1, "1.0", 0),
         List.of(steward.address()), 0.01,
-        folder.resolve("d1"), 1, new DoorLink.Hands() {
+        folder.resolve("d1"), 1, new DoorLink.DoorControl() {
           @Override
           public void takeOut(String backend) { }
 
@@ -198,22 +199,22 @@
           public void replace(long attempt, String version) { }
         });
     Subject d1 = new Subject(Kind.DOOR, "d1");
-    try (Operator ana = operator("f")) {
-      door.does(Activity.READY);
-      while (!(ana.look(LIMIT_MS) instanceof Answer.Stands s && s.standing().lives().size() == 1
+    try (OperatorClient ana = operator("f")) {
+      door.reportState(Activity.READY);
+      while (!(ana.status(LIMIT_MS) instanceof Answer.Stands s && s.standing().lives().size() == 1
           && s.standing().doorsOut() == 0)) {
         Thread.sleep(10);
       }
-      assertTrue(door.inContact());
+      assertTrue(door.isInContact());
       Outcome.Granted granted = assertInstanceOf(Outcome.Granted.class,
-          door.ask("r1", d1, "ana", "disk", false).get(LIMIT_MS, TimeUnit.MILLISECONDS));
+          door.requestPermit("r1", d1, "ana", "disk", false).get(LIMIT_MS, TimeUnit.MILLISECONDS));
       drained.get(LIMIT_MS, TimeUnit.MILLISECONDS);
-      door.does(Activity.EMPTY);
+      door.reportState(Activity.EMPTY);
       ana.put(new Command.ReturnPermit(0, d1, granted.permit(), "ana"), LIMIT_MS);
       back.get(LIMIT_MS, TimeUnit.MILLISECONDS);
-      door.does(Activity.READY);
+      door.reportState(Activity.READY);
       door.close();
-      Standing after = assertInstanceOf(Answer.Stands.class, ana.look(LIMIT_MS)).standing();
+      FleetStatus after = assertInstanceOf(Answer.Stands.class, ana.status(LIMIT_MS)).standing();
       assertEquals(Activity.ENDED, after.lives().get(0).doing());
     }
   }
--- a/store-valkey/src/main/java/willowdoor/valkey/ValkeyStore.java
+++ b/store-valkey/src/main/java/willowdoor/valkey/ValkeyStore.java
@@ -55,24 +55,25 @@
  * that was loaded) is told by the next check, with how much is missing.
  *
  * <p>A call is made once at the most: nothing is sent again after a break, as an add may have been made.
- * Bounds: {@value #MOST_OUT} calls out, beyond which one ends as NOT_SENT; each ends at the limit.
+ * Bounds: {@value #MAX_OUTSTANDING_CALLS} calls out, beyond which one ends as NOT_SENT; each ends at the
+ * limit.
  */
 public final class ValkeyStore implements CounterStore {
 
   private static final Logger LOG = Logger.getLogger(ValkeyStore.class.getName());
 
-  static final int MOST_OUT = 4_096;
+  static final int MAX_OUTSTANDING_CALLS = 4_096;
   private static final long CONNECT_LIMIT_MS = 1_000;
-  private static final double LEAST_BACKOFF_MS = 50;
-  private static final double MOST_BACKOFF_MS = 1_000;
+  private static final double MIN_BACKOFF_MS = 50;
+  private static final double MAX_BACKOFF_MS = 1_000;
   /** A left address closes its connection after this; what is owed on it by then is given up before. */
-  private static final long LEAVE_MS = 1_300;
-  private static final long CLOSE_LIMIT_MS = 2_000;
-  private static final String SCRIPT = script();
+  private static final long OLD_CONNECTION_CLOSE_MS = 1_300;
+  private static final long SHUTDOWN_LIMIT_MS = 2_000;
+  private static final String SCRIPT = loadScript();
 
   /** What a call tells at its end; the total is NaN unless the status is OK. */
-  private interface End {
-    void told(Status status, double total);
+  private interface CallListener {
+    void onEnd(Status status, double total);
   }
 
   private final EventLoop loop;
@@ -85,18 +86,18 @@
   private final RedisClient client;
   private InetSocketAddress address;
   private StatefulRedisConnection<String, String> connection;
-  private String digest;
+  private String scriptDigest;
   private String epoch;
   private CounterWatch watch;
-  private int watches;
-  private int out;
+  private int watchCount;
+  private int outstandingCalls;
   /** Makes each epoch that is proposed another one, also of one door to a server that began anew. */
   private long proposals;
-  private double backoffMs = LEAST_BACKOFF_MS;
+  private double backoffMs = MIN_BACKOFF_MS;
   /** Counts the addresses it was moved to; what began for another one is dropped. */
-  private int moves;
+  private int moveCount;
   private volatile boolean closed;
-  private boolean said;
+  private boolean failureLogged;
 
   private ValkeyStore(EventLoop loop, DoubleSupplier clock, String door, Config config, Listener listener,
       ValkeySettings settings) {
@@ -105,13 +106,13 @@
     this.door = door;
     this.listener = listener;
     this.settings = settings;
-    limitMs = config.settings().allowed().countLimitMs();
+    limitMs = config.settings().capabilities().counterTimeoutMs();
     address = config.counter();
     watch = new CounterWatch(door);
     resources = DefaultClientResources.builder().ioThreadPoolSize(2).computationThreadPoolSize(2).build();
     client = RedisClient.create(resources);
     client.setOptions(ClientOptions.builder().autoReconnect(false)
-        .disconnectedBehavior(DisconnectedBehavior.REJECT_COMMANDS).requestQueueSize(MOST_OUT)
+        .disconnectedBehavior(DisconnectedBehavior.REJECT_COMMANDS).requestQueueSize(MAX_OUTSTANDING_CALLS)
         .protocolVersion(ProtocolVersion.RESP2).timeoutOptions(TimeoutOptions.create())
         .socketOptions(SocketOptions.builder().connectTimeout(Duration.ofMillis(CONNECT_LIMIT_MS))
             .tcpNoDelay(true).build()).build());
@@ -123,7 +124,7 @@
         new ValkeyStore(loop, clock, door, config, listener, settings);
   }
 
-  private static String script() {
+  private static String loadScript() {
     try (InputStream in = ValkeyStore.class.getResourceAsStream("add.lua")) {
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     } catch (IOException e) {
@@ -134,34 +135,34 @@
   @Override
   public void start() {
     connect();
-    loop.execute(() -> tell(new Woken()));
+    loop.execute(() -> notifyWatch(new Woken()));
   }
 
   @Override
-  public void moveTo(InetSocketAddress other) {
-    if (other == null || other.equals(address)) {
+  public void moveTo(InetSocketAddress newAddress) {
+    if (newAddress == null || newAddress.equals(address)) {
       return;
     }
-    address = other;
-    moves++;
+    address = newAddress;
+    moveCount++;
     StatefulRedisConnection<String, String> old = connection;
     connection = null;
     if (old != null) {
-      loop.schedule(() -> end(old), LEAVE_MS, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> closeConnection(old), OLD_CONNECTION_CLOSE_MS, TimeUnit.MILLISECONDS);
     }
-    backoffMs = LEAST_BACKOFF_MS;
+    backoffMs = MIN_BACKOFF_MS;
     connect();
   }
 
   @Override
   public void close() {
     closed = true;
-    client.shutdownAsync(0, CLOSE_LIMIT_MS, TimeUnit.MILLISECONDS)
-        .whenComplete((done, e) -> resources.shutdown(0, CLOSE_LIMIT_MS, TimeUnit.MILLISECONDS));
+    client.shutdownAsync(0, SHUTDOWN_LIMIT_MS, TimeUnit.MILLISECONDS)
+        .whenComplete((done, e) -> resources.shutdown(0, SHUTDOWN_LIMIT_MS, TimeUnit.MILLISECONDS));
   }
 
   private void connect() {
-    int mine = moves;
+    int move = moveCount;
     RedisURI.Builder uri = RedisURI.builder().withHost(address.getAddress().getHostAddress())
         .withPort(address.getPort()).withTimeout(Duration.ofMillis(CONNECT_LIMIT_MS));
     if (!settings.user().isEmpty()) {
@@ -171,48 +172,48 @@
     }
     client.connectAsync(StringCodec.UTF8, uri.build()).toCompletableFuture().whenComplete((made, e) -> {
       if (e != null) {
-        onLoop(() -> failed(mine, e));
+        runOnLoop(() -> connectionFailed(move, e));
         return;
       }
-      made.async().scriptLoad(SCRIPT).whenComplete((sha, bad) -> onLoop(() -> {
-        if (bad != null || closed || mine != moves) {
-          end(made);
-          failed(mine, bad);
+      made.async().scriptLoad(SCRIPT).whenComplete((sha, bad) -> runOnLoop(() -> {
+        if (bad != null || closed || move != moveCount) {
+          closeConnection(made);
+          connectionFailed(move, bad);
         } else {
-          up(made, sha);
+          connected(made, sha);
         }
       }));
     });
   }
 
-  private static void end(StatefulRedisConnection<String, String> c) {
-    if (c.isOpen()) {
-      c.closeAsync();
+  private static void closeConnection(StatefulRedisConnection<String, String> connection) {
+    if (connection.isOpen()) {
+      connection.closeAsync();
     }
   }
 
   /** What comes after the loop has ended is of no use to anyone. */
-  private void onLoop(Runnable what) {
+  private void runOnLoop(Runnable task) {
     if (!loop.isShuttingDown()) {
-      loop.execute(what);
+      loop.execute(task);
     }
   }
 
-  private void failed(int move, Throwable e) {
-    if (closed || move != moves) {
+  private void connectionFailed(int move, Throwable e) {
+    if (closed || move != moveCount) {
       return;
     }
-    if (!said) {
-      said = true;
+    if (!failureLogged) {
+      failureLogged = true;
       LOG.warning("no connection to the counts at " + address + ": " + reason(e));
     }
-    double wait = backoffMs * (0.5 + ThreadLocalRandom.current().nextDouble());
-    backoffMs = Math.min(MOST_BACKOFF_MS, 2 * backoffMs);
+    double waitMs = backoffMs * (0.5 + ThreadLocalRandom.current().nextDouble());
+    backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
     loop.schedule(() -> {
-      if (!closed && move == moves) {
+      if (!closed && move == moveCount) {
         connect();
       }
-    }, (long) wait, TimeUnit.MILLISECONDS);
+    }, (long) waitMs, TimeUnit.MILLISECONDS);
   }
 
   private static String reason(Throwable e) {
@@ -223,101 +224,103 @@
     return cause == null ? "it was closed" : String.valueOf(cause.getMessage());
   }
 
-  private void up(StatefulRedisConnection<String, String> made, String sha) {
-    connection = made;
-    digest = sha;
-    said = false;
-    backoffMs = LEAST_BACKOFF_MS;
-    int mine = moves;
-    made.addListener(new RedisConnectionStateListener() {
+  private void connected(StatefulRedisConnection<String, String> newConnection, String loadedDigest) {
+    connection = newConnection;
+    scriptDigest = loadedDigest;
+    failureLogged = false;
+    backoffMs = MIN_BACKOFF_MS;
+    int move = moveCount;
+    newConnection.addListener(new RedisConnectionStateListener() {
       @Override
       public void onRedisDisconnected(RedisChannelHandler<?, ?> handler) {
-        onLoop(() -> lost(made, mine));
+        runOnLoop(() -> disconnected(newConnection, move));
       }
     });
-    if (!made.isOpen()) {
-      lost(made, mine);
+    if (!newConnection.isOpen()) {
+      disconnected(newConnection, move);
       return;
     }
-    tell(new Connected(0));
+    notifyWatch(new Connected(0));
   }
 
-  private void lost(StatefulRedisConnection<String, String> which, int move) {
-    if (connection == which) {
+  private void disconnected(StatefulRedisConnection<String, String> lostConnection, int move) {
+    if (connection == lostConnection) {
       connection = null;
-      failed(move, null);
+      connectionFailed(move, null);
     }
   }
 
   @Override
   public void add(String name, double amount, double ttlMs) {
-    double begunAt = clock.getAsDouble();
+    double startedMs = clock.getAsDouble();
     call(name, amount, ttlMs, (status, total) -> listener.counted(new Counted(name, status,
-        status == Status.OK ? total : 0, clock.getAsDouble() - begunAt)));
+        status == Status.OK ? total : 0, clock.getAsDouble() - startedMs)));
   }
 
   /** Makes a call, whose end is told once: by its answer, by the break of its connection, or by the limit. */
-  private void call(String name, double amount, double ttlMs, End end) {
-    StatefulRedisConnection<String, String> used = connection;
-    if (used == null || !used.isOpen()) {
-      end.told(Status.UNREACHABLE, Double.NaN);
+  private void call(String name, double amount, double ttlMs, CallListener listener) {
+    StatefulRedisConnection<String, String> usedConnection = connection;
+    if (usedConnection == null || !usedConnection.isOpen()) {
+      listener.onEnd(Status.UNREACHABLE, Double.NaN);
       return;
     }
-    if (out >= MOST_OUT) {
-      end.told(Status.NOT_SENT, Double.NaN);
+    if (outstandingCalls >= MAX_OUTSTANDING_CALLS) {
+      listener.onEnd(Status.NOT_SENT, Double.NaN);
       return;
     }
-    out++;
-    Once once = new Once(end);
-    once.limit = loop.schedule(() -> once.ends(Status.TIMED_OUT, Double.NaN), (long) (limitMs * 1000),
+    outstandingCalls++;
+    PendingCall pendingCall = new PendingCall(listener);
+    pendingCall.timeout = loop
+        .schedule(() -> pendingCall.complete(Status.TIMED_OUT, Double.NaN), (long) (limitMs * 1000),
         TimeUnit.MICROSECONDS);
     String[] keys = {settings.prefix() + ':' + name, settings.prefix() + "!epoch"};
-    String[] values = {plain(amount), Long.toString(Math.max(1, (long) ttlMs)),
+    String[] arguments = {plainDecimal(amount), Long.toString(Math.max(1, (long) ttlMs)),
         door + '.' + proposals++};
-    used.async().<List<Object>>evalsha(digest, ScriptOutputType.MULTI, keys, values)
-        .whenComplete((answer, e) -> onLoop(() -> ended(used, once, answer, e)));
+    usedConnection.async().<List<Object>>evalsha(scriptDigest, ScriptOutputType.MULTI, keys, arguments)
+        .whenComplete((answer, e) -> runOnLoop(() -> onReply(usedConnection, pendingCall, answer, e)));
   }
 
   /** Tells an end once, and frees the call's place when its answer has come too, or never will. */
-  private final class Once {
-    private final End end;
-    private Future<?> limit;
-    private boolean told;
+  private final class PendingCall {
+    private final CallListener listener;
+    private Future<?> timeout;
+    private boolean completed;
 
-    Once(End end) {
-      this.end = end;
+    PendingCall(CallListener listener) {
+      this.listener = listener;
     }
 
-    void ends(Status status, double total) {
-      if (!told) {
-        told = true;
-        limit.cancel(false);
-        end.told(status, total);
+    void complete(Status status, double total) {
+      if (!completed) {
+        completed = true;
+        timeout.cancel(false);
+        listener.onEnd(status, total);
       }
     }
   }
 
-  private void ended(StatefulRedisConnection<String, String> used, Once once, List<Object> answer,
+  private void onReply(StatefulRedisConnection<String, String> usedConnection, PendingCall pendingCall,
+      List<Object> answer,
       Throwable e) {
-    out--;
+    outstandingCalls--;
     if (e == null) {
-      answered(once, answer);
+      onAnswer(pendingCall, answer);
     } else if (e instanceof RedisNoScriptException) {
       // Nothing ran: the scripts were flushed, or the server began anew behind a proxy.
-      used.async().scriptLoad(SCRIPT);
-      once.ends(Status.REJECTED, Double.NaN);
+      usedConnection.async().scriptLoad(SCRIPT);
+      pendingCall.complete(Status.REJECTED, Double.NaN);
     } else if (e instanceof RedisCommandExecutionException) {
-      if (!said) {
-        said = true;
+      if (!failureLogged) {
+        failureLogged = true;
         LOG.warning("the counts at " + address + " refuse adds: " + e.getMessage());
       }
-      once.ends(Status.REJECTED, Double.NaN);
+      pendingCall.complete(Status.REJECTED, Double.NaN);
     } else {
-      once.ends(Status.RESET, Double.NaN);
+      pendingCall.complete(Status.RESET, Double.NaN);
     }
   }
 
-  private void answered(Once once, List<Object> answer) {
+  private void onAnswer(PendingCall pendingCall, List<Object> answer) {
     double total = Double.NaN;
     if (answer.size() == 2 && answer.get(0) instanceof String text) {
       try {
@@ -327,47 +330,48 @@
       }
     }
     if (!Double.isFinite(total)) {
-      once.ends(Status.SPOILT, Double.NaN);
+      pendingCall.complete(Status.SPOILT, Double.NaN);
       return;
     }
-    said = false;
-    String told = String.valueOf(answer.get(1));
-    if (epoch != null && !epoch.equals(told)) {
-      LOG.info("other counts answer than before: epoch " + told + " after " + epoch);
-      epoch = told;
+    failureLogged = false;
+    String answeredEpoch = String.valueOf(answer.get(1));
+    if (epoch != null && !epoch.equals(answeredEpoch)) {
+      LOG.info("other counts answer than before: epoch " + answeredEpoch + " after " + epoch);
+      epoch = answeredEpoch;
       // The watch would tell of the same once more: a new one begins at these counts.
-      watch = new CounterWatch(door + 'w' + ++watches);
+      watch = new CounterWatch(door + 'w' + ++watchCount);
       listener.replaced(Double.NEGATIVE_INFINITY);
-      tell(new Woken());
+      notifyWatch(new Woken());
     }
-    epoch = told;
-    once.ends(Status.OK, total);
+    epoch = answeredEpoch;
+    pendingCall.complete(Status.OK, total);
   }
 
-  private void tell(WatchEvent event) {
-    tell(watch, event);
+  private void notifyWatch(WatchEvent event) {
+    notifyWatch(watch, event);
   }
 
-  private void tell(CounterWatch told, WatchEvent event) {
-    if (told != watch || closed) {
+  private void notifyWatch(CounterWatch target, WatchEvent event) {
+    if (target != watch || closed) {
       return;
     }
-    for (WatchAction action : told.on(clock.getAsDouble(), event)) {
+    for (WatchAction action : target.on(clock.getAsDouble(), event)) {
       if (action instanceof Check c) {
         call(c.name(), c.amount(), c.ttlMs(), (status, total) -> loop.execute(() ->
-            tell(told, new CheckEnded(c.number(), status == Status.OK ? total : Double.NaN))));
+            notifyWatch(target, new CheckEnded(c.number(), status == Status.OK ? total : Double.NaN))));
       } else if (action instanceof Replaced r) {
         LOG.info("other counts answer than before (" + r.origin() + ")");
         listener.replaced(r.lostSinceMs());
       } else if (action instanceof WakeAt w) {
-        loop.schedule(() -> tell(told, new Woken()), (long) Math.max(1, w.atMs() - clock.getAsDouble()),
+        loop.schedule(() -> notifyWatch(target, new Woken()),
+            (long) Math.max(1, w.atMs() - clock.getAsDouble()),
             TimeUnit.MILLISECONDS);
       }
     }
   }
 
   /** Decimal digits without an exponent. */
-  private static String plain(double amount) {
+  private static String plainDecimal(double amount) {
     return BigDecimal.valueOf(amount).setScale(6, RoundingMode.HALF_UP).stripTrailingZeros().toPlainString();
   }
 }
--- a/store-valkey/src/test/java/willowdoor/valkey/ValkeyStoreTest.java
+++ b/store-valkey/src/test/java/willowdoor/valkey/ValkeyStoreTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import willowdoor.net.Config;
 import willowdoor.net.CounterStore;
-import willowdoor.policy.GatewayApi.Allowed;
+import willowdoor.policy.GatewayApi.Capabilities;
 import willowdoor.policy.GatewayApi.Counted;
 import willowdoor.policy.GatewayApi.Rules;
 import willowdoor.policy.GatewayApi.Settings;
@@ -32,7 +32,7 @@
 
   private static final double LIMIT_MS = 300;
   private static final long WAIT_S = 20;
-  private static final ValkeySettings USUAL = new ValkeySettings("", "", "test");
+  private static final ValkeySettings DEFAULT_SETTINGS = new ValkeySettings("", "", "test");
 
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final BlockingQueue<Counted> ends = new LinkedBlockingQueue<>();
@@ -54,23 +54,23 @@
   }
 
   private StandInValkey server() throws Exception {
-    return kept(new StandInValkey());
+    return register(new StandInValkey());
   }
 
-  private StandInValkey kept(StandInValkey made) {
-    servers.add(made);
-    return made;
+  private StandInValkey register(StandInValkey server) {
+    servers.add(server);
+    return server;
   }
 
   private static Config config(InetSocketAddress counter) {
     Settings settings = new Settings(1, 0, "a", 8, 0, false, List.of(), List.of(),
-        new Allowed(true, LIMIT_MS, true, false, 6, 100, true, 2_000, false), new Rules(8, 0.2, 1_000, 2,
+        new Capabilities(true, LIMIT_MS, true, false, 6, 100, true, 2_000, false), new Rules(8, 0.2, 1_000, 2,
             2_000));
     return new Config(null, null, counter, 1, settings, null, 250, 15_000, null, true, null);
   }
 
   private CounterStore store(InetSocketAddress address, ValkeySettings settings) {
-    CounterStore made = ValkeyStore.maker(settings).make(group.next(), ValkeyStoreTest::now,
+    CounterStore store = ValkeyStore.maker(settings).make(group.next(), ValkeyStoreTest::now,
         "d" + stores.size(), config(address), new CounterStore.Listener() {
           @Override
           public void counted(Counted end) {
@@ -82,9 +82,9 @@
             replaced.add(lostSinceMs);
           }
         });
-    stores.add(made);
-    group.next().execute(made::start);
-    return made;
+    stores.add(store);
+    group.next().execute(store::start);
+    return store;
   }
 
   private Counted add(CounterStore store, String name, double amount, double ttlMs) throws Exception {
@@ -95,10 +95,10 @@
   }
 
   /** A store that is connected: its first add under a name of no other use has been answered. */
-  private CounterStore up(StandInValkey server) throws Exception {
-    CounterStore made = store(server.address(), USUAL);
-    awaitOk(made);
-    return made;
+  private CounterStore connectedStore(StandInValkey server) throws Exception {
+    CounterStore store = store(server.address(), DEFAULT_SETTINGS);
+    awaitOk(store);
+    return store;
   }
 
   private void awaitOk(CounterStore store) throws Exception {
@@ -109,10 +109,10 @@
   }
 
   @Test
-  void addsOfAllDoorsMakeOneTotalAndANameIsForgottenAfterItsLife() throws Exception {
+  void addsOfAllDoorsShareOneTotalAndCountsExpire() throws Exception {
     StandInValkey server = server();
-    CounterStore one = up(server);
-    CounterStore other = up(server);
+    CounterStore one = connectedStore(server);
+    CounterStore other = connectedStore(server);
     assertEquals(2.5, add(one, "16:1", 2.5, 60_000).total(), 1e-9);
     assertEquals(1.25, add(other, "16:1", -1.25, 60_000).total(), 1e-9);
     assertEquals(1.25, add(one, "16:1", 0, 60_000).total(), 1e-9);
@@ -126,9 +126,9 @@
   }
 
   @Test
-  void aServerThatBeganAnewIsToldByTheFirstAnswerAndOnce() throws Exception {
+  void restartedServerIsReportedOnceByTheFirstAnswer() throws Exception {
     StandInValkey server = server();
-    CounterStore store = up(server);
+    CounterStore store = connectedStore(server);
     assertEquals(3, add(store, "16:1", 3, 60_000).total());
     server.kill();
     server.start();
@@ -151,9 +151,9 @@
 
   /** Whoever asks first after FLUSHALL on a live connection learns it. */
   @Test
-  void flushedDataIsToldOnAConnectionThatStays() throws Exception {
+  void flushIsReportedOnAnOpenConnection() throws Exception {
     StandInValkey server = server();
-    CounterStore store = up(server);
+    CounterStore store = connectedStore(server);
     for (int i = 0; i < 20; i++) {
       add(store, "16:1", 3, 60_000);
       assertEquals("+OK", server.say("FLUSHALL"));
@@ -164,11 +164,11 @@
   }
 
   @Test
-  void aPromotedReplicaThatLacksTheLastWritesIsAnOldCopy() throws Exception {
+  void promotedReplicaWithoutTheLastWritesIsReported() throws Exception {
     StandInValkey primary = server();
-    CounterStore store = up(primary);
+    CounterStore store = connectedStore(primary);
     add(store, "16:1", 3, 60_000);
-    StandInValkey replica = kept(StandInValkey.replicaOf(primary));
+    StandInValkey replica = register(StandInValkey.replicaOf(primary));
     awaitEquals("3", () -> replica.say("GET test:16:1"));
     awaitChecks(primary, 2);
     // Both asked each time: a name whose life ends meanwhile is in neither.
@@ -184,11 +184,11 @@
     assertEquals(4, add(store, "16:1", 1, 60_000).total());
   }
 
-  private interface Asked {
+  private interface Query {
     String get() throws Exception;
   }
 
-  private static void awaitEquals(String wanted, Asked asked) throws Exception {
+  private static void awaitEquals(String wanted, Query asked) throws Exception {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S);
     String got = asked.get();
     while (!wanted.equals(got)) {
@@ -198,11 +198,11 @@
   }
 
   @Test
-  void aReplicaThatTakesNoWritesAddsNothingAndSaysSo() throws Exception {
+  void readOnlyReplicaRejectsAdds() throws Exception {
     StandInValkey primary = server();
-    up(primary);
-    StandInValkey replica = kept(StandInValkey.replicaOf(primary));
-    CounterStore store = store(replica.address(), USUAL);
+    connectedStore(primary);
+    StandInValkey replica = register(StandInValkey.replicaOf(primary));
+    CounterStore store = store(replica.address(), DEFAULT_SETTINGS);
     Counted end = add(store, "16:1", 3, 60_000);
     long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S);
     while (end.status() != Status.REJECTED) {
@@ -215,9 +215,9 @@
 
   /** Errors of the published protocol: each tells that nothing was added, and the store goes on after it. */
   @Test
-  void aServerThatRefusesAddsNothing() throws Exception {
+  void serverErrorsRejectAdds() throws Exception {
     StandInValkey server = server();
-    CounterStore store = up(server);
+    CounterStore store = connectedStore(server);
     add(store, "16:1", 3, 60_000);
     for (String line : List.of("LOADING Redis is loading the dataset in memory", "MOVED 3999 127.0.0.1:1",
         "OOM command not allowed when used memory > 'maxmemory'.", "BUSY Redis is busy running a script.",
@@ -233,9 +233,9 @@
   }
 
   @Test
-  void flushedScriptsCostOneCallThatAddedNothing() throws Exception {
+  void flushedScriptIsReloaded() throws Exception {
     StandInValkey server = server();
-    CounterStore store = up(server);
+    CounterStore store = connectedStore(server);
     add(store, "16:1", 3, 60_000);
     assertEquals("+OK", server.say("SCRIPT FLUSH"));
     // A check of the watch may meet it first, and have it loaded again.
@@ -245,9 +245,9 @@
   }
 
   @Test
-  void aSlowServerEndsCallsAtTheLimitAndTheAddIsMadeOnce() throws Exception {
+  void slowServerTimesOutAndTheAddIsMadeOnce() throws Exception {
     StandInValkey server = server();
-    CounterStore store = up(server);
+    CounterStore store = connectedStore(server);
     assertEquals("+OK", server.say("CLIENT PAUSE 900 ALL"));
     double begun = now();
     Counted end = add(store, "16:1", 3, 60_000);
@@ -261,9 +261,9 @@
   }
 
   @Test
-  void withoutAServerCallsEndAtOnceAndItIsFoundAgain() throws Exception {
+  void callsFailAtOnceWithoutAServerAndReconnect() throws Exception {
     StandInValkey server = server();
-    CounterStore store = up(server);
+    CounterStore store = connectedStore(server);
     server.kill();
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S);
     Counted last = add(store, "16:1", 1, 60_000);
@@ -278,9 +278,9 @@
 
   /** At most once: what was out when the connection broke is not sent again. */
   @Test
-  void nothingIsSentAgainAfterABreak() throws Exception {
+  void callsAreNotResentAfterADisconnect() throws Exception {
     StandInValkey server = server();
-    CounterStore store = up(server);
+    CounterStore store = connectedStore(server);
     for (int round = 0; round < 5; round++) {
       String name = "16:" + round;
       for (int i = 0; i < 200; i++) {
@@ -302,11 +302,11 @@
   }
 
   @Test
-  void callsOutAreBounded() throws Exception {
+  void outstandingCallsAreBounded() throws Exception {
     StandInValkey server = server();
-    CounterStore store = up(server);
+    CounterStore store = connectedStore(server);
     server.say("CLIENT PAUSE 600 ALL");
-    int calls = ValkeyStore.MOST_OUT + 100;
+    int calls = ValkeyStore.MAX_OUTSTANDING_CALLS + 100;
     group.next().execute(() -> {
       for (int i = 0; i < calls; i++) {
         store.add("16:1", 1, 60_000);
@@ -322,8 +322,8 @@
   }
 
   @Test
-  void aPasswordIsNeededWhereTheServerAsksForOne() throws Exception {
-    StandInValkey server = kept(new StandInValkey("secret"));
+  void passwordIsRequiredWhereTheServerHasOne() throws Exception {
+    StandInValkey server = register(new StandInValkey("secret"));
     CounterStore right = store(server.address(), new ValkeySettings("", "secret", "test"));
     awaitOk(right);
     CounterStore wrong = store(server.address(), new ValkeySettings("", "other", "test"));
@@ -335,7 +335,7 @@
 
   /** What docs/operating/counter.md has operators allow, and nothing else. */
   @Test
-  void aUserWithTheRightsThatTheManualNamesSuffices() throws Exception {
+  void userWithTheDocumentedRightsSuffices() throws Exception {
     StandInValkey server = server();
     assertEquals("+OK",
         server.say("ACL SETUSER door on >secret -@all ~test:* ~test!epoch +evalsha +script|load "
@@ -348,7 +348,7 @@
   }
 
   @Test
-  void badSettingsAreNamed() {
+  void invalidSettingsAreNamedInTheMessage() {
     assertTrue(assertThrows(IllegalArgumentException.class, () -> new ValkeySettings("", "", "a b"))
         .getMessage().contains("\"a b\" (expected: 1 to 64"));
     assertTrue(assertThrows(IllegalArgumentException.class, () -> new ValkeySettings("door", "", "a"))
