--- a/policy/src/test/java/willowdoor/policy/Fixtures.java
+++ b/policy/src/test/java/willowdoor/policy/Fixtures.java
@@ -49,7 +49,7 @@
   Fixtures(Settings settings, double startMs) {
     now = startMs;
     policy = new QuotaPolicy(settings, 7 + settings.selfIndex());
-    record(policy.start(now));
+    collect(policy.start(now));
   }
 
   static Settings settings(boolean counter, int gateways, boolean rosterOnRequest) {
@@ -82,11 +82,11 @@
   }
 
   Fixtures on(Event event) {
-    record(policy.on(now, event));
+    collect(policy.on(now, event));
     return this;
   }
 
-  private void record(List<Action> actions) {
+  private void collect(List<Action> actions) {
     lastActions = actions;
     allActions.addAll(actions);
   }
