--- a/policy/src/main/java/willowdoor/policy/AttemptStart.java
+++ b/policy/src/main/java/willowdoor/policy/AttemptStart.java
@@ -1,25 +1,25 @@
 package willowdoor.policy;
 
 /**
- * Whether an attempt may begin, decided at the moment before its first byte leaves. An attempt waits for its
+ * Whether an attempt may start, decided immediately before its first byte is sent. An attempt waits for a
  * connection after the policy has sent it, and its request may end meanwhile.
  */
 public enum AttemptStart {
 
   ALLOWED,
-  /** The attempt itself was given up: it timed out, was cancelled, or its backend drains. */
+  /** The attempt itself has ended: it timed out, was cancelled, or its backend drains. */
   ATTEMPT_OVER,
-  /** Its request has its final answer, or its client was seen to leave. */
+  /** The request has its final answer, or its client is known to have left. */
   REQUEST_OVER,
-  /** The client has closed or reset its connection, or ended its sending, and nobody has been told yet. */
+  /** The client has closed or reset its connection, or ended its side of it, which was not reported yet. */
   CLIENT_GONE,
-  /** Its time is up, though the timer that tells so has not run yet. */
+  /** The deadline of the attempt has passed, though its timer has not run yet. */
   OUT_OF_TIME;
 
   /**
-   * Decides it by what is known at this moment.
+   * Decides by what is known at this moment.
    *
-   * @param leftMs time until the attempt's deadline, in milliseconds
+   * @param leftMs time until the deadline of the attempt, in milliseconds
    */
   public static AttemptStart of(boolean attemptOver, boolean requestOver, boolean clientGone, double leftMs) {
     if (attemptOver) {
--- a/policy/src/main/java/willowdoor/policy/GatewayApi.java
+++ b/policy/src/main/java/willowdoor/policy/GatewayApi.java
@@ -3,83 +3,153 @@
 import java.util.List;
 
 /**
- * What passes between a gateway and its decision module, {@link QuotaPolicy}: the settings at the start, then
- * events in, actions out. Times are milliseconds on a clock that only moves forward. Nothing is decided here.
+ * Interface between a gateway and its decision module, {@link QuotaPolicy}: the settings at the start, then
+ * events from the gateway and actions for it. All times are milliseconds on a clock that only moves forward.
+ * Nothing is decided here.
  */
 public final class GatewayApi {
 
   private GatewayApi() {
   }
 
-  /** May a request run again: freely, within a group of backends that drops its repeats, or never. */
+  /**
+   * Whether a request may run again. SAFE: any number of times. KEYED: only within a group of backends that
+   * recognises and drops its repeats. UNSAFE: never.
+   */
   public enum Repeat { SAFE, KEYED, UNSAFE }
 
-  /** The backends that drop a keyed request's repeats: all, those of one zone, or those of one cell. */
+  /**
+   * The group of backends that drops the repeats of a keyed request: all backends, those of one zone, or
+   * those of one cell.
+   */
   public enum Group { ALL, ZONE, CELL }
 
   /**
-   * How an attempt or a call ended. UNREACHABLE: it was refused a connection, or none came up within the
-   * limit. BROKEN: its connection broke before it was written whole. NOT_SENT: this gateway sent nothing, for
-   * causes of its own. SPOILT: the answer cannot be read, or a kept connection turned out to be dead; it may
-   * have run, and its backend is not to blame.
+   * How an attempt, or a call to the counter, ended. UNREACHABLE: the connection was refused, or was not
+   * established within the limit. BROKEN: the connection broke before the request was written completely.
+   * NOT_SENT: this gateway sent nothing, for reasons of its own. SPOILT: the answer cannot be read, or a kept
+   * connection turned out to be dead; the request may have run, and the backend is not at fault.
    */
   public enum Status {
     OK, ERROR, REJECTED, TIMED_OUT, UNREACHABLE, BROKEN, RESET, SPOILT, CANCELLED, NOT_SENT;
 
-    /** True when this ending shows that the attempt never ran, or the call added nothing. */
+    /** Whether this status proves that the attempt did not run, or that the call added nothing. */
     public boolean provesNotRun() {
       return this == REJECTED || this == UNREACHABLE || this == BROKEN || this == NOT_SENT;
     }
   }
 
+  /** Phase of a backend in the roster; a draining backend gets no new requests. */
   public enum Phase { SERVING, DRAINING, REMOVED }
 
-  /** A roster holds only what changed, all backends, all as seen in an earlier life, or is a failure. */
+  /**
+   * What a roster holds. CHANGES: only the backends that have changed. COMPLETE: all backends. REMEMBERED:
+   * all backends as known to an earlier run of the gateway. FAILED: nothing, as the roster could not be
+   * obtained.
+   */
   public enum RosterForm { CHANGES, COMPLETE, REMEMBERED, FAILED }
 
-  /** One class of requests: worth, time wanted, time allowed, and whether it may run again. */
+  /**
+   * A class of requests.
+   *
+   * @param value what an answer in time is worth
+   * @param lateValue what a late answer is worth
+   * @param aimMs target time for the answer; 0 for none
+   * @param deadlineMs time that is allowed for the answer
+   * @param repeat whether a request may run again
+   * @param group which backends drop repeats of a keyed request
+   * @param repeatWindowMs time for which they drop repeats
+   * @param stream whether the answer is streamed
+   */
   public record RequestClass(String name, double value, double lateValue, double aimMs, double deadlineMs,
       Repeat repeat, Group group, double repeatWindowMs, boolean stream) { }
 
-  /** One plan; a rate, open limit or ceiling rate of 0 means that there is none. */
+  /**
+   * A plan of customers. A rate, limit of open attempts or ceiling rate of 0 means that there is none.
+   *
+   * @param rate units per second that the quota refills by
+   * @param burst units that the quota holds at most
+   * @param maxOpenAttempts attempts in flight at once, over all gateways
+   * @param worthFactor factor of the worth of this plan's requests
+   * @param beyondEarns what a request beyond the quota earns
+   * @param beyondCost what a request beyond the quota costs
+   * @param ceilingRate units per second that the hard ceiling refills by
+   * @param ceilingBurst units that the ceiling holds at most
+   * @param ceilingSlack units by which the ceiling may be exceeded
+   */
   public record Plan(String name, double rate, double burst, int maxOpenAttempts, double worthFactor,
       double beyondEarns, double beyondCost, double ceilingRate, double ceilingBurst, double ceilingSlack) { }
 
-  /** What a gateway may use and do. */
+  /**
+   * What a gateway may use and do.
+   *
+   * @param sharedCounter whether there is a shared counter
+   * @param counterTimeoutMs timeout of a call to the counter
+   * @param mayCancel whether attempts may be cancelled
+   * @param mayDuplicate whether two attempts of a request may run at once
+   * @param maxAttempts limit of attempts for each request
+   * @param maxOpenRequests limit of open requests
+   * @param mayAdviseRetry whether a refusal may advise when to try again
+   * @param maxRetryAfterMs longest time that is advised
+   * @param rosterOnRequest whether changes of the roster have to be requested
+   */
   public record Capabilities(boolean sharedCounter, double counterTimeoutMs, boolean mayCancel,
-      boolean mayDuplicate,
-      int maxAttempts, int maxOpenRequests, boolean mayAdviseRetry, double maxRetryAfterMs,
-      boolean rosterOnRequest) { }
+      boolean mayDuplicate, int maxAttempts, int maxOpenRequests, boolean mayAdviseRetry,
+      double maxRetryAfterMs, boolean rosterOnRequest) { }
 
-  /** Figures of the rules. */
+  /**
+   * Numbers of the rules that a gateway has to keep.
+   *
+   * @param coldShare share of its capacity that a backend may get when it has just started, from 0 to 1
+   * @param coldMs time from its start until a backend may get its full share
+   */
   public record Rules(double answerSlackMs, double coldShare, double coldMs, double tipMultiple,
       double tipAfterMs) { }
 
+  /**
+   * Settings of a gateway.
+   *
+   * @param gateways number of gateways of the fleet
+   * @param selfIndex index of this gateway, from 0
+   * @param maxUnits the most units that a request can have
+   * @param crossZonePrice cost of a backend in another zone, as a share of the target time
+   * @param capacitiesReported whether the roster reports the capacities of backends
+   */
   public record Settings(int gateways, int selfIndex, String zone, double maxUnits, double crossZonePrice,
       boolean capacitiesReported, List<RequestClass> classes, List<Plan> plans, Capabilities capabilities,
       Rules rules) { }
 
-  /** One backend of a roster; startedMs is 0 when it started long ago. */
+  /**
+   * A backend in a roster.
+   *
+   * @param capacity capacity, relative to other backends
+   * @param startedMs time of its start; 0 if it started long ago
+   */
   public record BackendEntry(long id, String zone, int cell, Phase phase, double capacity,
       double startedMs) { }
 
-  /** A load report; a value that was not reported is NaN. */
+  /**
+   * A load report of a backend: requests in flight there, and its service time. A value that was not reported
+   * is NaN.
+   */
   public record Load(double inFlight, double serviceMs) { }
 
-  /** What a gateway tells its module. */
+  /** An event that a gateway reports to its decision module. */
   public sealed interface Event { }
 
+  /** News of the backends; the form tells what the entries are. */
   public record Roster(RosterForm form, List<BackendEntry> entries) implements Event { }
 
   /**
    * A request to decide on.
    *
-   * @param entryPointIndex this gateway's place among those through which its customer's requests may come,
-   * or -1
-   * @param ceilingShare what of its customer's ceiling this gateway may use; null where gateways use it
-   * together
-   * by
-   *     the shared count, which has to be one count then at any moment
+   * @param entryPoints number of gateways through which requests of this customer may come
+   * @param units estimated units of the request
+   * @param giveUpMs time at which the client gives up
+   * @param entryPointIndex index of this gateway among these entry points, or -1
+   * @param ceilingShare the share of the customer's ceiling that this gateway may use; null where the
+   *     gateways use the ceiling together by the shared count, which then has to be a single count at any
+   *     time
    */
   public record Request(String id, String className, String planName, long customer, int entryPoints,
       double units, double giveUpMs, int entryPointIndex, CeilingShare ceilingShare) implements Event {
@@ -89,75 +159,91 @@
       this(id, className, planName, customer, entryPoints, units, giveUpMs, -1, null);
     }
 
-    /** The same with that share. */
+    /** Returns this request with the given share of the ceiling. */
     public Request withCeilingShare(CeilingShare share) {
       return new Request(id, className, planName, customer, entryPoints, units, giveUpMs, entryPointIndex,
           share);
     }
   }
 
-  /** A share of a customer's ceiling, from 0 to 1, until a moment, and the share from that moment on. */
+  /**
+   * A share of a customer's ceiling, from 0 to 1.
+   *
+   * @param share the share until the given time
+   * @param nextShare the share from that time on
+   */
   public record CeilingShare(double share, double untilMs, double nextShare) { }
 
   /**
-   * A request that something else has to decide on first. One that would be refused by what is known already
-   * is refused now; of any other nothing is said, and nothing is counted.
+   * A request that another check has to decide on first, such as an external authoriser. If it would be
+   * refused by what is known already, it is refused now. For any other request there is no action, and
+   * nothing is counted.
    */
   public record PreCheck(Request request) implements Event { }
 
-  /** A streamed answer has begun. */
+  /** A streamed answer has started. */
   public record StreamStarted(String request, int attempt) implements Event { }
 
-  /** How an attempt ended; trueUnits is 0 when unknown, load is null when no report came. */
+  /**
+   * An attempt has ended.
+   *
+   * @param requestOver whether the request has ended as well
+   * @param trueUnits the true units of the request; 0 if they are not known
+   * @param load the load report that came with the answer; null if there was none
+   */
   public record Outcome(String request, int attempt, long backend, Status status, double latencyMs,
       boolean requestOver, double trueUnits, Load load) implements Event { }
 
-  /** The request is over: its client has left. */
+  /** The client of a request has left, which ends the request. */
   public record ClientLeft(String request) implements Event { }
 
-  /** The end of a call to the counter; total is valid with OK. */
+  /** A call to the counter has ended; the total is valid only with status OK. */
   public record Counted(String name, Status status, double total, double latencyMs) implements Event { }
 
   /**
-   * Another counter answers than before.
+   * The counter was replaced by another one.
    *
-   * @param lostSinceMs what was added until then may be in it (it began with a copy), what was added later is
-   *     not; negative infinity when it has nothing
+   * @param lostSinceMs the new counter began with a copy that may hold what was added until this time; it
+   *     holds nothing that was added later. Negative infinity if it began empty.
    */
   public record CounterReplaced(double lostSinceMs) implements Event {
 
-    /** One that has nothing of what was added until now. */
+    /** A replacement by a counter that began empty. */
     public CounterReplaced() {
       this(Double.NEGATIVE_INFINITY);
     }
   }
 
+  /** A timer set by {@link WakeAt} is due. */
   public record Woken(String label) implements Event { }
 
-  /** What a module has its gateway do. */
+  /** An action that a gateway has to take for its decision module. */
   public sealed interface Action { }
 
-  /** Start an attempt; the n-th Send of a request, from 0, is its attempt n. */
+  /** Starts an attempt. The attempts of a request are numbered from 0, in the order of these actions. */
   public record Send(String request, long backend, double timeoutMs) implements Action { }
 
   /**
-   * Final answer: refused, trying again is harmless; holdOffMs of 0 gives no advice.
+   * Gives the final answer: the request is refused, and trying again is harmless.
    *
-   * @param quotaExhausted for its customer's sake, whose quota, ceiling or places are used up; else for the
-   * fleet's
+   * @param retryAfterMs time after which the client is advised to try again; 0 for no advice
+   * @param quotaExhausted whether the customer's quota, ceiling or slots are used up; otherwise the reason is
+   *     the state of the fleet
    */
   public record Refuse(String request, double retryAfterMs, boolean quotaExhausted) implements Action { }
 
-  /** Final answer: failed, nothing promised. */
+  /** Gives the final answer: the request has failed, and trying again may not be harmless. */
   public record Fail(String request) implements Action { }
 
+  /** Cancels an attempt. */
   public record Cancel(String request, int attempt) implements Action { }
 
-  /** Add to a named count; a new name starts at 0 and is forgotten after ttlMs. */
+  /** Adds to a count of the counter; a new name starts at 0 and is forgotten after ttlMs. */
   public record Add(String name, double amount, double ttlMs) implements Action { }
 
+  /** Sets a timer; {@link Woken} with the same label reports it. */
   public record WakeAt(double atMs, String label) implements Action { }
 
-  /** Ask for changes of the roster from now on. */
+  /** Requests that changes of the roster are reported from now on. */
   public record FollowRoster() implements Action { }
 }
--- a/policy/src/main/java/willowdoor/policy/GatewayState.java
+++ b/policy/src/main/java/willowdoor/policy/GatewayState.java
@@ -7,20 +7,22 @@
 import willowdoor.policy.GatewayApi.Rules;
 import willowdoor.policy.GatewayApi.Settings;
 
-/** What {@link QuotaPolicy} remembers, without any decision: all of those are in the module. */
+/** State that {@link QuotaPolicy} keeps. Decisions are made in the policy only. */
 final class GatewayState {
 
   private GatewayState() {
   }
 
-  /** The finaliser of SplitMix64: spreads numbers evenly, and alike at every start. */
+  /** The finaliser of SplitMix64: a hash that spreads numbers evenly and is the same in every process. */
   static long mix(long number) {
     long z = (number ^ (number >>> 30)) * 0xBF58476D1CE4E5B9L;
     z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
     return z ^ (z >>> 31);
   }
 
-  /** A mean that forgets: by samples where they come often, by time where they are rare. */
+  /**
+   * A mean that forgets old samples: by their number where samples are frequent, by time where they are rare.
+   */
   static final class DecayingMean {
     private final double minWeight;
     private final double decayMs;
@@ -42,21 +44,24 @@
       return updatedAt;
     }
 
-    /** The mean, less as it ages without samples. */
+    /** The mean, which falls towards 0 with the time since the last sample. */
     double decayed(double now) {
       return value * Math.exp((updatedAt - now) / decayMs);
     }
   }
 
   /**
-   * What requests of a class take by their units, in milliseconds: least squares over their latest answers,
-   * older ones forgotten. It serves where units tell the work, where they are a guess of it, and where they
-   * tell nothing of it: the line lies between one through nought and a level one.
+   * Model of the service time of a class of requests, in milliseconds, as a linear function of their units:
+   * least squares over the latest answers, with older ones forgotten. It fits where the units give the work
+   * exactly, where they estimate it, and where they say nothing about it: the line lies between one through
+   * the origin and a horizontal one.
    */
   static final class ServiceTimeModel {
-    /** The last hundred answers count: some seconds of any class. */
+    /**
+     * Weight of the newest answer, at least: about the last hundred answers count, some seconds of any class.
+     */
     private static final double MIN_WEIGHT = 0.01;
-    /** Answers that the first one counts for. */
+    /** Number of further answers that the first answer counts for. */
     private static final double FIRST_ANSWER_EXTRA = 3;
     private final double defaultMs;
     private double answers;
@@ -85,8 +90,8 @@
     }
 
     LearnedState.ClassServiceTime snapshot(String className) {
-      return new LearnedState
-          .ClassServiceTime(className, answers, meanUnits, meanMs, meanSquaredUnits, meanUnitsTimesMs);
+      return new LearnedState.ClassServiceTime(className, answers, meanUnits, meanMs, meanSquaredUnits,
+          meanUnitsTimesMs);
     }
 
     void restore(LearnedState.ClassServiceTime saved) {
@@ -108,60 +113,76 @@
     }
   }
 
-  /** One customer as this gateway sees it. */
+  /** State of one customer, as this gateway sees it. */
   static class AccountState {
+    /** Multiple of the units that a window can grant from which on a total cannot be right. */
     private static final double IMPLAUSIBLE_FACTOR = 10;
     final long customer;
     final Plan plan;
-    /** Through how many gateways its requests may come. */
+    /** Number of gateways through which requests of this customer may come. */
     final int entryPoints;
-    /** Shift and length of its counts' windows; plain: one burst a window, no bucket followed. */
+    /** Offset of the windows of its counts, in milliseconds; it spreads the window edges of customers. */
     double windowOffsetMs;
     double windowMs;
+    /** Whether each window allows one burst, counted by its total alone, so that no bucket is followed. */
     boolean countsPerWindow;
-    /** Units in the bucket as estimated, and when. */
+    /** Estimated units in the bucket. */
     double level;
+    /** Time of that estimate. */
     double levelUpdatedAt;
-    /** Spending of others taken for granted since the last answer. */
+    /** Units that other gateways are assumed to have used since the last answer. */
     double assumedOthersUnits;
-    /** Units a second of the others and of this gateway, and this gateway's units since the last answer. */
+    /** Units per second that other gateways use. */
     double othersRate;
+    /** Units per second that this gateway uses. */
     double ownRate;
+    /** Units that this gateway has used since the last answer. */
     double ownUnitsSinceSync;
+    /** Time of the last answer; NaN before the first. */
     double syncedAt = Double.NaN;
-    /** Units to go with the next add, that an unanswered call may have added, and in calls under way. */
+    /** Units that the next call adds; below 0 they are taken off the count. */
     double pendingUnits;
+    /** Units that unanswered calls may have added. */
     double uncertainUnits;
+    /** Units in calls that have not ended. */
     double inFlightUnits;
-    /** The window last answered for, and its total then. */
+    /** The window of the last answer. */
     long totalWindow = Long.MIN_VALUE;
+    /** The total in the last answer. */
     double lastTotal;
-    /** The total seen at a counter that another one, begun with a copy, has replaced; 0 once that answered.
-        */
+    /**
+     * The last total of a counter that was replaced by one that began with a copy; 0 once the new counter has
+     * answered.
+     */
     double totalBeforeReplacement;
-    /** The total of the window before the present one, as read once: which one was asked for, and told. */
+    /** The window before the current one, whose total was last requested; each is requested once. */
     long requestedPreviousWindow = Long.MIN_VALUE;
+    /** The window before the current one, whose total is known. */
     long previousTotalWindow = Long.MIN_VALUE;
+    /** The total of that window. */
     double previousTotal;
-    /** What this gateway itself has added to that window's count, as answered for. */
+    /** Units that this gateway has added to the window of the last answer, as confirmed by answers. */
     double confirmedAdds;
     /** The window in which the counter was replaced: until its end no answer raises the level. */
     long replacementWindow = Long.MIN_VALUE;
-    /** The ceiling: what counted sends may use together, and this gateway's own part. */
+    /** Units left in the part of the ceiling that requests confirmed by the counter use together. */
     double sharedCeilingUnits;
+    /** Units left in this gateway's own part of the ceiling. */
     double localCeilingUnits;
-    /** The gateway's share of the ceiling as told with the last request; null: by the shared count. */
+    /** Its share of the ceiling, as given with the last request; null if the ceiling is counted together. */
     GatewayApi.CeilingShare ceilingShare;
-    /** What this gateway may send on unasked. */
+    /** Units of this gateway's even part of the quota, which it may use without an answer of the counter. */
     double localQuotaUnits;
     int attemptsInFlight;
-    /** Places held here in the shared count of attempts out, asked for, in the window of that count. */
+    /** Slots that this gateway holds in the shared count of attempts in flight. */
     int slots;
+    /** Slots that this gateway has requested. */
     int slotRequests;
-    /** What a call that was turned away has not added to that count. */
+    /** Amount of calls about slots that the counter provably has not added. */
     double pendingSlots;
+    /** Window of the count of slots. */
     long slotWindow = Long.MIN_VALUE;
-    /** Until then all places are taken, as last answered. */
+    /** Time until which all slots are taken, by the last answer. */
     double slotsFullUntil = Double.NEGATIVE_INFINITY;
 
     AccountState(long customer, Plan plan, int entryPoints, double now) {
@@ -179,10 +200,10 @@
       return currentWindow(now) * windowMs - windowOffsetMs;
     }
 
-    /** What it owes is another's from here on. */
+    /** Takes the pending units out of this account; adding them is the successor's task from then on. */
     LearnedState.PendingAdd takePendingAdd(double now) {
-      LearnedState.PendingAdd pending = new LearnedState
-          .PendingAdd(customer, plan.name(), entryPoints, currentWindow(now), pendingUnits);
+      LearnedState.PendingAdd pending =
+          new LearnedState.PendingAdd(customer, plan.name(), entryPoints, currentWindow(now), pendingUnits);
       pendingUnits = 0;
       return pending;
     }
@@ -192,9 +213,9 @@
     }
 
     /**
-     * A total that no customer can come to, however many gateways add to it: so many times what a window can
-     * grant, and what may be under way. Guards against answers that are out of step with their calls, and so
-     * another name's. Harm: none known; it is read once more.
+     * A total that no customer can reach, however many gateways add to it: a multiple of what a window can
+     * grant and of what may be in flight. It detects answers that are out of step with their calls, so that
+     * they belong to another count; the total is then read again. Drawback: none known.
      */
     double implausibleTotal(Settings settings) {
       return IMPLAUSIBLE_FACTOR * (plan.burst() + plan.rate() * windowMs / 1000
@@ -206,9 +227,11 @@
     }
   }
 
-  /** One call to the counter: what it adds, the request that waits for it, and whether it is for a place. */
-  record CounterCall<A extends AccountState,
-      J>(A account, long window, double amount, J job, boolean forSlot) {
+  /**
+   * A call to the counter: the amount it adds, the request that waits for it, and whether it is about a slot.
+   */
+  record CounterCall<A extends AccountState, J>(A account, long window, double amount, J job,
+      boolean forSlot) {
     CounterCall(A account, long window, double amount, J job) {
       this(account, window, amount, job, false);
     }
@@ -218,7 +241,7 @@
     }
   }
 
-  /** One attempt of a request; itself alone is equal to it, as each is sent once. */
+  /** An attempt of a request. It is equal only to itself. */
   static final class Attempt<J, B> {
     final J job;
     final int number;
@@ -233,34 +256,43 @@
     }
   }
 
-  /** One backend as this gateway sees it. */
+  /** State of one backend, as this gateway sees it. */
   static class BackendState {
     final long id;
     String zone;
     Phase phase;
     int cell;
-    /** Size as told, and relative to the mean. */
+    /** Capacity as reported by the roster. */
     double reportedCapacity;
+    /** Capacity relative to the mean of all serving backends. */
     double relativeCapacity;
-    /** When it started, as told, and as taken to be. */
+    /** Start time as reported by the roster. */
     double reportedStartMs;
+    /** Start time as assumed by this gateway: later if the backend seems to have restarted. */
     double assumedStartMs;
-    /** When a failed connection made it look restarted, unless that is settled. */
+    /** Time of a failed connection that made the backend seem restarted, until that is refuted. */
     double suspectedRestartAt = Double.NEGATIVE_INFINITY;
-    /** Failures of its zone and of its cell, shared by their backends. */
+    /** Failure rate of its zone, shared by the backends there. */
     DecayingMean zoneFailureRate;
+    /** Failure rate of its cell, shared by the backends there. */
     DecayingMean cellFailureRate;
+    /** Latency as a multiple of the expected one; NaN before the first answer. */
     double measuredSlowness = Double.NaN;
     double failureRate;
+    /** Backoffs since the backend last worked well. */
     int backoffCount;
+    /** Whether the next attempt here is a trial after a backoff. */
     boolean needsTrial;
     double backoffUntil = Double.NEGATIVE_INFINITY;
+    /** Time until which the backend gets nothing, as it rejected a request. */
     double overloadedUntil = Double.NEGATIVE_INFINITY;
     double lastAnswerAt;
-    /** Requests held as last reported, of them from here, and when. */
+    /** Requests at the backend by its last load report; NaN before the first. */
     double reportedLoad = Double.NaN;
+    /** Requests of this gateway there at the time of that report. */
     double ownLoadAtReport;
     double loadReportedAt;
+    /** Attempts that may be sent here while the backend is cold. */
     double coldTokens;
     double coldTokensAt;
 
@@ -270,16 +302,14 @@
       coldTokensAt = now;
     }
 
-    /** The failing share of its zone or of its cell, whichever is more. */
+    /** The failure rate of its zone or of its cell, whichever is higher. */
     double groupFailureRate(double now) {
       return Math.max(zoneFailureRate.decayed(now), cellFailureRate.decayed(now));
     }
 
     LearnedState.LearnedBackend snapshot(double now) {
-      return new LearnedState
-          .LearnedBackend(id, measuredSlowness, failureRate, now - lastAnswerAt,
-          Math.max(0, backoffUntil - now), backoffCount,
-          needsTrial, coldTokens);
+      return new LearnedState.LearnedBackend(id, measuredSlowness, failureRate, now - lastAnswerAt,
+          Math.max(0, backoffUntil - now), backoffCount, needsTrial, coldTokens);
     }
 
     void restore(LearnedState.LearnedBackend saved, double now, double transferMs) {
@@ -292,7 +322,7 @@
       coldTokens = Math.min(coldTokens, saved.coldTokens());
     }
 
-    /** Its place in the order of one gateway, which differs from the orders of others. */
+    /** Position of this backend in the order of one gateway, which differs between gateways. */
     long rank(long gateway) {
       return mix(id + (gateway << 32));
     }
@@ -301,35 +331,41 @@
       return assumedStartMs > 0 && now - assumedStartMs < rules.coldMs();
     }
 
-    /** The part of its capacity that the rules promise by now. */
+    /** The share of its capacity that the backend may get by now, from 0 to 1. */
     double warmUpShare(Rules rules, double now) {
       return Math.min(1,
           rules.coldShare() + (1 - rules.coldShare()) * (now - assumedStartMs) / rules.coldMs());
     }
   }
 
-  /** One request taken and not yet finally answered. */
+  /** A request that was received and has no final answer yet. */
   static class JobState {
     final Request request;
     final RequestClass requestClass;
     final double receivedAt;
-    /** Waits for the counter; its call is unanswered; its units are, or may be, in the shared count. */
+    /** Whether the request waits for the counter. */
     boolean waitingForCounter;
+    /** Whether its call for units has not ended. */
     boolean callPending;
+    /** Whether its units are, or may be, in the shared count. */
     boolean mayBeCounted;
-    /** The total is being read a second time. */
+    /** Whether the total is being read, or was read, a second time. */
     boolean totalReread;
-    /** It holds one of its customer's places. */
+    /** Whether it holds one of its customer's slots. */
     boolean holdsSlot;
-    /** Units that its call adds. */
+    /** Units that its call adds; 0 if the call only reads the total. */
     double unitsInCall;
+    /** Whether its units were taken from the quota. */
     boolean charged;
+    /** Whether it waits for a usable backend. */
     boolean waitingForBackend;
     boolean streaming;
     boolean mayHaveRun;
+    /** Whether one of its attempts was cancelled because the backend was silent. */
     boolean cancelledAsSilent;
-    /** Its last attempt found no connection, or one that was dead or out of step. */
+    /** Whether its last attempt ended in a way that is no sign of overload, so that a retry is free. */
     boolean retryExempt;
+    /** Time until which backends drop repeats of a keyed request that may have run. */
     double repeatsDroppedUntil = Double.POSITIVE_INFINITY;
     int attemptCount;
 
@@ -339,6 +375,7 @@
       this.receivedAt = now;
     }
 
+    /** Target time in milliseconds; without one, the time until the client gives up. */
     double aimMs() {
       return requestClass.aimMs() > 0 ? requestClass.aimMs() : Math.max(1, request.giveUpMs() - receivedAt);
     }
--- a/policy/src/main/java/willowdoor/policy/LearnedState.java
+++ b/policy/src/main/java/willowdoor/policy/LearnedState.java
@@ -11,56 +11,74 @@
 import willowdoor.policy.GatewayState.ServiceTimeModel;
 
 /**
- * What one process of a gateway has learned, for the one that takes its place, so that this one doesn't meet
- * every trouble anew. Moments are told as ages, as two processes' clocks need not agree; whoever goes on from
- * it adds how long it was on its way. What is learned of a backend fades with its age as in one process.
+ * State that one process of a gateway has learned and hands over to its successor, so that the successor does
+ * not have to meet every fault again. Times are given as ages, since the clocks of two processes need not
+ * agree; the successor adds the time of the transfer. What was learned of a backend fades with its age as
+ * within one process.
  *
- * <p>What is owed to shared counts goes over for good: it is the successor's from then on.
+ * <p>Units that are still to be added to shared counts are moved: adding them is the successor's task from
+ * then on.
  *
- * @param serviceMs what a request takes, over all backends
- * @param slowness how much longer than usual
- * @param knee attempts out at a backend from which on further ones mostly wait
+ * @param serviceMs mean service time of a request, over all backends
+ * @param slowness latency as a multiple of the expected one, over all backends
+ * @param knee attempts in flight at a backend beyond which further attempts mostly wait
+ * @param serviceTimes models of the service times of the request classes
+ * @param backends what was learned of backends
+ * @param pendingAdds units that are still to be added to shared counts
  */
 public record LearnedState(double serviceMs, double slowness, double knee,
-    List<ClassServiceTime> serviceTimes,
-    List<LearnedBackend> backends,
-    List<PendingAdd> pendingAdds) {
+    List<ClassServiceTime> serviceTimes, List<LearnedBackend> backends, List<PendingAdd> pendingAdds) {
 
-  /** Bounds of what is told and taken: one more of each is left out. */
+  /** Most request classes that are handed over; further ones are left out. */
   public static final int MAX_CLASSES = 1_000;
+  /** Most backends that are handed over; further ones are left out. */
   public static final int MAX_BACKENDS = 10_000;
+  /** Most customers whose pending units are handed over; further ones are left out. */
   public static final int MAX_PENDING_ADDS = 5_000;
+  /** Pending units up to this amount are not handed over. */
   private static final double MIN_PENDING_UNITS = 1e-6;
 
-  /** What requests of a class took, as means over their latest answers. */
+  /**
+   * Service time model of a request class: number of answers, and means over the latest answers.
+   *
+   * @param answers answers seen
+   * @param meanUnits mean of the units
+   * @param meanMs mean of the service time
+   * @param meanSquaredUnits mean of the squared units
+   * @param meanUnitsTimesMs mean of the units multiplied by the service time
+   */
   public record ClassServiceTime(String className, double answers, double meanUnits, double meanMs,
-      double meanSquaredUnits,
-      double meanUnitsTimesMs) { }
+      double meanSquaredUnits, double meanUnitsTimesMs) { }
 
   /**
-   * A backend.
+   * What was learned of a backend.
    *
-   * @param slowness how much longer than usual it takes; NaN where it never answered
-   * @param lastAnswerAgoMs how long ago it last answered
-   * @param backoffMs for how long nothing is to be sent there yet
-   * @param needsTrial whether what is sent next is a trial
-   * @param coldTokens what may be sent to it at once while it is cold
+   * @param slowness latency as a multiple of the expected one; NaN if the backend never answered
+   * @param failureRate failure rate, from 0 to 1
+   * @param lastAnswerAgoMs time since the last answer
+   * @param backoffMs time for which the backend still gets nothing
+   * @param backoffCount backoffs since the backend last worked well
+   * @param needsTrial whether the next attempt there is a trial
+   * @param coldTokens attempts that may be sent there while the backend is cold
    */
   public record LearnedBackend(long id, double slowness, double failureRate, double lastAnswerAgoMs,
-      double backoffMs, int backoffCount,
-      boolean needsTrial, double coldTokens) { }
+      double backoffMs, int backoffCount, boolean needsTrial, double coldTokens) { }
 
-  /** Units of a customer that go with the next add to that window's count; below 0 they are taken off. */
+  /**
+   * Units of a customer that the next call adds to the count of the window; below 0 they are taken off.
+   *
+   * @param entryPoints number of gateways through which requests of the customer may come
+   */
   public record PendingAdd(long customer, String plan, int entryPoints, long window, double units) { }
 
-  /** Keeps copies. */
+  /** Copies the lists. */
   public LearnedState {
     serviceTimes = List.copyOf(serviceTimes);
     backends = List.copyOf(backends);
     pendingAdds = List.copyOf(pendingAdds);
   }
 
-  /** Of this module, which owes nothing any more from here on. */
+  /** Takes the state of a policy, which no longer adds the pending units that are handed over. */
   public static LearnedState takeFrom(QuotaPolicy policy, double now) {
     List<ClassServiceTime> serviceTimes = new ArrayList<>();
     for (Map.Entry<String, ServiceTimeModel> e : policy.serviceTimes.entrySet()) {
@@ -79,9 +97,10 @@
   }
 
   /**
-   * Has a module go on from it; what the module doesn't know (a class, plan or backend that is gone) is left.
+   * Restores this state into a policy. What the policy does not know (a class, plan or backend that is gone)
+   * is ignored.
    *
-   * @param transferMs how long ago it was told
+   * @param transferMs time since the state was taken, in milliseconds
    */
   public void restoreInto(QuotaPolicy policy, double now, double transferMs) {
     policy.now = now;
@@ -103,7 +122,7 @@
       if (policy.plans.containsKey(x.plan())) {
         AccountState a = policy.accounts.containsKey(x.customer()) ? policy.accounts.get(x.customer())
             : policy.account(new Request("", "", x.plan(), x.customer(), x.entryPoints(), 0, 0));
-        // A window that is over is settled for good.
+        // The count of an ended window is final.
         a.pendingUnits += a.currentWindow(now) == x.window() ? x.units() : 0;
       }
     }
--- a/policy/src/main/java/willowdoor/policy/QuotaPolicy.java
+++ b/policy/src/main/java/willowdoor/policy/QuotaPolicy.java
@@ -5,117 +5,251 @@
 import willowdoor.policy.GatewayState.*;
 
 /**
- * All decisions of one gateway. Its interface (settings, events, actions) is GatewayApi.java in this folder.
- * The ordinary path: each request's estimate is added to its customer's shared count, refused if the answer
- * shows that it passes the plan's quota, and settled by the true units (docs/design.md tells the departures).
- * One instance a gateway, one thread; time comes with the events.
+ * Makes all decisions of one gateway: admission by shared quota, choice of a backend, retries, load shedding.
+ * Its interface (settings, events and actions) is {@link GatewayApi}.
+ *
+ * <p>On the ordinary path the estimated units of a request are added to its customer's shared count. The
+ * request is refused if the returned total shows that it exceeds the quota of the plan; otherwise it is sent,
+ * and the count is corrected by the true units. docs/design.md describes the exceptions.
+ *
+ * <p>Each gateway has one instance, used by one thread. The current time is passed in with each event.
  */
 public final class QuotaPolicy {
 
   // ---- Constants ----
 
-  /** Longest window of a count: many refills of any usual quota, so edges are rare. */
+  /**
+   * Longest window of a shared count, in milliseconds, unless the bucket of the plan takes longer to refill.
+   * It spans many refills of any usual quota, so that window edges are rare.
+   */
   private static final double MAX_WINDOW_MS = 25_000;
-  /** Up to this many entry points each meets a customer often enough to follow its bucket that long. */
+  /**
+   * Number of entry points up to which each gateway sees a customer often enough to follow its token bucket
+   * for the longest window; with more entry points the window is proportionally shorter.
+   */
   private static final double MAX_FOLLOWING_ENTRY_POINTS = 3;
-  /** What a customer is taken to use of its rate before anything is known: most stay well under it. */
+  /**
+   * Share of its rate that a customer is assumed to use before anything is known of it: most customers stay
+   * well below their rate.
+   */
   private static final double ASSUMED_RATE_SHARE = 0.5;
-  /** Counts estimated to be past the limit by this share of it are not asked for: the answer is known. */
+  /**
+   * A count that is estimated to exceed the burst by this share of the burst is not asked for: the answer
+   * would be a refusal.
+   */
   private static final double SURELY_SPENT_SHARE = 0.5;
+  /** Time after which the counter forgets a count, in milliseconds. */
   private static final double COUNT_TTL_MS = 60_000;
-  /** How often waiting requests are looked at: well under what a person or an aim notices. */
+  /**
+   * Interval in milliseconds at which open requests are checked: too short for a person to notice, and short
+   * compared with the target times of requests.
+   */
   private static final double TICK_MS = 25;
-  /** Without open requests a slow pulse is enough: it shows when this gateway stood still. */
+  /** Interval of the timer in milliseconds while no request is open: enough to detect a stall. */
   private static final double IDLE_TICK_MS = 250;
-  /** A wake-up later than this means that this gateway stood still: far more than any load explains. */
+  /**
+   * Delay of a timer in milliseconds from which on this gateway is taken to have stalled: far more than any
+   * load explains.
+   */
   private static final double STALL_MS = 100;
-  /** A request waits for the counter at most this share of its aim; the rest is for the backends. */
+  /**
+   * Longest wait of a request for the counter, as a share of its target time; the rest is left for the
+   * backends.
+   */
   private static final double COUNTER_WAIT_SHARE_OF_AIM = 0.06;
-  /** Calls failing in a row before the counter is taken to be away; fewer is a lost packet. */
+  /** Consecutive failed calls after which the counter is treated as absent; fewer may be a lost packet. */
   private static final int COUNTER_AWAY_AFTER_FAILURES = 4;
-  /** Least spacing of trial calls while the counter is away: of a gateway's, and of the whole fleet's. */
+  /**
+   * Interval between trial calls of one gateway while the counter is absent, in milliseconds; the actual
+   * intervals vary at random by up to a quarter of it.
+   */
   private static final double COUNTER_TRIAL_MS = 250;
+  /**
+   * Least mean interval between the trial calls of all gateways together while the counter is absent, in
+   * milliseconds.
+   */
   private static final double FLEET_COUNTER_TRIAL_MS = 5;
-  /** Multiplicative decrease and additive increase of the share of requests that call, as in TCP. */
+  /**
+   * Factor by which failed calls lower the share of requests that call the counter, at most once per call
+   * timeout: multiplicative decrease and additive increase, as in TCP congestion control.
+   */
   private static final double CALL_SHARE_DECREASE_FACTOR = 0.7;
+  /** Increase of that share with each answer of the counter. */
   private static final double CALL_SHARE_INCREASE = 0.02;
-  /** Increase for each second between answers, so that gateways with few calls recover as soon as others. */
+  /**
+   * Further increase for each second since the previous answer, for one second at most, so that gateways with
+   * few calls recover as soon as others.
+   */
   private static final double CALL_SHARE_INCREASE_PER_S = 0.05;
+  /** Lower bound of that share. */
   private static final double MIN_CALL_SHARE = 0.02;
-  /** Where calling resumes when an absent counter is back, so that all gateways together do not flood it. */
+  /**
+   * That share when an absent counter answers again: less than 1, so that the gateways together do not flood
+   * the counter.
+   */
   private static final double CALL_SHARE_AFTER_RETURN = 0.3;
-  /** Calls a second by which all gateways together put back what a replaced counter has lost. */
+  /**
+   * Calls per second with which all gateways together restore the counts that a replaced counter has lost. A
+   * gateway makes at least one call each time.
+   */
   private static final double FLEET_RESTORE_CALLS_PER_S = 2_000;
-  /** Share of a ceiling for many gateways by themselves: a largest request each would be all of it. */
+  /**
+   * Share of a ceiling that the gateways may use without the shared count where they are many: with room for
+   * a largest request at each of them it would be the whole ceiling.
+   */
   private static final double LOCAL_CEILING_SHARE = 0.25;
-  /** A customer known to be spent is still asked about this often, as refunds of others may have come. */
+  /**
+   * Interval in milliseconds at which the counter is asked again for a customer that is known to have used up
+   * its quota, as other gateways may have returned units.
+   */
   private static final double SPENT_RECHECK_MS = 400;
-  /** A customer whose places were all taken is not asked about for this long: a fraction of an attempt. */
+  /**
+   * Time in milliseconds for which no slot is requested for a customer after all of its slots were found to
+   * be taken: a fraction of the duration of an attempt.
+   */
   private static final double SLOT_RECHECK_MS = 50;
-  /** How long the spending of a customer is remembered for its rates: longer than a burst, a few refills. */
+  /**
+   * Time constant of the usage rates of a customer whose bucket is followed, in milliseconds: longer than a
+   * burst, a few refills of the bucket.
+   */
   private static final double RATE_MEMORY_MS = 5_000;
-  /** How long a rarely met customer is taken to go on as last seen: heavy use comes in long spells. */
+  /**
+   * Time constant in milliseconds for which a rarely seen customer is assumed to use its quota as last seen:
+   * heavy use comes in long spells.
+   */
   private static final double USAGE_SPELL_MS = 15_000;
-  /** Weight of the newest answer in a backend's failures; its slowness, which differs more; the fleet's. */
+  /**
+   * Weight of the newest answer in the failure rates of a backend, a zone and a cell; a tenth of it in the
+   * mean service time.
+   */
   private static final double FAILURE_WEIGHT = 0.2;
+  /** Weight of the newest answer in the slowness of a backend, which varies more than its failures. */
   private static final double SLOWNESS_WEIGHT = 0.05;
+  /** Weight of the newest answer in the slowness of the whole fleet. */
   private static final double FLEET_SLOWNESS_WEIGHT = 0.02;
-  /** One answer shows no more slowness than this: beyond it, that an attempt fails is what matters. */
+  /**
+   * Upper bound of the slowness that one answer can show, as a multiple of its expected time: beyond it, only
+   * the failure of the attempt matters.
+   */
   private static final double MAX_SLOWNESS = 20;
-  /** An attempt out for so many times what its size explains shows a slow backend; a silent one. */
+  /** Multiple of its expected time after which an unanswered attempt makes its backend count as slow. */
   private static final double OVERDUE_FACTOR = 1.5;
+  /** Multiple of its expected time after which an unanswered attempt may be cancelled as silent. */
   private static final double SILENT_FACTOR = 2.5;
-  /** A backend failing more of its answers than this, as after three in a row, rests for a growing while. */
+  /** Failure rate above which a backend gets no requests for a growing time, as after three failures. */
   private static final double FAILING_SHARE = 0.4;
+  /**
+   * First backoff of a failing backend in milliseconds. It doubles up to eight times this value, and is
+   * lengthened at random by up to 30 percent.
+   */
   private static final double BACKOFF_MS = 1_000;
-  /** Backends that a gateway keeps to (subsetting), and gateways that each has at least: few connections. */
+  /**
+   * Least number of backends that a gateway uses, and of gateways that use a backend on average (subsetting).
+   * It limits the number of connections.
+   */
   private static final int SUBSET_SIZE = 12;
-  /** Backends compared for a request, over all gateways; two at least, as equal stale reports make a herd. */
+  /**
+   * Backends compared for a request, divided by the number of gateways; at least two are compared. Many
+   * gateways that compare many backends by the same stale reports would all choose the same one.
+   */
   private static final double FLEET_CANDIDATES = 30;
-  /** Further attempts for each request, earned by first attempts, and how many the fleet may save up. */
+  /**
+   * Retry tokens that the first attempt of a request earns. A further attempt costs one token, unless the
+   * attempt before ended in a way that is no sign of overload.
+   */
   private static final double RETRY_TOKENS_PER_REQUEST = 0.15;
+  /** Retry tokens that all gateways together can save up; each gateway can save at least one. */
   private static final double FLEET_MAX_RETRY_TOKENS = 30;
-  /** A first attempt that can be repeated is given up after this share of the aim, so that a second fits. */
+  /**
+   * Share of its target time after which a silent attempt may be cancelled if the request may be repeated, so
+   * that a second attempt still fits.
+   */
   private static final double FIRST_ATTEMPT_SHARE_OF_AIM = 0.65;
-  /** No repeat leaves in this last part of the time for which it is dropped: it may yet have to wait. */
+  /**
+   * Last part of the repeat window of a keyed request, as a share of it, in which no repeat is sent: the
+   * repeat may have to queue until the backends no longer recognise it.
+   */
   private static final double REPEAT_MARGIN_SHARE = 0.25;
-  /** Answer this long before the client gives up, so that the answer itself is in time. */
+  /**
+   * Time in milliseconds before the client gives up at which the last answer is sent, so that the answer
+   * itself arrives in time.
+   */
   private static final double ANSWER_MARGIN_MS = 15;
-  /** Attempts out at a backend, of all gateways, from which on further ones mostly wait: few for any. */
+  /**
+   * Initial value and lower bound of the knee: the number of attempts in flight at a backend, from all
+   * gateways, beyond which further attempts mostly wait. It is a small number for any backend.
+   */
   private static final double MIN_KNEE = 3;
-  /** No crowd is seen before so many answers: they tell whether there is one. */
+  /** Answers needed before requests are shed for their low value: they show whether the fleet is crowded. */
   private static final int MIN_ANSWERS_TO_SHED = 20;
-  /** It lies higher where answers at a crowd take less of their aims than this: by so much with each. */
+  /** Mean latency, as a share of the target time, below which the knee rises while the fleet is crowded. */
   private static final double KNEE_RAISE_BELOW = 0.12;
+  /**
+   * Relative rise of the knee with one answer, multiplied by the square of the crowding; an answer at most
+   * doubles it.
+   */
   private static final double KNEE_RAISE = 0.02;
-  /** And lower again, to the least, where they take more than this. */
+  /** Mean latency, as a share of the target time, above which the knee falls, down to its lower bound. */
   private static final double KNEE_LOWER_ABOVE = 0.25;
+  /** Relative fall of the knee with one answer. */
   private static final double KNEE_LOWER = 0.02;
-  /** Crowding, in knees, from which on the least worthy requests are shed, and how steeply more are. */
+  /**
+   * Crowding (attempts in flight per backend, divided by the knee) from which on the least valuable requests
+   * are shed.
+   */
   private static final double SHED_FROM_CROWDING = 0.5;
+  /**
+   * Rise of the value that a request needs for each unit of crowding beyond that, as a multiple of the mean
+   * worth of requests.
+   */
   private static final double SHED_SLOPE = 1.2;
-  /** What has less of a chance to be in time is refused unless the fleet has room for anything. */
+  /** Chance of an answer in time below which a request is refused, unless the fleet has spare capacity. */
   private static final double MIN_CHANCE_IN_TIME = 0.5;
-  /** So much more is asked of a request that no answer of the counter has confirmed. */
+  /**
+   * Value that a request needs in addition if no answer of the counter has confirmed it, as a multiple of the
+   * mean worth of requests.
+   */
   private static final double UNCONFIRMED_SURCHARGE = 0.3;
-  /** How sharply the chance of an answer in time falls round the aim: answers to one size vary by a half. */
+  /**
+   * Exponent that sets how sharply the chance of an answer in time falls around the target time: latencies of
+   * requests of one size vary by a half.
+   */
   private static final double IN_TIME_SHARPNESS = 3;
-  /** A fleet less crowded than this has room for anything, also for what earns beyond its quota. */
+  /**
+   * Crowding below which the fleet has spare capacity for any request, including requests beyond the quota
+   * whose plan earns by them.
+   */
   private static final double SPARE_CROWDING = 0.4;
-  /** Weight of the newest answer in the fleet's wait: the last twenty count, or the last few seconds. */
+  /**
+   * Least weight of the newest answer in the mean latencies of the fleet: about the last twenty answers
+   * count, or those of the last few seconds.
+   */
   private static final double PRESSURE_WEIGHT = 0.05;
+  /**
+   * Time constant in milliseconds of these means, of the failure rates of zones and cells, and of the rate of
+   * attempts.
+   */
   private static final double PRESSURE_DECAY_MS = 4_000;
-  /** A backend with fewer requests than this, of all gateways, is not taken to queue. */
+  /** Requests at a backend, from all gateways, below which no queue is assumed there. Currently not used. */
   private static final double IDLE_REQUESTS = 3;
-  /** Random spread of expected waits, so that gateways with the same reports pick different backends. */
+  /**
+   * Random spread of the expected waits, as a share of them, so that gateways with the same reports choose
+   * different backends.
+   */
   private static final double WAIT_JITTER = 0.05;
-  /** How long a backend's measured speed and failures are worth much without a further answer. */
+  /**
+   * Time constant in milliseconds with which the measured slowness and failures of a backend lose weight
+   * without a further answer.
+   */
   private static final double LEARNED_DECAY_MS = 6_000;
-  /** How long a load report is worth much: others' requests there are mostly answered by then. */
+  /**
+   * Time constant in milliseconds with which a load report loses weight: most of the requests of other
+   * gateways that it counted are answered by then.
+   */
   private static final double LOAD_REPORT_DECAY_MS = 700;
-  /** Wait for any usable backend this share of the aim before refusing. */
+  /** Longest wait of a request for a usable backend before it is refused, as a share of its target time. */
   private static final double BACKEND_WAIT_SHARE_OF_AIM = 0.4;
-  /** What a backend is taken to need before anything was seen of it. */
+  /** Service time in milliseconds that is assumed before any answer was seen. */
   private static final double DEFAULT_SERVICE_MS = 100;
 
   private final Settings settings;
@@ -134,7 +268,7 @@
     settings.classes().forEach(c -> classes.put(c.name(), c));
   }
 
-  /** To be called once, before any event. */
+  /** Starts the policy; to be called once, before any event. */
   public List<Action> start(double nowMs) {
     now = nowMs;
     startedAt = nowMs;
@@ -146,7 +280,10 @@
     return actions;
   }
 
-  /** The part of a customer's use of late that came through this gateway; an even one while not known. */
+  /**
+   * The share of a customer's recent use that came through this gateway, from 0 to 1; an even share while it
+   * is not known.
+   */
   public double localUsageShare(long customer, int entryPoints) {
     Account account = accounts.get(customer);
     boolean known = account != null && consecutiveCallFailures < COUNTER_AWAY_AFTER_FAILURES
@@ -154,7 +291,7 @@
     return known ? account.ownRate / (account.ownRate + account.othersRate) : 1.0 / Math.max(1, entryPoints);
   }
 
-  /** Takes one event and gives what to do, in order. */
+  /** Handles one event and returns the actions that the gateway has to take, in order. */
   public List<Action> on(double nowMs, Event event) {
     now = nowMs;
     actions = new ArrayList<>();
@@ -186,14 +323,14 @@
 
   // ---- Quota ----
 
-  /** What this gateway knows of one customer: a replica of its plan's bucket, fed by the shared totals. */
+  /** State of one customer: a replica of its plan's token bucket, updated from the shared totals. */
   final class Account extends AccountState {
     Account(Request request, Plan plan) {
       super(request.customer(), plan, Math.max(1, Math.min(request.entryPoints(), settings.gateways())), now);
       ceilingShare = request.ceilingShare();
       double refillMs = plan.rate() > 0 ? 1000 * plan.burst() / plan.rate() : 0;
-      double followedMs = plan.ceilingRate() > 0 ? MAX_WINDOW_MS : MAX_WINDOW_MS
-          * MAX_FOLLOWING_ENTRY_POINTS / this.entryPoints;
+      double followedMs = plan.ceilingRate() > 0 ? MAX_WINDOW_MS
+          : MAX_WINDOW_MS * MAX_FOLLOWING_ENTRY_POINTS / this.entryPoints;
       windowMs = Math.max(refillMs, Math.min(MAX_WINDOW_MS, followedMs));
       countsPerWindow = windowMs < 2 * refillMs && settings.capabilities().sharedCounter();
       windowOffsetMs = Math.floorMod(customer * 0x9E3779B97F4A7C15L, (long) MAX_WINDOW_MS);
@@ -204,8 +341,11 @@
     }
 
     /**
-     * The share of a ceiling for gateways by themselves: all for two, for more a largest request each; of
-     * many, and where totals tell all, a part. Where shares are told, all, as no count can be relied on.
+     * The share of the ceiling that all gateways together may use without the shared count. For one or two
+     * gateways it is the whole ceiling; for three it is two thirds, or a largest request for each of them if
+     * that is more. For more gateways, and where each window is counted by its total alone, it is a fixed
+     * share. Where gateways are assigned shares of the ceiling, these divide the whole ceiling, as no count
+     * can be relied on.
      */
     double localCeilingShare() {
       double each = Math.max(2.0 / entryPoints, entryPoints * settings.maxUnits() / plan.ceilingBurst());
@@ -217,24 +357,34 @@
       return (plan.ceilingBurst() + plan.ceilingSlack() / 2) * (1 - localCeilingShare());
     }
 
-    /** Whether the window before that one is told, and by a counter that has lost nothing of it. */
+    /**
+     * Whether the total of the window before the given one is known, from a counter that has been available
+     * since before that window began.
+     */
     boolean isPreviousTotalKnown(long window) {
       return previousTotalWindow == window - 1 && counterReturnedAt < windowStart(now) - windowMs;
     }
 
-    /** What is left of the ceiling with such a total, if all of the last window was spent at its end. */
+    /**
+     * Lower bound of the units left in the shared part of the ceiling, for a total of the current window. It
+     * assumes that all units of the previous window were used at its end; if the total of that window is not
+     * known, that they were a full burst.
+     */
     double minSharedCeilingUnits(double total) {
       boolean previousKnown = isPreviousTotalKnown(currentWindow(now));
       double filledFrom = previousKnown ? windowStart(now) : Math.max(windowStart(now), counterReturnedAt);
-      double unitsThen = Math
-          .max(0, maxSharedCeilingUnits()
+      double unitsThen = Math.max(0, maxSharedCeilingUnits()
           - (previousKnown ? Math.min(previousTotal, plan.burst()) : plan.burst()));
       return Math.min(maxSharedCeilingUnits(),
           unitsThen + plan.ceilingRate() * (1 - localCeilingShare()) * (now - filledFrom) / 1000)
           - total;
     }
 
-    /** The same, as followed from the answer before, with all that others used since then used just now. */
+    /**
+     * Units left in the shared part of the ceiling, followed from the previous answer. It assumes that all
+     * units that other gateways have added since then were used just now. Negative infinity if it cannot be
+     * followed.
+     */
     double followedSharedCeilingUnits(boolean newWindow, long window, double total, double added) {
       double lastCapped = Math.min(lastTotal, plan.burst());
       double earlierGrowth = !newWindow ? -lastCapped : totalWindow == window - 1
@@ -248,14 +398,16 @@
       double burst = plan.ceilingBurst() + plan.ceilingSlack() / 2;
       double gatewayShare = ceilingShare == null ? localCeilingShare() / entryPoints
           : now < ceilingShare.untilMs() ? ceilingShare.share() : ceilingShare.nextShare();
-      sharedCeilingUnits = Math
-          .min(maxSharedCeilingUnits(),
+      sharedCeilingUnits = Math.min(maxSharedCeilingUnits(),
           sharedCeilingUnits + plan.ceilingRate() * (1 - localCeilingShare()) * seconds);
-      localCeilingUnits = Math
-          .min(burst * gatewayShare, localCeilingUnits + plan.ceilingRate() * gatewayShare * seconds);
+      localCeilingUnits =
+          Math.min(burst * gatewayShare, localCeilingUnits + plan.ceilingRate() * gatewayShare * seconds);
     }
 
-    /** What another share than before has filled until now is counted by the less of both. */
+    /**
+     * Sets the assigned share of the ceiling. The time up to now is refilled by the smaller of the old and
+     * the new share.
+     */
     void updateCeilingShare(CeilingShare next) {
       CeilingShare previous = ceilingShare;
       ceilingShare = next != null && previous != null && next.share() > previous.share() ? previous : next;
@@ -263,13 +415,16 @@
       ceilingShare = next;
     }
 
-    /** This gateway's even part of the quota: what it may send on unasked. */
+    /** Refills this gateway's even part of the quota, which it may use without an answer of the counter. */
     void fillLocalQuota(double seconds) {
       double cap = Math.max(plan.burst() / entryPoints, settings.maxUnits());
       localQuotaUnits = Math.min(cap, localQuotaUnits + plan.rate() / entryPoints * seconds);
     }
 
-    /** Refills to the present; others go on spending as they did, but this gateway keeps its own share. */
+    /**
+     * Refills the replica up to now. Other gateways are assumed to go on using units at their measured rates,
+     * but not beyond the rate that leaves this gateway its own share.
+     */
     void advance() {
       double seconds = (now - levelUpdatedAt) / 1000;
       levelUpdatedAt = now;
@@ -292,7 +447,10 @@
       fillCeiling(seconds);
     }
 
-    /** Room left in this window, less what the others are expected to use; a new window starts at nought. */
+    /**
+     * Lowers the level by what the other gateways are expected to have used; at the start of a window, from a
+     * full burst on.
+     */
     void deductExpectedUse(double seconds) {
       double sinceWindowStart = now - windowStart(now);
       double elapsedMs = Math.min(sinceWindowStart, seconds * 1000);
@@ -302,25 +460,34 @@
       level -= (assumedRate + confidence * (othersRate - assumedRate)) * elapsedMs / 1000;
     }
 
-    /** Far from its limit by all that is known: where calls are scarce, they are for others. */
+    /**
+     * Whether the followed bucket is more than half full. Where calls to the counter are limited, they are
+     * left to other customers then.
+     */
     boolean isFarFromLimit() {
       return !countsPerWindow && level > plan.burst() / 2;
     }
 
-    /** Whether the customer is known to be spent, so that a call would only add to the counter's load. */
+    /**
+     * Whether the quota is known to be used up for a request of that size, so that a call would only add load
+     * to the counter.
+     */
     boolean isSurelySpent(double units) {
       boolean totalPastBurst = totalWindow == currentWindow(now) && lastTotal >= plan.burst();
       return countsPerWindow ? level < (totalPastBurst ? units : -SURELY_SPENT_SHARE * plan.burst())
           : maxLevel() < units && now - syncedAt < SPENT_RECHECK_MS;
     }
 
-    /** The most the bucket can hold if the others have spent nothing since the last answer. */
+    /** The highest possible level: if the other gateways have used nothing since the last answer. */
     double maxLevel() {
       return Math.min(plan.burst(), level + assumedOthersUnits) - inFlightUnits;
     }
   }
 
-  /** In order of use, so that the longest idle is dropped when another is met: nothing grows for ever. */
+  /**
+   * Accounts in order of use. Adding an account drops the one that was unused for the longest time, if that
+   * exceeds the lifetime of a count, so that the map does not grow without bound.
+   */
   final Map<Long, Account> accounts = new LinkedHashMap<>(16, 0.75f, true) {
     @Override
     protected boolean removeEldestEntry(Map.Entry<Long, Account> e) {
@@ -328,8 +495,12 @@
     }
   };
   private final Map<String, ArrayDeque<CounterCall<Account, Job>>> pendingCalls = new HashMap<>();
-  /** Accounts whose units are to be put back at a counter that replaced another, at most all there are. */
+  /** Accounts whose units are still to be restored at a counter that replaced another. */
   private final ArrayDeque<Account> accountsToRestore = new ArrayDeque<>();
+  /**
+   * Adaptive share of requests that call the counter; requests that matter more call with a higher
+   * probability, others with a lower one.
+   */
   private double callShare = 1;
   private double callShareCutAt = Double.NEGATIVE_INFINITY, nextTrialAt = Double.NEGATIVE_INFINITY,
       lastCounterAnswerAt;
@@ -361,12 +532,15 @@
     }
   }
 
-  // ---- Places: attempts out at once, counted over all gateways ----
+  // ---- Slots: attempts in flight at once, counted over all gateways ----
 
   /**
-   * Asks for one of the places of a plan that bounds attempts out at once; asks for units go first. A count's
-   * name lasts a window, so that a place whose gateway died is lost until its end at most; what this gateway
-   * has out then is carried over with its first ask in the new one.
+   * Requests a slot for a plan that limits the attempts in flight; where calls to the counter are limited,
+   * calls for units take precedence.
+   *
+   * <p>Each window has a count of its own, so the slot of a gateway that died is lost until the end of the
+   * window at most. The slots that this gateway holds at that time are added to the count of the new window
+   * with its first request.
    */
   private void requestSlot(Account account, Job job) {
     long window = account.currentWindow(now);
@@ -379,7 +553,7 @@
     account.pendingSlots = 0;
   }
 
-  /** Counted by this gateway alone: an even part of the places, one at least. */
+  /** Decides by the attempts of this gateway alone, which has an even part of the slots, at least one. */
   private void decideSlotLocally(Job job) {
     Account account = job.account;
     if (account.attemptsInFlight < Math.max(1, account.plan.maxOpenAttempts() / account.entryPoints)) {
@@ -389,7 +563,11 @@
     }
   }
 
-  /** A total below what this gateway itself holds shows a loss, which is put back; no answer means added. */
+  /**
+   * Handles the end of a call about slots. A call that has no answer is taken to have added its amount. A
+   * total below the number of slots that this gateway holds shows that the counter lost some, which are added
+   * again.
+   */
   private void onSlotCounted(CounterCall<Account, Job> call, Counted result) {
     Account account = call.account();
     Job job = call.job();
@@ -425,7 +603,7 @@
     }
   }
 
-  /** Gives its place back once none of its attempts is out and none will follow. */
+  /** Returns the slot of a request once none of its attempts is in flight and none will follow. */
   private void releaseSlot(Job job) {
     if (job.holdsSlot && job.currentAttempt == null) {
       job.holdsSlot = false;
@@ -435,7 +613,7 @@
     }
   }
 
-  /** The plan's rate and ceiling. */
+  /** Checks the rate and the ceiling of the plan. */
   private void checkUnits(Job job) {
     Account account = job.account;
     double units = job.request.units();
@@ -453,8 +631,9 @@
   }
 
   /**
-   * Whether to call the counter, with such a chance where it answers. Guards against a slow, full, silent or
-   * refusing counter: fewer call, and spaced trials remain. Harm: longer held to the replica than needed.
+   * Decides whether to call the counter: with the given probability while it answers. This protects a slow,
+   * overloaded, silent or refusing counter: fewer requests call it, and while it is absent only spaced trial
+   * calls are made. Drawback: requests are decided by the replica for longer than necessary.
    */
   private boolean shouldCallCounter(double probability) {
     if (consecutiveCallFailures >= COUNTER_AWAY_AFTER_FAILURES) {
@@ -477,8 +656,8 @@
       account.requestedPreviousWindow = account.currentWindow(now) - 1;
       callCounter(new CounterCall<>(account, account.requestedPreviousWindow, 0, null));
     }
-    callCounter(
-        new CounterCall<>(account, account.currentWindow(now), job.unitsInCall + account.pendingUnits, job));
+    callCounter(new CounterCall<>(account, account.currentWindow(now), job.unitsInCall + account.pendingUnits,
+        job));
     account.inFlightUnits += job.unitsInCall;
     account.pendingUnits = 0;
   }
@@ -533,7 +712,7 @@
     decideByQuota(job, result.status() == Status.OK);
   }
 
-  /** An answer that cannot be read tells that the amount was added: the total is read once more. */
+  /** Reads a total again after an unreadable answer, which shows that the amount was added. */
   private void rereadTotal(String name, CounterCall<Account, Job> call) {
     call.job().totalReread = true;
     pendingCalls.computeIfAbsent(name, n -> new ArrayDeque<>()).add(call);
@@ -551,24 +730,29 @@
       callShare = CALL_SHARE_AFTER_RETURN;
       counterReturnedAt = now;
     } else {
-      callShare += CALL_SHARE_INCREASE + CALL_SHARE_INCREASE_PER_S
-          * Math.min(1, (now - lastCounterAnswerAt) / 1000);
+      callShare += CALL_SHARE_INCREASE
+          + CALL_SHARE_INCREASE_PER_S * Math.min(1, (now - lastCounterAnswerAt) / 1000);
     }
-    callShareCutAt = result.status() == Status.OK || now
-        - callShareCutAt <= settings.capabilities().counterTimeoutMs() ? callShareCutAt : now;
+    callShareCutAt = result.status() == Status.OK
+        || now - callShareCutAt <= settings.capabilities().counterTimeoutMs() ? callShareCutAt : now;
     lastCounterAnswerAt = result.status() == Status.OK ? now : lastCounterAnswerAt;
     callShare = Math.min(1, Math.max(MIN_CALL_SHARE, callShare));
   }
 
-  /** Trials of the whole fleet are bounded, and spread by chance; each gateway's come within seconds. */
+  /**
+   * The time of the next trial call. The interval grows with the number of gateways, which limits the calls
+   * of the whole fleet, and varies at random, which spreads them; each gateway still makes a call every few
+   * seconds.
+   */
   private double nextTrialTime() {
     double spacing = Math.max(COUNTER_TRIAL_MS, FLEET_COUNTER_TRIAL_MS * settings.gateways());
     return now + spacing * (0.75 + 0.5 * random.nextDouble());
   }
 
   /**
-   * Replays the growth of the shared total into the replica. Growth beyond what was added here is others'.
-   * A total that halves is an emptied counter, not fresh quota: the replica keeps its level.
+   * Applies a total of the shared count to the replica. Growth beyond the amount added here was added by
+   * other gateways. A total that has fallen by more than half comes from a counter that was emptied: this is
+   * not new quota, and the replica keeps its level.
    */
   private void applyTotal(Account account, CounterCall<Account, Job> call, double total) {
     boolean newWindow = account.totalWindow != call.window();
@@ -585,8 +769,8 @@
       others = Math.max(0, total - call.amount());
     }
     if (account.countsPerWindow) {
-      account.sharedCeilingUnits = Math
-          .max(account.minSharedCeilingUnits(total - (call.job() == null ? 0 : call.job().unitsInCall)),
+      account.sharedCeilingUnits =
+          Math.max(account.minSharedCeilingUnits(total - (call.job() == null ? 0 : call.job().unitsInCall)),
           account.followedSharedCeilingUnits(newWindow, call.window(), total, call.amount()));
     }
     account.confirmedAdds = newWindow ? call.amount() : account.confirmedAdds + call.amount();
@@ -609,8 +793,8 @@
           * Math.min(1, sinceMs / Math.max(1, now - account.syncedAt));
       account.level = Math.min(account.plan.burst(), account.level + replacedAssumption - others);
     } else {
-      account.level = Math
-          .min(account.plan.burst(), account.level + account.plan.rate() * sinceMs / 1000 - others);
+      account.level = Math.min(account.plan.burst(),
+          account.level + account.plan.rate() * sinceMs / 1000 - others);
     }
     account.sharedCeilingUnits -= others;
     account.fillCeiling(0);
@@ -619,11 +803,14 @@
   }
 
   /**
-   * Another counter counts from here on. Where one burst a window is counted by totals alone, each gateway
-   * puts back what it had added itself and the new one lacks, with the customer's next add: all of them
-   * together make the old total, and none of it comes twice. Until the window's end no answer raises the
-   * level, as others may not have put theirs back yet. Where a bucket is followed, the replica keeps what is
-   * known. Totals are read from nought on, or from what was seen before, where a copy has a part.
+   * Handles the replacement of the counter.
+   *
+   * <p>Where each window is counted by its total alone, each gateway restores what it had added itself and
+   * the new counter lacks, with the next call for the customer or without one. Together the gateways restore
+   * the old total, and nothing is added twice. Until the end of the window no answer raises the level, as
+   * other gateways may not have restored their units yet. Where a bucket is followed, the replica keeps its
+   * level. The growth of later totals is measured from 0, or from the last total where the new counter began
+   * with a copy of a part of the window.
    */
   private void onCounterReplaced(double lostSinceMs) {
     for (Account a : accounts.values()) {
@@ -646,10 +833,13 @@
     restoreCounts();
   }
 
-  /** Puts back unasked too, the most spent first: a customer may turn to a gateway that knows nothing. */
+  /**
+   * Restores counts that no request waits for, beginning with the most units: a customer may turn to a
+   * gateway that knows nothing of it.
+   */
   private void restoreCounts() {
-    int callsLeft = (int) Math
-        .max(1, FLEET_RESTORE_CALLS_PER_S * TICK_MS / 1000 / Math.max(1, settings.gateways()));
+    int callsLeft = (int) Math.max(1,
+        FLEET_RESTORE_CALLS_PER_S * TICK_MS / 1000 / Math.max(1, settings.gateways()));
     while (callsLeft > 0 && !accountsToRestore.isEmpty()) {
       Account a = accountsToRestore.poll();
       if (a.pendingUnits > 0 && a.replacementWindow == a.currentWindow(now)) {
@@ -667,7 +857,10 @@
     actions.add(new Add(name, call.amount(), COUNT_TTL_MS));
   }
 
-  /** The end of a call that put back what is known, and that no request waits for. */
+  /**
+   * Handles the end of a call that no request waits for: it restored a count or read the total of the
+   * previous window.
+   */
   private void onBackgroundCounted(CounterCall<Account, Job> call, Counted result) {
     Account account = call.account();
     if (result.status() == Status.OK && call.window() == account.requestedPreviousWindow) {
@@ -684,9 +877,8 @@
 
   private void updateRates(Account account, double others, double sinceMs) {
     double sinceSyncMs = Double.isNaN(account.syncedAt) ? sinceMs : now - account.syncedAt;
-    double keep = Math
-        .exp(-(account.countsPerWindow ? sinceSyncMs : sinceMs) / (account.countsPerWindow
-        ? USAGE_SPELL_MS / 3 : RATE_MEMORY_MS));
+    double keep = Math.exp(-(account.countsPerWindow ? sinceSyncMs : sinceMs)
+        / (account.countsPerWindow ? USAGE_SPELL_MS / 3 : RATE_MEMORY_MS));
     double seconds = Math.max(0.001, sinceMs / 1000);
     account.othersRate = Math.max(0, keep * account.othersRate + (1 - keep) * others / seconds);
     account.ownRate = keep * account.ownRate + (1 - keep) * account.ownUnitsSinceSync / seconds;
@@ -694,12 +886,15 @@
     account.syncedAt = now;
   }
 
-  /** By the answered total, or else by the replica with the share of the refill this gateway is used to. */
+  /**
+   * Admits a request or not, by its quota and ceiling. The quota is checked against the answered total, or
+   * without an answer against the replica, in which this gateway keeps its usual share of the refill.
+   */
   private void decideByQuota(Job job, boolean answered) {
     Account account = job.account;
     double units = job.request.units();
-    double available = answered || account.countsPerWindow ? account.level : account.level
-        - account.inFlightUnits + (job.callPending ? job.unitsInCall : 0);
+    double available = answered || account.countsPerWindow ? account.level
+        : account.level - account.inFlightUnits + (job.callPending ? job.unitsInCall : 0);
     boolean unconfirmed = settings.capabilities().sharedCounter() && !answered;
     boolean withinQuota = available >= units
         && (!unconfirmed || !account.countsPerWindow || account.localQuotaUnits >= units)
@@ -722,8 +917,9 @@
   }
 
   /**
-   * A hard ceiling: sends that the counter answered for come out of the part that is counted, all others out
-   * of this gateway's own part, so the sum holds whatever the counter answers or forgets.
+   * Takes the units from the ceiling, and returns whether there were enough. A request for which the counter
+   * answered takes them from the shared part, if there are enough; any other request takes them from this
+   * gateway's own part. So the sum keeps to the ceiling whatever the counter answers or forgets.
    */
   private boolean takeFromCeiling(Account account, double units, boolean answered) {
     if (account.plan.ceilingRate() <= 0) {
@@ -736,7 +932,10 @@
     return fromShared || fromLocal;
   }
 
-  /** Beyond its quota a request goes on only where the plan earns by it, under no ceiling, fleet idle. */
+  /**
+   * Handles a request beyond its quota, its ceiling or its slots. It is sent only where the plan earns by it
+   * and has no ceiling, and the fleet has spare capacity.
+   */
   private void onQuotaExceeded(Job job) {
     if (servesBeyondQuota(job.account.plan)) {
       dispatch(job);
@@ -750,13 +949,19 @@
         && crowding() < SPARE_CROWDING;
   }
 
-  /** When its units are there again, or one of its places: an attempt's time later. */
+  /**
+   * Time in milliseconds until the units of a request are refilled; without a rate, the time of an attempt,
+   * after which a slot may be free.
+   */
   private double msUntilRefilled(Account account, double units) {
     return account.plan.rate() > 0 ? Math.max(TICK_MS, (units - account.level) / account.plan.rate() * 1000)
         : fleetServiceMs;
   }
 
-  /** Guards what is asked about a request before this module has it against a flood of a spent customer. */
+  /**
+   * Refuses a request early if its customer is known to have used up its quota. This protects the checks that
+   * come before this policy, such as external authorisation, from a flood of requests of that customer.
+   */
   private void onPreCheck(Request request) {
     Account account = accounts.get(request.customer());
     if (account == null || account.plan.rate() <= 0 || !settings.capabilities().sharedCounter()) {
@@ -802,8 +1007,9 @@
     }
 
     /**
-     * Requests here from all gateways, own ones that end before a request of such a need would in part; a
-     * report is trusted less as it ages, so no backend stays shunned.
+     * Estimated number of requests at this backend, from all gateways. An own attempt that ends before a
+     * request of the given expected time would, counts in part. A load report loses weight as it ages, so
+     * that no backend is avoided for good.
      */
     double estimatedLoad(double expectedMs) {
       double own = 0;
@@ -821,21 +1027,26 @@
       return own + othersAverage + fresh * (Math.max(0, reportedLoad - ownLoadAtReport) - othersAverage);
     }
 
-    /** How much longer than usual requests take here. */
+    /** Time of requests here as a multiple of their expected time; without answers, that of the fleet. */
     double slowness() {
-      return Double.isNaN(measuredSlowness) ? fleetSlowness : fleetSlowness + memoryWeight()
-          * (measuredSlowness - fleetSlowness);
+      return Double.isNaN(measuredSlowness) ? fleetSlowness
+          : fleetSlowness + memoryWeight() * (measuredSlowness - fleetSlowness);
     }
 
     /**
-     * What was learned of a backend fades while it answers nothing. Guards against shunning one after
-     * a trouble of any kind that nobody sees end. Harm: a lasting trouble is met again once in a while.
+     * Weight of what was learned of this backend, from 0 to 1; it falls while the backend answers nothing. So
+     * a backend is not avoided after a fault whose end no answer shows. Drawback: a lasting fault is met
+     * again from time to time.
      */
     double memoryWeight() {
       return Math.exp((lastAnswerAt - now) / LEARNED_DECAY_MS);
     }
 
-    /** Expected time to an answer: service time by requests held, longer where the oldest is overdue. */
+    /**
+     * Score of this backend for a request; the lowest is chosen. It is the expected time to an answer in
+     * milliseconds, from the service time and the requests at the backend, longer where the oldest attempt is
+     * overdue, where the backend is in another zone, or where requests have failed lately.
+     */
     double waitScore(Job job) {
       double expectedMs = job.expectedMs();
       double score = expectedMs * slowness() * (1 + estimatedLoad(expectedMs) / relativeCapacity);
@@ -855,7 +1066,8 @@
   private final Map<String, DecayingMean> groupFailureRates = new HashMap<>();
   double fleetServiceMs = DEFAULT_SERVICE_MS;
   /**
-   * How much longer than by {@link #serviceTimes} requests take, over all backends: near 1, as needs follow.
+   * Times of requests as a multiple of those expected by {@link #serviceTimes}, over all backends: near 1, as
+   * the expected times follow the measured ones.
    */
   double fleetSlowness = 1;
   private final List<Backend> serving = new ArrayList<>();
@@ -898,13 +1110,14 @@
   }
 
   private DecayingMean groupFailureRate(String groupName) {
-    return groupFailureRates
-        .computeIfAbsent(groupName, g -> new DecayingMean(FAILURE_WEIGHT, PRESSURE_DECAY_MS, now));
+    return groupFailureRates.computeIfAbsent(groupName,
+        g -> new DecayingMean(FAILURE_WEIGHT, PRESSURE_DECAY_MS, now));
   }
 
   /**
-   * The most promising of a few backends drawn by chance (power of two choices): with many gateways, equal
-   * stale reports would send all to the same one. Rests are ignored where all drawn rest.
+   * Chooses the best of a few backends drawn at random (power of two choices): with many gateways, the same
+   * stale reports would send all requests to the same backend. Backoffs are ignored where no other backend is
+   * usable.
    */
   private Backend pickBackend(Job job) {
     boolean inKeyedGroup = job.keyedBackend != null && job.requestClass.group() != Group.ALL;
@@ -947,9 +1160,11 @@
   }
 
   /**
-   * Guards a backend that has just started, for whatever cause: it gets no more than its present part of what
-   * a warm one gets from here, attempts of every kind included, or of what a single core does, shared by all
-   * gateways, where none is warm or this gateway is new. Harm: slower use of a fleet that comes back.
+   * Whether a backend that has just started, for whatever reason, may get an attempt now. To protect it, this
+   * gateway gives it no more than its warm-up share of the attempts that a warm backend gets from here,
+   * attempts of every kind included. Where no backend is warm, or this gateway is new, the limit is the same
+   * share of what a single core can handle, divided among all gateways. Drawback: a fleet that restarts is
+   * used more slowly than possible.
    */
   private boolean hasColdToken(Backend backend) {
     double floor = 1000 / Math.max(1, fleetServiceMs) / settings.gateways();
@@ -985,7 +1200,7 @@
       default -> false;
     };
     double memoryWeight = backend.memoryWeight();
-    // A spoilt answer tells that the backend works; any may give one, so none rests for it.
+    // An unreadable answer shows that the backend works. Any backend may give one, so it causes no backoff.
     if (outcome.status() == Status.OK || outcome.status() == Status.ERROR
         || outcome.status() == Status.REJECTED
         || outcome.status() == Status.SPOILT) {
@@ -1016,8 +1231,8 @@
         backend.coldTokens = random.nextDouble();
       }
       if (backend.failureRate > FAILING_SHARE || backend.needsTrial) {
-        backend.backoffUntil = now + BACKOFF_MS * (1 << Math.min(backend.backoffCount, 3))
-            * (1 + 0.3 * random.nextDouble());
+        backend.backoffUntil = now
+            + BACKOFF_MS * (1 << Math.min(backend.backoffCount, 3)) * (1 + 0.3 * random.nextDouble());
         backend.backoffCount++;
         backend.needsTrial = true;
       }
@@ -1025,8 +1240,8 @@
   }
 
   /**
-   * A backend that looked restarted and then answers what was sent before that has not restarted. Guards
-   * against connections that fail for another cause, a few of which would make the whole fleet look cold.
+   * Clears the suspicion that a backend has restarted if it answers an attempt that was sent before. Without
+   * this, connections that fail for another reason, even a few, would make the whole fleet look cold.
    */
   private void clearSuspectedRestart(Backend backend, Attempt<Job, Backend> attempt) {
     if (attempt.sentAt < backend.suspectedRestartAt) {
@@ -1038,7 +1253,7 @@
 
   // ---- Attempts ----
 
-  /** A request taken and not yet finally answered. */
+  /** A request that was received and has no final answer yet. */
   private final class Job extends JobState {
     final Account account;
     Attempt<Job, Backend> currentAttempt;
@@ -1063,19 +1278,20 @@
   private final double maxRetryTokens;
   private double retryTokens;
   private double meanWorth = Double.NaN;
-  /** What requests of a class take, for the classes of the settings and one for any other. */
+  /** Models of the service times by name of the request class, also for classes that the settings lack. */
   final Map<String, ServiceTimeModel> serviceTimes = new HashMap<>();
   private final DecayingMean recentLatencyMs = new DecayingMean(PRESSURE_WEIGHT, PRESSURE_DECAY_MS, now);
-  /** Times of answers by their aims, and attempts out at a backend from which on further ones mostly wait. */
+  /** Latency of the latest answers as a share of their target times. */
   private final DecayingMean recentShareOfAim = new DecayingMean(PRESSURE_WEIGHT, PRESSURE_DECAY_MS, now);
   private int answerCount;
+  /** Attempts in flight at a backend, from all gateways, beyond which further attempts mostly wait. */
   double knee = MIN_KNEE;
   private final DecayingMean recentExpectedMs = new DecayingMean(PRESSURE_WEIGHT, PRESSURE_DECAY_MS, now);
   private final DecayingMean meanAttemptsInFlight = new DecayingMean(0.3, 1000, now);
   private double lastOkAt = Double.NEGATIVE_INFINITY;
   private int attemptsInFlight;
 
-  /** A class not in the settings is treated as one that must never run twice. */
+  /** The class of a request; one that the settings lack is treated as one that must never run twice. */
   private RequestClass requestClass(Request request) {
     RequestClass known = classes.get(request.className());
     double left = request.giveUpMs() - now;
@@ -1098,12 +1314,15 @@
   }
 
   /**
-   * Whether this request earns too little for the room it takes: its worth, by its chance to be answered
-   * within its aim, against a bar that rises with the crowding of the fleet. Sheds what earns least for its
-   * work first (as DAGOR does by business priority: Zhou et al., "Overload Control for Scaling WeChat
-   * Microservices", 2018), and tells a large request from a small one. Attempts out, unlike times, stay the
-   * same where all backends are slow at once, so that alone sheds nothing that can be in time. Harm: backends
-   * with many cores are used less than they could be until the knee is found.
+   * Whether a request earns too little for the capacity that it takes. Its value is its worth multiplied by
+   * the chance of an answer within its target time; the value required rises with the crowding of the fleet.
+   * So the requests that earn least for their work are shed first, and a large request is told from a small
+   * one. (DAGOR does so by business priority: Zhou et al., "Overload Control for Scaling WeChat
+   * Microservices", 2018.)
+   *
+   * <p>Crowding is measured in attempts in flight, which, unlike latencies, stay the same where all backends
+   * are slow at once: that alone sheds no request that can be answered in time. Drawback: backends with many
+   * cores are used less than possible until the knee is found.
    */
   private boolean shouldShed(Job job, double surcharge) {
     double expected = job.expectedMs() * recentSlowness();
@@ -1113,13 +1332,16 @@
     return inTime < MIN_CHANCE_IN_TIME && crowding() > SPARE_CROWDING || value < bar + surcharge;
   }
 
-  /** Attempts out at all gateways for each backend, in knees; half of it as it was over the last second. */
+  /**
+   * Attempts in flight per backend, divided by the knee, estimated from those of this gateway. The mean over
+   * about the last second makes up half of it.
+   */
   private double crowding() {
     double attempts = (meanAttemptsInFlight.value + attemptsInFlight) / 2;
     return attempts * settings.gateways() / Math.max(1, serving.size()) / knee;
   }
 
-  /** How much longer than usual answers have taken lately, sizes allowed for; forgotten without answers. */
+  /** Latency of recent answers as a multiple of that expected for their sizes; 1 without recent answers. */
   private double recentSlowness() {
     return recentExpectedMs.value <= 0 ? 1
         : 1 + (recentLatencyMs.value / recentExpectedMs.value - 1)
@@ -1131,8 +1353,9 @@
   }
 
   /**
-   * The time that this gateway itself stood still is not the fleet's. An attempt that timed out while others
-   * were answered lost its answer: that tells of no wait. Harm: a few slow backends stay unseen here.
+   * Records the latency of an ended attempt. Time for which this gateway itself was stalled is not counted.
+   * An attempt that timed out, though another was answered since it was sent, lost its answer and shows no
+   * latency. Drawback: a few slow backends remain unnoticed here.
    */
   private void recordLatency(Attempt<Job, Backend> attempt, Outcome outcome) {
     boolean answerLost = outcome.status() == Status.TIMED_OUT && lastOkAt > attempt.sentAt;
@@ -1193,7 +1416,7 @@
     actions.add(new Send(job.request.id(), backend.id, leftMs));
   }
 
-  /** A request that ended while it waited for the counter must not be sent when the answer comes. */
+  /** Ends a request whose client left. One that waits for the counter is not sent when the answer comes. */
   private void onClientLeft(String id) {
     Job job = openJobs.remove(id);
     if (job != null) {
@@ -1226,7 +1449,7 @@
       job.keyedBackend = attempt.backend;
       job.repeatsDroppedUntil = attempt.sentAt + job.requestClass.repeatWindowMs();
     }
-    // None of these tells of overload, against which the budget of further attempts guards.
+    // None of these is a sign of overload, against which the budget of retries protects.
     job.retryExempt = outcome.status() == Status.UNREACHABLE || outcome.status() == Status.BROKEN
         || outcome.status() == Status.NOT_SENT || outcome.status() == Status.SPOILT;
     if (outcome.requestOver()) {
@@ -1238,8 +1461,8 @@
 
   private void retryOrGiveUp(Job job) {
     boolean allowed = !job.mayHaveRun || job.requestClass.repeat() == Repeat.SAFE
-        || job.requestClass.repeat() == Repeat.KEYED && now < job.repeatsDroppedUntil - REPEAT_MARGIN_SHARE
-        * job.requestClass.repeatWindowMs();
+        || job.requestClass.repeat() == Repeat.KEYED
+        && now < job.repeatsDroppedUntil - REPEAT_MARGIN_SHARE * job.requestClass.repeatWindowMs();
     double leftMs = job.request.giveUpMs() - now;
     if (!allowed || retryTokens < 1 && !job.retryExempt || leftMs < fleetServiceMs / 2 + ANSWER_MARGIN_MS) {
       giveUp(job);
@@ -1248,7 +1471,10 @@
     }
   }
 
-  /** The final answer when no attempt will follow: a refusal where that promise holds, else a failure. */
+  /**
+   * Gives the final answer when no attempt will follow: a refusal if it is harmless for the client to try
+   * again, otherwise a failure.
+   */
   private void giveUp(Job job) {
     boolean retryIsHarmless = !job.mayHaveRun || job.requestClass.repeat() == Repeat.SAFE
         || job.requestClass.repeat() == Repeat.KEYED && job.requestClass.group() == Group.ALL
@@ -1294,8 +1520,8 @@
   }
 
   /**
-   * A wake-up long overdue shows that this gateway stood still. What came meanwhile is read first, and no
-   * wait seen over that time is booked to a backend or the counter.
+   * Detects by an overdue timer that this gateway stalled. Events that arrived meanwhile are handled first,
+   * and latencies seen over that time are not attributed to a backend or to the counter.
    */
   private void detectStall() {
     if (now - wakeAt > STALL_MS) {
@@ -1309,7 +1535,7 @@
     return now <= stalledUntil;
   }
 
-  /** Keeps every request moving: no wait for the counter or for a backend outlasts its bound. */
+  /** Checks the progress of a request: no wait for the counter or for a backend exceeds its bound. */
   private void checkProgress(Job job) {
     double waitedMs = now - job.receivedAt;
     boolean tooLate = isTooLate(job);
@@ -1329,21 +1555,22 @@
     }
   }
 
-  /** True when the next look would come too late for an answer in time. */
+  /** Whether the next check would come too late for an answer in time. */
   private boolean isTooLate(Job job) {
     return now + ANSWER_MARGIN_MS + TICK_MS >= job.request.giveUpMs();
   }
 
   /**
-   * Takes an attempt back from a backend that has answered nothing since it was sent, if a second fits.
-   * Guards against dead, cut off and stalled backends. One that its size explains is left alone, as taking it
-   * back stops nothing on a backend that works on. Harm: one slow request looks the same; budgeted.
+   * Cancels an attempt at a backend that has answered nothing since it was sent, if a second attempt fits.
+   * This protects against dead, unreachable and stalled backends. An attempt whose size explains its time is
+   * left alone, as cancelling it does not stop the work of a healthy backend. Drawback: a single slow request
+   * looks the same; the retry budget limits the cost.
    */
   private void cancelIfSilent(Job job) {
     Attempt<Job, Backend> attempt = job.currentAttempt;
     if (attempt.backend.lastAnswerAt <= attempt.sentAt
-        && now - attempt.sentAt > Math
-        .max(job.aimMs() * FIRST_ATTEMPT_SHARE_OF_AIM, SILENT_FACTOR * job.expectedMs())
+        && now - attempt.sentAt > Math.max(job.aimMs() * FIRST_ATTEMPT_SHARE_OF_AIM,
+        SILENT_FACTOR * job.expectedMs())
         && !job.cancelledAsSilent && !job.streaming && settings.capabilities().mayCancel()
         && job.requestClass.repeat() != Repeat.UNSAFE && retryTokens >= 1) {
       job.cancelledAsSilent = true;
--- a/policy/src/test/java/willowdoor/policy/CeilingTest.java
+++ b/policy/src/test/java/willowdoor/policy/CeilingTest.java
@@ -18,7 +18,7 @@
 import willowdoor.policy.GatewayApi.Send;
 import willowdoor.policy.GatewayApi.Status;
 
-/** Several gateways against one count that fails in every way: the ceiling's store must hold. */
+/** Several gateways share a count that fails in every way; the ceiling must hold. */
 class CeilingTest {
 
   private final Map<String, Double> counts = new HashMap<>();
@@ -34,26 +34,31 @@
     for (int seed = 0; seed < 40; seed++) {
       run(seed, 2, Fixtures.CEILED);
       assertTrue(lowestLevel >= -Fixtures.CEILED.ceilingSlack(),
-          "seed " + seed + ": store at " + lowestLevel);
+          "seed " + seed + ": lowest level of the ceiling " + lowestLevel);
       assertTrue(sent > 50, "seed " + seed + ": only " + sent + " sent");
     }
   }
 
-  /** A slow plan, its requests through a few gateways or fourteen, each of which meets it but rarely. */
+  /**
+   * A plan with a low rate, whose requests come through a few gateways or through fourteen, each of which
+   * rarely sees the customer.
+   */
   @Test
   void holdsWhereEachWindowAllowsOneBurst() {
     for (int seed = 0; seed < 60; seed++) {
       int size = List.of(14, 2, 3).get(seed % 3);
       run(seed, size, Fixtures.SLOW);
       String run = "seed " + seed + " at " + size;
-      assertTrue(lowestLevel >= -Fixtures.SLOW.ceilingSlack(), run + ": store at " + lowestLevel);
+      assertTrue(lowestLevel >= -Fixtures.SLOW.ceilingSlack(),
+          run + ": lowest level of the ceiling " + lowestLevel);
       assertTrue(sent > 25, run + ": only " + sent + " sent");
     }
   }
 
   /**
-   * Each gateway's even part of the ceiling is less than a request. What the shared count answers for goes on
-   * as long as there is quota, and what a ceiling refused does not use up the quota.
+   * Each gateway's even part of the ceiling is smaller than a request. Requests that the shared count
+   * confirms are sent as long as there is quota, and requests that the ceiling refuses do not use up the
+   * quota.
    */
   @Test
   void aFirmServedByManyGatewaysGetsItsWholeQuota() {
@@ -88,9 +93,9 @@
         f.on(new Counted(window, Status.OK, 1, 2));
       }
     }
-    // A window has just begun, and the one before tells a burst: little of the ceiling is left at once.
+    // A window has just begun, and the previous one holds a whole burst: little of the ceiling is left now.
     assertEquals(List.of(before, window), f.lastActions.stream().filter(Add.class::isInstance)
-        .map(a -> ((Add) a).name()).toList(), "the window before is read beside the add");
+        .map(a -> ((Add) a).name()).toList(), "the previous window is read together with the add");
     f.on(new Counted(before, Status.OK, Fixtures.SLOW.burst(), 2));
     f.on(new Counted(window, Status.OK, 1, 2));
     assertTrue(f.emitted(Send.class));
@@ -98,7 +103,7 @@
     f.replyTotal(32);
     assertTrue(f.emitted(Refuse.class), "within its quota of 36, beyond the ceiling");
     f.advance(100).on(new Request("c", "safe", "slow", 42, 14, 1, f.now + 4000));
-    assertEquals(1 - 4, f.lastOf(Add.class).amount(), "the refused 4 go back with the next add");
+    assertEquals(1 - 4, f.lastOf(Add.class).amount(), "the refused 4 units are returned with the next add");
   }
 
   private void run(int seed, int size, GatewayApi.Plan plan) {
@@ -158,8 +163,8 @@
   private static int countSends(Fixtures f, CeilingShare share, int tries) {
     int sends = 0;
     for (int k = 0; k < tries; k++) {
-      f.on(new Request("t" + f.now + "-" + k, "safe", "ceiled", 42, 2, 1, f.now + 4000)
-          .withCeilingShare(share));
+      f.on(new Request("t" + f.now + "-" + k, "safe", "ceiled", 42, 2, 1,
+          f.now + 4000).withCeilingShare(share));
       if (f.emitted(Add.class)) {
         f.replyTotal(1);
       }
@@ -168,7 +173,9 @@
     return sends;
   }
 
-  /** Burst 20 and half of the slack: that is what shares are of. Totals leave the quota open throughout. */
+  /**
+   * Shares divide the burst of 20 units and half of the slack. The totals leave the quota open throughout.
+   */
   @Test
   void aGatewayUsesOnlyItsShareOfTheCeiling() {
     double all = Fixtures.CEILED.ceilingBurst() + Fixtures.CEILED.ceilingSlack() / 2;
@@ -179,7 +186,7 @@
     assertEquals((int) all, countSends(whole, new CeilingShare(1, Double.POSITIVE_INFINITY, 1), 40));
     assertEquals((int) (0.25 * all), countSends(quarter, forGood, 40));
     assertEquals(0, countSends(none, new CeilingShare(0, Double.POSITIVE_INFINITY, 0), 40));
-    // A second gives a quarter of the ceiling's rate.
+    // One second refills a quarter of the ceiling's rate.
     assertEquals((int) (0.25 * Fixtures.CEILED.ceilingRate()),
         countSends(quarter.advance(1_000), forGood, 40));
   }
@@ -192,10 +199,10 @@
     countSends(f, small, 40);
     CeilingShare grown = new CeilingShare(0.75, f.now + 4_000, 0);
     assertEquals((int) (0.25 * rate), countSends(f.advance(1_000), grown, 40),
-        "the second before was of the old");
+        "the last second was refilled by the old share");
     assertEquals((int) (0.75 * rate), countSends(f.advance(1_000), grown, 40));
     f.advance(3_000);
     assertEquals(0, countSends(f, new CeilingShare(0, Double.POSITIVE_INFINITY, 0), 40),
-        "after its moment nothing has filled");
+        "nothing was refilled after the share had ended");
   }
 }
--- a/policy/src/test/java/willowdoor/policy/CounterReplacedTest.java
+++ b/policy/src/test/java/willowdoor/policy/CounterReplacedTest.java
@@ -24,18 +24,18 @@
 import willowdoor.policy.GatewayApi.Woken;
 
 /**
- * A firm floods at twenty times its quota, and its counter is replaced by an empty one while it does. What is
- * sent on beyond the quota is held to the bound that docs/design/counter-loss.md derives.
+ * A firm sends requests at twenty times its quota while its counter is repeatedly replaced by an empty one.
+ * The units sent beyond the quota are checked against the bound that docs/design/counter-loss.md derives.
  */
 class CounterReplacedTest {
 
   private static final Plan PLAN = Fixtures.BROAD;
   private static final double SECONDS = 20;
-  /** How late a gateway may learn of it: the watch's interval. */
+  /** How late a gateway may notice a replacement: the interval of the watch. */
   private static final double NOTICE_DELAY_MS = 250;
   private static final double MAX_UNITS = 4;
 
-  /** One run: units sent on over the time, and calls in the busiest second after the replacements. */
+  /** One run: units sent, and counter calls in the busiest second. */
   private record Run(double sent, int busiestSecond) { }
 
   private static Run flood(int gateways, int replacements, boolean notified, boolean movesBetweenGateways,
@@ -66,9 +66,9 @@
           fleet.forEach(f -> notifyAt.put(f, now + NOTICE_DELAY_MS * random.nextDouble()));
         }
       }
-      // A firm that jumps keeps to a few gateways for a second, and then to others.
-      int entryPoint = movesBetweenGateways ? (int) ((now - start) / 1000)
-          * 5 % gateways + random.nextInt(Math.min(5, gateways))
+      // A firm that moves uses a few gateways for a second, and then others.
+      int entryPoint = movesBetweenGateways
+          ? (int) ((now - start) / 1000) * 5 % gateways + random.nextInt(Math.min(5, gateways))
           : random.nextInt(gateways);
       Fixtures f = fleet.get(entryPoint % gateways);
       List<Fixtures> due = new ArrayList<>(notifyAt.keySet());
@@ -93,9 +93,8 @@
     return new Run(sent[0], busiest);
   }
 
-  private static void runTimers(Fixtures f, double now, Map<String, Double> counts, Map<String,
-      Integer> unitsByRequest,
-      double[] sent, int[] calls, double start) {
+  private static void runTimers(Fixtures f, double now, Map<String, Double> counts,
+      Map<String, Integer> unitsByRequest, double[] sent, int[] calls, double start) {
     for (double t = f.now + 25; t <= now; t += 25) {
       f.now = t;
       f.on(new Woken("tick"));
@@ -105,8 +104,7 @@
   }
 
   private static void perform(Fixtures f, Map<String, Double> counts, Map<String, Integer> unitsByRequest,
-      double[] sent,
-      int[] calls, double start) {
+      double[] sent, int[] calls, double start) {
     for (Action a : List.copyOf(f.lastActions)) {
       if (a instanceof Add add) {
         calls[(int) Math.max(0, Math.min(calls.length - 1, (f.now - start) / 1000))]++;
@@ -121,12 +119,14 @@
     }
   }
 
-  /** What the quota gives in the time, with the one burst that windows' edges may add. */
+  /** Units that the quota grants in the time, with the additional burst that window edges may allow. */
   private static double quota() {
     return 2 * PLAN.burst() + PLAN.rate() * SECONDS;
   }
 
-  /** The bound of the design note: what may pass while gateways are not told yet, for each replacement. */
+  /**
+   * The bound of the design note: units that may be sent before the gateways notice, for each replacement.
+   */
   private static double bound(int gateways, int replacements) {
     return replacements * (PLAN.burst() + gateways * MAX_UNITS);
   }
@@ -141,18 +141,18 @@
       Run notified = flood(gateways, 6, true, movesBetweenGateways, seed);
       table.append(String.format(Locale.ROOT,
           "%n%d gateways%s, seed %d: quota %.0f, sent without a loss %.0f; six "
-          + "losses: untold %.0f, told %.0f, bound %.0f; busiest second %d calls, without a loss %d",
+          + "losses: unnoticed %.0f, noticed %.0f, bound %.0f; busiest second %d calls, without a loss %d",
               gateways,
-          movesBetweenGateways ? ", jumping" : "", seed, quota(), withoutLoss.sent(), notNotified.sent(),
-          notified.sent(),
-          quota() + bound(gateways, 6), notified.busiestSecond(), withoutLoss.busiestSecond()));
+          movesBetweenGateways ? ", moving" : "", seed, quota(), withoutLoss.sent(), notNotified.sent(),
+          notified.sent(), quota() + bound(gateways, 6), notified.busiestSecond(),
+          withoutLoss.busiestSecond()));
       if (movesBetweenGateways) {
         assertTrue(notified.sent() - withoutLoss.sent() <= 0.5 * (notNotified.sent() - withoutLoss.sent()),
             table::toString);
       }
       assertTrue(notified.sent() <= quota() + bound(gateways, 6), table::toString);
       assertTrue(notified.sent() >= 0.8 * withoutLoss.sent(),
-          () -> "a loss costs the firm its quota" + table);
+          () -> "the losses cost the firm more than a fifth of its units" + table);
     }
     System.out.println(table);
   }
@@ -165,7 +165,10 @@
         withLosses + " beside " + withoutLoss);
   }
 
-  /** An answer out of step is another name's: the firm's count is read once more, and nothing is learned. */
+  /**
+   * A total that is out of step belongs to another count: the count of the firm is read again, and nothing is
+   * learned from the wrong total.
+   */
   @Test
   void anImplausibleTotalIsReadAgain() {
     Fixtures f = new Fixtures(Fixtures.settings(true, 40, false)).withBackends(4);
@@ -177,6 +180,6 @@
     assertTrue(f.emitted(Send.class));
     f.on(new Request("r2", "safe", PLAN.name(), 42, 40, 2, f.now + 4000));
     f.replyTotal(4);
-    assertTrue(f.emitted(Send.class), "the firm is not held to what another name's total said");
+    assertTrue(f.emitted(Send.class), "the total of another count does not limit the firm");
   }
 }
--- a/policy/src/test/java/willowdoor/policy/CounterScheduleTest.java
+++ b/policy/src/test/java/willowdoor/policy/CounterScheduleTest.java
@@ -19,25 +19,27 @@
 import willowdoor.policy.GatewayApi.Plan;
 
 /**
- * Seeded schedules of troubles with the counter, each played by a fleet of six doors with twelve firms for
- * half
- * a minute. What was sent on is held to the formulas of docs/design/counter-loss.md; a schedule that passes
- * them is shrunk to the fewest troubles that still do and printed with its seed. The property
- * {@code counter.schedules} sets how many are played.
+ * Runs random schedules of counter faults, each against a fleet of six doors with twelve firms for half a
+ * minute. The units sent are checked against the formulas of docs/design/counter-loss.md. A schedule that
+ * exceeds them is reduced to the fewest faults that still do, and printed with its seed. The property {@code
+ * counter.schedules} sets the number of schedules.
  */
 class CounterScheduleTest {
 
   private static final int SCHEDULE_COUNT = Integer.getInteger("counter.schedules", 600);
   private static final int DOORS = 6;
-  /** Longer than an era of the ceilings' shares, so that the doors are no new lives. */
+  /** Longer than an era of the ceiling shares, so that the doors do not count as new incarnations. */
   private static final double WARM_UP_MS = 25_000;
   private static final double RUN_MS = 30_000;
-  /** Each side grants the quota: together they are past a ceiling of 1.6 times it by then. */
+  /**
+   * Long enough that the two sides of a split, each of which grants the quota, together exceed a ceiling of
+   * 1.6 times the quota.
+   */
   private static final double LONG_SPLIT_MS = 60_000;
-  /** How late doors may learn of a change: calls that fail, or the watch's interval. */
+  /** How late doors may notice a change: the time of failing calls, or the interval of the watch. */
   private static final double NOTICE_DELAY_MS = 500;
 
-  /** A schedule: the seed of all chance in it, and its troubles. */
+  /** A schedule: the seed of all its randomness, and its faults. */
   private record Schedule(long seed, List<Fault> faults) { }
 
   private static List<Traffic> traffic(long seed) {
@@ -46,8 +48,7 @@
     for (int i = 0; i < 12; i++) {
       double times = i % 4 == 0 ? 20 : i % 4 == 1 ? 1.2 : 0.3 + 0.4 * random.nextDouble();
       all.add(new Traffic(i % 2 == 0 ? CounterSimulation.BASIC : CounterSimulation.FULL,
-          random.nextInt(DOORS),
-          2 + random.nextInt(3), times));
+          random.nextInt(DOORS), 2 + random.nextInt(3), times));
     }
     return all;
   }
@@ -75,13 +76,15 @@
         .run(WARM_UP_MS, durationMs, s.faults());
   }
 
-  /** What the ceiling's rule lets pass: the slack, and what its rate gives while moments of arrival
-      scatter. */
+  /**
+   * The excess that the rule of the ceiling allows: the slack, and the refill during the scatter of arrival
+   * times.
+   */
   private static double allowedCeilingExcess(Firm f) {
     return f.traffic.plan().ceilingSlack() + 0.15 * f.traffic.plan().ceilingRate();
   }
 
-  /** Units beyond the quota that the design note grants for these troubles, for a firm's set of n doors. */
+  /** Units beyond the quota that the design note allows for these faults, for a firm that uses n doors. */
   static double quotaBound(Firm f, List<Fault> faults) {
     double n = f.traffic.doorCount();
     double b = f.traffic.plan().burst();
@@ -109,7 +112,7 @@
     return breaksCeiling(w) || w.firms.stream().anyMatch(f -> f.worstQuotaExcess > quotaBound(f, s.faults()));
   }
 
-  /** The fewest and shortest troubles of it that still break what it breaks. */
+  /** Reduces a schedule to the fewest and shortest faults that still break the bound. */
   private static Schedule shrink(Schedule s, Predicate<Schedule> broken) {
     for (int i = 0; i < s.faults().size(); i++) {
       List<Fault> smaller = new ArrayList<>(s.faults());
@@ -146,19 +149,19 @@
       return bad ? s : null;
     }).filter(s -> s != null).toList();
     System.out.println(String.format(Locale.ROOT,
-        "%d schedules: worst beyond the ceiling's slack %.1f units; "
-        + "worst quota as a share of its bound %.2f", SCHEDULE_COUNT, worst[0], worst[1]));
+        "%d schedules: worst excess of the ceiling beyond its slack %.1f units; "
+        + "worst excess of the quota as a share of its bound %.2f", SCHEDULE_COUNT, worst[0], worst[1]));
     assertTrue(broken.isEmpty(),
-        () -> broken.size() + " of " + SCHEDULE_COUNT + " broken; the first, shrunk: "
+        () -> broken.size() + " of " + SCHEDULE_COUNT + " exceed a bound; the first, reduced: "
         + shrink(broken.get(0), CounterScheduleTest::breaksBound));
   }
 
-  /** Which shows that the test above can fail, and what the division is for. */
+  /** Shows that the test above can fail, and why ceilings are divided. */
   @Test
   void aLongSplitBreaksCeilingsThatAreNotDivided() {
     Schedule[] splits = LongStream.rangeClosed(1, 40).mapToObj(seed -> new Schedule(seed,
         List.of(new Fault(FaultKind.SPLIT, 1_000, LONG_SPLIT_MS, 0b010101)))).toArray(Schedule[]::new);
-    // Floods through sets of four doors, two on each side.
+    // Floods through sets of four doors, two on each side of the split.
     List<Traffic> floods = List.of(new Traffic(CounterSimulation.BASIC, 0, 4, 20), new
         Traffic(CounterSimulation.BASIC, 2, 4, 20));
     long divided = Stream.of(splits).parallel().filter(s -> breaksCeiling(run(s, true, floods,
@@ -171,7 +174,10 @@
     assertTrue(divided == 0 && counted > 0, divided + " and " + counted);
   }
 
-  /** At the edge, within a call's time of it, and twice in the window that begins there. */
+  /**
+   * Faults at the edge of a window, within the time of a call around it, and again in the window that begins
+   * there.
+   */
   @ParameterizedTest
   @EnumSource(value = FaultKind.class, names = {"AWAY", "EMPTIED", "OLD_COPY", "SPLIT"})
   void aLossAtTheEdgeOfAWindowStaysWithinTheBound(FaultKind kind) {
@@ -181,12 +187,13 @@
         double edge = new CounterSimulation(DOORS, flood, true, true, seed)
             .nextWindowEdgeMs(WARM_UP_MS, 2_000);
         for (double offsetMs : new double[] {-2, 0, 1}) {
-          List<Fault> faults = List
-              .of(new Fault(kind, edge + offsetMs, 1_000, 0b010), new Fault(kind, edge + offsetMs
+          List<Fault> faults =
+              List.of(new Fault(kind, edge + offsetMs, 1_000, 0b010), new Fault(kind, edge + offsetMs
               + 4_000, 1_000, 0b010));
           CounterSimulation w = run(new Schedule(seed, faults), true, flood, edge + 8_000);
           Firm f = w.firms.get(0);
-          String message = "seed " + seed + ", " + faults + ": " + f.worstQuotaExcess + " over of "
+          String message = "seed " + seed + ", " + faults + ": " + f.worstQuotaExcess
+              + " beyond the quota, bound "
               + quotaBound(f, faults) + ", " + f.unitsSent + " sent";
           assertTrue(f.worstQuotaExcess <= quotaBound(f, faults) && !breaksCeiling(w), message);
           assertTrue(f.unitsSent >= 0.5 * f.traffic.plan().rate() * edge / 1000, message);
@@ -195,7 +202,10 @@
     }
   }
 
-  /** What firms below their quota met while their door could not reach the counter, over 20 runs. */
+  /**
+   * One line of the table, over 20 runs: excess of the quota, and refusals of firms below their quota while
+   * their door could not reach the counter.
+   */
   private static String tableRow(FaultKind kind, double[] worstRefusedShare) {
     int[][] withoutCounter = new int[2][2];
     int[][] halfUnused = new int[2][2];
@@ -219,9 +229,8 @@
     return String.format(Locale.ROOT,
         "| %s | %.0f of %.0f | %.0f of %.0f | %.2f%% | %.2f%% | %.2f%% | %.2f%% |",
         kind == null ? "none" : kind, worst[0], bound[0], worst[1], bound[1],
-        100 * refusedShare(withoutCounter[0]),
-        100 * refusedShare(withoutCounter[1]), 100 * refusedShare(halfUnused[0]),
-        100 * refusedShare(halfUnused[1]));
+        100 * refusedShare(withoutCounter[0]), 100 * refusedShare(withoutCounter[1]),
+        100 * refusedShare(halfUnused[0]), 100 * refusedShare(halfUnused[1]));
   }
 
   private static double refusedShare(int[] askedAndRefused) {
@@ -229,15 +238,15 @@
   }
 
   /**
-   * Under a ceiling a door that is asked for more than its even part can't have more while the counter is
-   * away, so the goal is for quota's sake alone: the plan without a ceiling.
+   * Under a ceiling, a door that needs more than its even part cannot get more while the counter is absent.
+   * So the limit holds for the plan without a ceiling only.
    */
   @Test
   void doorsWithoutCounterRefuseUnderOnePercentOfFirmsWithHalfTheirQuotaUnused() {
     double[] worstRefusedShare = new double[1];
     StringBuilder table = new
-        StringBuilder("worst beyond the quota of its bound, basic and full; refused with half "
-        + "the quota unused: while blind, basic and full; at any time, basic and full\n");
+        StringBuilder("worst excess of the quota and its bound, basic and full; refused with half "
+        + "the quota unused: without the counter, basic and full; at any time, basic and full\n");
     table.append(tableRow(null, worstRefusedShare)).append('\n');
     for (FaultKind kind : FaultKind.values()) {
       table.append(tableRow(kind, worstRefusedShare)).append('\n');
--- a/policy/src/test/java/willowdoor/policy/CounterSimulation.java
+++ b/policy/src/test/java/willowdoor/policy/CounterSimulation.java
@@ -43,11 +43,11 @@
 import willowdoor.recovery.WatchEvent;
 
 /**
- * A fleet in simulated time: the real decision modules of each door (quota, watch, rights), counters that are
- * lost, emptied, put back from a copy, split among the doors, slow or mute, and firms whose traffic moves
- * from
- * door to door. All chance comes from the seed, so that a run is repeated exactly. Holds what was sent on to
- * an ideal bucket and an ideal ceiling of each firm.
+ * Simulates a fleet of doors and its counter in virtual time. Each door runs the real decision modules for
+ * quota, counter watch and ceiling rights. The counter is lost, emptied, restored from an old copy, split
+ * among the doors, slow, or does not answer, while the traffic of each firm moves between doors. All
+ * randomness comes from the seed, so that a run can be repeated exactly. For each firm, the units that were
+ * sent are compared with an ideal token bucket and an ideal ceiling.
  */
 final class CounterSimulation {
 
@@ -57,10 +57,10 @@
   static final Plan FULL = new Plan("full", 30, 60, 0, 1, 0, 1, 0, 0, 0);
   private static final double START_MS = 1_700_000_000_000.0;
 
-  /** What becomes of the counter: from a moment, for a time. */
+  /** Kinds of faults: of the counter, for a time or from a moment on, and the restart of doors. */
   enum FaultKind { AWAY, AWAY_FOR_SOME, EMPTIED, OLD_COPY, SPLIT, MUTE, SLOW, DOOR_STARTS_ANEW }
 
-  /** One trouble; side tells which doors it meets (those whose number has the bit). */
+  /** A fault; it affects the doors whose number is set as a bit in the mask. */
   record Fault(FaultKind kind, double atMs, double durationMs, long doorBits) {
     @Override
     public String toString() {
@@ -69,11 +69,16 @@
     }
   }
 
-  /** One firm's traffic: units a second as a multiple of its plan's rate, over so many doors from first on.
-      */
+  /**
+   * Traffic of one firm: units per second as a multiple of the rate of its plan, through a number of
+   * consecutive doors.
+   */
   record Traffic(Plan plan, int firstDoor, int doorCount, double rateMultiple) { }
 
-  /** What a run showed of one firm. */
+  /**
+   * One firm and what a run showed of it; excess is the number of units sent beyond the ideal quota or
+   * ceiling.
+   */
   static final class Firm {
     final long number;
     final Traffic traffic;
@@ -202,8 +207,7 @@
           double units = unitsByRequest.get(s.request());
           firmByRequest.get(s.request()).recordSend(now, units);
           scheduleInIncarnation(now + 20 + 40 * random.nextDouble(),
-              () -> deliver(new Outcome(s.request(), 0, s.backend(),
-              Status.OK, 40, true, units, null)));
+              () -> deliver(new Outcome(s.request(), 0, s.backend(), Status.OK, 40, true, units, null)));
         } else if (a instanceof Refuse r) {
           recordRefusal(r.request());
         } else if (a instanceof Fail f) {
@@ -214,7 +218,10 @@
       }
     }
 
-    /** NaN: no answer in time; negative infinity: none could be reached, so nothing was added. */
+    /**
+     * Calls the counter. The callback gets the total, NaN if there was no answer in time, or negative
+     * infinity if the counter was unreachable, so that nothing was added.
+     */
     private void callCounter(String name, double amount, double ttl, DoubleConsumer onEnd) {
       double sentAt = now;
       boolean[] ended = new boolean[1];
@@ -231,8 +238,8 @@
           CounterSimulation.this.schedule(now + 0.5, () -> complete(ended, expected, onEnd, total));
         }
       });
-      CounterSimulation.this
-          .schedule(sentAt + COUNTER_TIMEOUT_MS, () -> complete(ended, expected, onEnd, Double.NaN));
+      CounterSimulation.this.schedule(sentAt + COUNTER_TIMEOUT_MS,
+          () -> complete(ended, expected, onEnd, Double.NaN));
     }
 
     private void complete(boolean[] ended, int expected, DoubleConsumer onEnd, double total) {
@@ -296,10 +303,10 @@
   long callCount;
 
   /**
-   * A fleet that has just started, each door of it more than an era ago.
+   * A fleet that has just started; the requests begin later, by a whole era of the ceiling shares or more.
    *
-   * @param watchesCounter doors notice that a counter was replaced
-   * @param dividesCeilings ceilings are divided among the doors, not counted together
+   * @param watchesCounter whether doors notice that a counter was replaced
+   * @param dividesCeilings whether ceilings are divided among the doors instead of being counted together
    */
   CounterSimulation(int doorCount, List<Traffic> traffic, boolean watchesCounter, boolean dividesCeilings,
       long seed) {
@@ -339,7 +346,10 @@
     f.refusalsWithoutCounter += halfUnused != null && halfUnused ? 1 : 0;
   }
 
-  /** How long after the first request the first firm's window ends next, counted from a moment. */
+  /**
+   * Returns when the first window of the first firm ends that does not end before afterMs, in milliseconds
+   * after the first request.
+   */
   double nextWindowEdgeMs(double warmUpMs, double afterMs) {
     double windowMs = 25_000;
     double phase = Math.floorMod(firms.get(0).number * 0x9E3779B97F4A7C15L, (long) windowMs);
@@ -347,7 +357,10 @@
     return afterMs + windowMs - (at + phase) % windowMs;
   }
 
-  /** Plays so long, with those troubles counted from the first request on; earlier nothing is asked. */
+  /**
+   * Runs the simulation for the given time from the first request on. The times of the faults count from
+   * there too; during the warm-up nothing is requested.
+   */
   CounterSimulation run(double warmUpMs, double durationMs, List<Fault> faults) {
     double from = START_MS + warmUpMs;
     for (Firm f : firms) {
@@ -419,13 +432,11 @@
       halfUnusedWithoutCounter.put(id, halfUnused);
       f.requestsWithoutCounter += halfUnused ? 1 : 0;
     }
-    Request r =
-        new Request(id, "safe", t.plan().name(), f.number, t.doorCount(), units, now + 4000, entryPoint,
-        null);
+    Request r = new Request(id, "safe", t.plan().name(), f.number, t.doorCount(), units, now + 4000,
+        entryPoint, null);
     if (dividesCeilings && t.plan().ceilingRate() > 0) {
-      r = r.withCeilingShare(d
-          .driveRights(new RightsEvent.Requested(f.number, t.doorCount(), entryPoint, t.plan().ceilingRate(),
-          t.plan().ceilingBurst(), MAX_UNITS, units)));
+      r = r.withCeilingShare(d.driveRights(new RightsEvent.Requested(f.number, t.doorCount(), entryPoint,
+          t.plan().ceilingRate(), t.plan().ceilingBurst(), MAX_UNITS, units)));
     }
     d.deliver(r);
   }
@@ -467,7 +478,7 @@
             notifyConnected(d, true);
           });
         } else {
-          // Whichever side wins: by the seed.
+          // The seed decides whose counter remains.
           replaceCounter(random.nextBoolean() || affectedDoors(f).isEmpty() ? currentCounter
               : affectedDoors(f).get(0).counter);
         }
--- a/policy/src/test/java/willowdoor/policy/EmbedExampleTest.java
+++ b/policy/src/test/java/willowdoor/policy/EmbedExampleTest.java
@@ -30,7 +30,7 @@
 import willowdoor.policy.GatewayApi.Status;
 import willowdoor.policy.GatewayApi.WakeAt;
 
-/** The loop that the README shows, with a counter and a backend that answer at once. */
+/** The event loop shown in the README, with a counter and a backend that answer at once. */
 class EmbedExampleTest {
 
   private final Map<String, Double> counter = new HashMap<>();
--- a/policy/src/test/java/willowdoor/policy/Fixtures.java
+++ b/policy/src/test/java/willowdoor/policy/Fixtures.java
@@ -25,7 +25,7 @@
 import willowdoor.policy.GatewayApi.WakeAt;
 import willowdoor.policy.GatewayApi.Woken;
 
-/** A gateway under test: its module, a clock, and all that the module asked for. */
+/** A gateway under test: its policy, a clock, and all actions of the policy. */
 final class Fixtures {
 
   static final Plan RATED = new Plan("rated", 2, 10, 0, 1, 0, 1, 0, 0, 0);
@@ -96,7 +96,7 @@
     return this;
   }
 
-  /** Lets time go by with the module's own timer running. */
+  /** Advances the time, with the timer of the policy running. */
   Fixtures runTimers(double ms) {
     List<Action> collected = new ArrayList<>();
     for (double end = now + ms; now < end;) {
--- a/policy/src/test/java/willowdoor/policy/FleetTest.java
+++ b/policy/src/test/java/willowdoor/policy/FleetTest.java
@@ -30,7 +30,10 @@
 import willowdoor.policy.GatewayApi.Status;
 import willowdoor.policy.GatewayApi.Woken;
 
-/** Many gateways at once, with fixed seeds: what one may do alone is multiplied by all, so the sums count. */
+/**
+ * Many gateways at once, with fixed seeds. What a single gateway may do is multiplied by their number, so the
+ * tests check sums over the fleet.
+ */
 class FleetTest {
 
   private final List<Fixtures> fleet = new ArrayList<>();
@@ -44,7 +47,10 @@
     }
   }
 
-  /** Lets the fleet take so many requests a second, evenly drawn, and hands each action to the world. */
+  /**
+   * Sends requests to the fleet at the given rate, each to a random gateway, and passes each action to the
+   * environment.
+   */
   private void run(double seconds, double perSecond, String plan, BiConsumer<Fixtures, Action> environment) {
     double start = fleet.get(0).now;
     int total = (int) (seconds * perSecond);
@@ -80,7 +86,8 @@
     perform(f, environment);
   }
 
-  // Guards against every gateway trying a silent counter at its own pace: hundreds of calls a second.
+  // Guards against hundreds of calls per second because each gateway retries a silent counter at its own
+  // interval.
   @Test
   void callsToASilentCounterAreBoundedForTheFleetAndResume() {
     createFleet(300, 12);
@@ -109,7 +116,8 @@
     assertTrue(calls[0] > 2 * 200, "calls are back within 3 s: " + calls[0] + " in 2 s");
   }
 
-  // Guards against the first token of a cold backend at every gateway: hundreds of first requests at once.
+  // Guards against hundreds of first requests at once because each gateway holds a first token for a cold
+  // backend.
   @Test
   void aColdBackendIsNotOverloadedByTheFleet() {
     createFleet(300, 60);
@@ -134,7 +142,7 @@
         sentToBackend[0] + " sent to a cold backend, warm " + sentWhenWarm / 5);
   }
 
-  // Guards against saved retries that are few for a gateway and thousands for the fleet.
+  // Guards against a number of saved retries that is small for one gateway but thousands for the fleet.
   @Test
   void furtherAttemptsAreBoundedForTheFleet() {
     createFleet(300, 60);
@@ -156,7 +164,7 @@
     assertTrue(sent[1] > 0);
   }
 
-  // Guards against sends that nobody counted, each harmless alone, adding up to far more than the quota.
+  // Guards against uncounted requests that are few at each gateway but add up to far more than the quota.
   @Test
   void withoutACounterTheFleetKeepsToTheQuota() {
     createFleet(100, 12);
@@ -214,7 +222,7 @@
     return ceiling[2];
   }
 
-  // Guards against work and connections that grow with the fleet: of a thousand backends few are used.
+  // Guards against work and connections that grow with the fleet: of a thousand backends, a gateway uses few.
   @Test
   void aGatewayUsesASubsetOfManyBackendsAndAllOfFew() {
     assertTrue(countUsedBackends(300, 1000) <= 40, "of a thousand: " + countUsedBackends(300, 1000));
@@ -234,7 +242,8 @@
     return used.size();
   }
 
-  // Guards against booking this gateway's own stand-still to the fleet, and acting before all was read.
+  // Guards against attributing this gateway's own stall to the backends, and against acting before all
+  // pending events are read.
   @Test
   void aStalledGatewayReadsPendingAnswersFirst() {
     Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).withBackends(12);
@@ -243,7 +252,7 @@
       Send s = f.lastOf(Send.class);
       f.runTimers(25);
       f.advance(2000).on(new Woken("tick"));
-      assertFalse(f.emitted(Cancel.class), "its answer may lie unread");
+      assertFalse(f.emitted(Cancel.class), "its answer may not have been read yet");
       f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 2020, true, 0, null));
       f.advance(1).on(new Woken("tick"));
     }
@@ -251,7 +260,8 @@
     assertTrue(f.emitted(Send.class));
   }
 
-  // Guards against taking lost answers for a full fleet. A few slow backends look the same and stay unseen.
+  // Guards against mistaking lost answers for an overloaded fleet. A few slow backends look the same and
+  // remain unnoticed.
   @Test
   void lostAnswersAreNotTakenForOverload() {
     Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).withBackends(12);
@@ -266,7 +276,7 @@
     assertTrue(f.emitted(Send.class));
   }
 
-  // Guards against settings and events that make no sense: one final answer each, and no exception.
+  // Guards against exceptions with invalid settings and events; each request still gets one final answer.
   @Test
   void invalidInputIsStillAnsweredOnce() {
     for (int gateways : new int[] {0, 1, 400}) {
@@ -291,7 +301,8 @@
     }
   }
 
-  // Guards a restarted backend of which the roster does not know yet: refused connections mean a cold start.
+  // Protects a restarted backend that the roster does not report yet: a refused connection is taken for a
+  // cold start.
   @Test
   void aBackendThatRefusedAConnectionIsTreatedAsCold() {
     Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).withBackends(1);
@@ -309,7 +320,8 @@
     assertTrue(sent < 20, sent + " of 40 sent at once");
   }
 
-  // Guards against failed connections of other causes, of which a few would leave the whole fleet cold.
+  // Guards against treating the whole fleet as cold because of a few connections that failed for another
+  // reason.
   @Test
   void aBackendThatAnswersAnEarlierAttemptHasNotRestarted() {
     Fixtures f = new Fixtures(Fixtures.settings(true, 2, false)).withBackends(1);
@@ -326,7 +338,8 @@
     }
   }
 
-  // Guards against meeting each dead backend of a lost zone by oneself: its failures count for all of them.
+  // Guards against trying each dead backend of a failed zone: failures in a zone count for all of its
+  // backends.
   @Test
   void aFailedZoneIsAvoidedAfterAFewFailures() {
     Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).withBackends(200);
@@ -340,10 +353,11 @@
       all += i >= 20 ? 1 : 0;
       f.outcome(s, 0, inFailedZone ? Status.RESET : Status.OK, !inFailedZone);
     }
-    assertTrue(toHealthyZone > 0.85 * all, toHealthyZone + " of " + all + " to the zone that answers");
+    assertTrue(toHealthyZone > 0.85 * all, toHealthyZone + " of " + all + " sent to the healthy zone");
   }
 
-  // Guards a customer's quota when its gateway restarts, or when it comes through another one.
+  // Guards against granting the quota again when a gateway restarts, or when the customer uses another
+  // gateway.
   @Test
   void aRestartedGatewayLearnsTheUsageFromTheCount() {
     Fixtures f = Fixtures.withCounter();
--- a/policy/src/test/java/willowdoor/policy/LearnedStateTest.java
+++ b/policy/src/test/java/willowdoor/policy/LearnedStateTest.java
@@ -10,7 +10,7 @@
 import willowdoor.policy.GatewayApi.Send;
 import willowdoor.policy.GatewayApi.Status;
 
-/** What a process that takes another's place goes on from. */
+/** The state that the successor of a process starts with. */
 class LearnedStateTest {
 
   private static final int SLOW_BACKEND = 1;
@@ -19,7 +19,10 @@
     return new Fixtures(Fixtures.settings(true, 2, false)).withBackends(4);
   }
 
-  /** Sends so many requests, whose answers take ten times as long from one backend; how many went there. */
+  /**
+   * Sends requests, which one backend answers ten times as slowly as the others, and returns how many went to
+   * that backend.
+   */
   private static int countSentToSlow(Fixtures f, int requests) {
     int toSlow = 0;
     for (int i = 0; i < requests; i++) {
@@ -43,11 +46,11 @@
   void aSlowBackendIsKnownToTheSuccessor() {
     Fixtures before = newGateway();
     countSentToSlow(before, 40);
-    assertTrue(countSentToSlow(newGateway(), 20) > 0, "it has to meet it to know");
+    assertTrue(countSentToSlow(newGateway(), 20) > 0, "a new gateway has to use the slow backend to learn");
     assertEquals(0, countSentToSlow(successorOf(before, 0), 20));
   }
 
-  /** What is a minute old and may be wrong weighs nothing. */
+  /** Measurements that are a minute old, and may be wrong by now, have no weight. */
   @Test
   void oldMeasurementsDoNotKeepABackendUnused() {
     Fixtures before = newGateway();
@@ -65,7 +68,7 @@
     successor.request("safe", "rated", 1);
     assertEquals(1 + 2, successor.lastOf(Add.class).amount());
     before.request("safe", "rated", 1);
-    assertEquals(1, before.lastOf(Add.class).amount(), "not by both");
+    assertEquals(1, before.lastOf(Add.class).amount(), "the predecessor does not add them too");
   }
 
   @Test
@@ -82,7 +85,7 @@
     assertEquals(1, successor.lastOf(Add.class).amount());
   }
 
-  /** A plan, class or backend that the successor's settings lack is left aside. */
+  /** A plan, class or backend that the settings of the successor lack is ignored. */
   @Test
   void unknownPlansClassesAndBackendsAreIgnored() {
     Fixtures f = newGateway();
@@ -93,7 +96,7 @@
     assertEquals(1, f.lastOf(Add.class).amount());
   }
 
-  /** For what is left of its rest since it was told. */
+  /** The backoff goes on for the time that remains after the transfer. */
   @Test
   void aBackendThatBacksOffStaysSoForTheRemainingTime() {
     LearnedState state =
@@ -109,7 +112,7 @@
         toBackend += f.lastOf(Send.class).backend() == SLOW_BACKEND ? 1 : 0;
         f.advance(10);
       }
-      assertEquals(transferMs == 1_000, toBackend == 0, transferMs + " ms ago: " + toBackend);
+      assertEquals(transferMs == 1_000, toBackend == 0, transferMs + " ms ago: sent " + toBackend);
     }
   }
 }
--- a/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
+++ b/policy/src/test/java/willowdoor/policy/QuotaPolicyTest.java
@@ -50,7 +50,7 @@
     f.replyTotal(200);
     assertTrue(f.emitted(Refuse.class));
     f.advance(500).request("safe", "rated", 1);
-    assertEquals(-3, f.lastOf(Add.class).amount(), "only reads, and takes the refused 3 off");
+    assertEquals(-3, f.lastOf(Add.class).amount(), "the call only reads, and returns the refused 3 units");
   }
 
   @Test
@@ -78,17 +78,17 @@
     Fixtures f = Fixtures.withCounter();
     f.on(new PreCheck(new Request("x", "safe", "rated", 1, 2, 3, f.now + 2_000)));
     assertFalse(f.emitted(Refuse.class) || f.emitted(Add.class) || f.emitted(Send.class),
-        "nothing is known of it");
+        "the customer is not known");
     f.request("safe", "rated", 3);
     f.on(new PreCheck(new Request("y", "safe", "rated", 42, 2, 3, f.now + 2_000)));
-    assertFalse(f.emitted(Refuse.class) || f.emitted(Add.class), "its count is not told yet");
+    assertFalse(f.emitted(Refuse.class) || f.emitted(Add.class), "the counter has not answered yet");
     f.replyTotal(200);
     f.advance(10).on(new PreCheck(new Request("z", "safe", "rated", 42, 2, 3, f.now + 2_000)));
     assertEquals("z", f.lastOf(Refuse.class).request());
     assertFalse(f.emitted(Add.class));
   }
 
-  /** Met through so many gateways that one burst a window is counted by the totals alone. */
+  /** Sends a request of a customer with so many gateways that each window is counted by its total alone. */
   private static void requestBroad(Fixtures f, String id, double units) {
     f.on(new Request(id, "safe", "broad", 42, 40, units, f.now + 4_000));
   }
@@ -100,15 +100,15 @@
     assertEquals(3, f.lastOf(Add.class).amount());
     f.replyTotal(97);
     f.on(new CounterReplaced());
-    assertEquals(3, f.lastOf(Add.class).amount(), "its own 3, not the 97 of all");
+    assertEquals(3, f.lastOf(Add.class).amount(), "its own 3 units, not all 97");
     f.replyTotal(3);
     requestBroad(f, "b", 2);
-    assertEquals(2, f.lastOf(Add.class).amount(), "put back once");
+    assertEquals(2, f.lastOf(Add.class).amount(), "the units are restored once");
     f.replyTotal(5);
     requestBroad(f, "c", 4);
-    assertFalse(f.emitted(Send.class), "the 94 of others are not forgotten, though no total tells them");
+    assertFalse(f.emitted(Send.class), "the 94 units of others still count, though the new total lacks them");
     f.on(new CounterReplaced());
-    assertTrue(f.lastOf(Add.class).amount() <= 5, "once for each counter: " + f.lastAdd());
+    assertTrue(f.lastOf(Add.class).amount() <= 5, "units are restored once per counter: " + f.lastAdd());
   }
 
   @Test
@@ -132,7 +132,7 @@
     if (f.emitted(Add.class)) {
       f.replyTotal(f.lastAdd().amount());
     }
-    assertFalse(f.emitted(Send.class), "it is spent, whatever the empty counter says");
+    assertFalse(f.emitted(Send.class), "the quota is used up, whatever the empty counter answers");
   }
 
   @Test
@@ -148,7 +148,7 @@
       String name = f.lastAdd().name();
       if (first != null && !name.equals(first)) {
         f.replyTotal(f.lastAdd().amount());
-        assertTrue(f.emitted(Refuse.class), "a new window is not a new burst");
+        assertTrue(f.emitted(Refuse.class), "a new window grants no new burst");
         return;
       }
       first = name;
@@ -159,7 +159,7 @@
         f.outcome(s, 0, Status.OK, true);
       }
     }
-    throw new AssertionError("no window edge met, sent " + sent);
+    throw new AssertionError("no window ended; sent " + sent);
   }
 
   @Test
@@ -197,7 +197,7 @@
     assertTrue(f.emitted(Fail.class), "an unknown class may not run twice");
   }
 
-  // Counter trouble
+  // Counter faults
 
   @Test
   void anUnansweredCallIsDecidedByTheReplica() {
@@ -289,7 +289,7 @@
     f.replyTotal(1);
     assertFalse(f.emitted(Send.class));
     f.request("safe", "rated", 2);
-    assertEquals(2 - 1, f.lastOf(Add.class).amount(), "and its units are returned");
+    assertEquals(2 - 1, f.lastOf(Add.class).amount(), "the units of the ended request are returned");
   }
 
   // Attempts
@@ -320,7 +320,7 @@
     Send s = f.lastOf(Send.class);
     f.outcome(s, 0, Status.ERROR, false);
     if (f.emitted(Send.class)) {
-      assertEquals(s.backend(), f.lastOf(Send.class).backend(), "its cell has this backend alone");
+      assertEquals(s.backend(), f.lastOf(Send.class).backend(), "this is the only backend of the cell");
     }
     f.request("zone", "free", 1);
     Send z = f.lastOf(Send.class);
@@ -328,8 +328,8 @@
     assertEquals(z.backend() % 2, f.lastOf(Send.class).backend() % 2);
     Send again = f.lastOf(Send.class);
     f.advance(3500).outcome(again, 1, Status.ERROR, false);
-    assertFalse(f.emitted(Send.class), "its repeats are no longer dropped");
-    assertTrue(f.emitted(Fail.class), "and a refusal would promise too much");
+    assertFalse(f.emitted(Send.class), "the backends no longer drop its repeats");
+    assertTrue(f.emitted(Fail.class), "a refusal would promise that trying again is harmless");
   }
 
   @Test
@@ -340,7 +340,7 @@
     f.runTimers(1000);
     assertTrue(f.emitted(Refuse.class));
     f.on(new Request("short", "safe", "free", 1, 2, 1, f.now + 5));
-    assertTrue(f.emitted(Refuse.class), "no time is left to look again");
+    assertTrue(f.emitted(Refuse.class), "no time is left for another check");
   }
 
   @Test
@@ -411,7 +411,7 @@
         f.outcome(s, 0, Status.OK, true);
       }
     }
-    assertTrue(cold > 0, "it is used at all");
+    assertTrue(cold > 0, "the cold backend is used at all");
     assertTrue(cold < all / 8, "under half of a warm backend's quarter: " + cold + " of " + all);
   }
 
@@ -421,7 +421,7 @@
     int early = countSendsToFailingBackend(f, 100);
     assertTrue(early < 20, "sends to the failing backend: " + early);
     for (int i = 0, sent = 0; sent == 0; i++) {
-      assertTrue(i < 2000, "never tried again");
+      assertTrue(i < 2000, "the backend is never tried again");
       f.runTimers(25).request("safe", "free", 1);
       Send s = f.lastOf(Send.class);
       sent += s.backend() == 0 ? 1 : 0;
@@ -448,7 +448,9 @@
     return failing;
   }
 
-  /** Guards incidents ifcb77b and i3b6be0: an old bad report must not shun a backend for good. */
+  /**
+   * Guards against incidents ifcb77b and i3b6be0: an old bad load report must not exclude a backend for good.
+   */
   @Test
   void anOldLoadReportFades() {
     Fixtures f = Fixtures.withCounter();
--- a/policy/src/test/java/willowdoor/policy/SheddingTest.java
+++ b/policy/src/test/java/willowdoor/policy/SheddingTest.java
@@ -13,10 +13,15 @@
 import willowdoor.policy.GatewayApi.Send;
 import willowdoor.policy.GatewayApi.Status;
 
-/** What is refused under load and what is not, by worth, size and crowd; and what a size explains. */
+/**
+ * Load shedding: which requests are refused under load, by worth, size and crowding; and how long an attempt
+ * of a given size may stay silent.
+ */
 class SheddingTest {
 
-  /** Two gateways and four backends, whose answers take that long for each unit. */
+  /**
+   * Two gateways and four backends that take the given time for each unit; the policy has learned that time.
+   */
   private static Fixtures withLearnedTimes(double msPerUnit) {
     Fixtures f = Fixtures.withCounter();
     for (int i = 0; i < 60; i++) {
@@ -41,13 +46,13 @@
   void aRequestTooLargeToBeInTimeIsRefusedOnlyUnderLoad() {
     Fixtures f = withLearnedTimes(300);
     f.runTimers(5_000).request("safe", "free", 4);
-    assertTrue(f.emitted(Send.class), "an idle fleet takes it: nobody else wants the room");
+    assertTrue(f.emitted(Send.class), "an idle fleet has spare capacity for it");
     sendUnanswered(f, 3);
     f.runTimers(100).request("safe", "free", 4);
-    assertTrue(f.emitted(Refuse.class), "1,200 ms of an aim of 1,000");
-    assertTrue(f.lastOf(Refuse.class).retryAfterMs() > 0, "told when to come back");
+    assertTrue(f.emitted(Refuse.class), "1,200 ms expected, with a target of 1,000 ms");
+    assertTrue(f.lastOf(Refuse.class).retryAfterMs() > 0, "advised when to try again");
     f.request("safe", "free", 1);
-    assertTrue(f.emitted(Send.class), "300 ms of an aim of 1,000");
+    assertTrue(f.emitted(Send.class), "300 ms expected, with a target of 1,000 ms");
   }
 
   @Test
@@ -67,14 +72,14 @@
       f.runTimers(25);
       out.forEach(s -> f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 25, true, 0, null)));
     }
-    assertEquals(0, refused, "thirty attempts out at each of four backends, answered in 25 ms");
+    assertEquals(0, refused, "thirty attempts in flight at each of four backends, answered in 25 ms");
   }
 
   @Test
   void aSilentAttemptIsCancelledOnlyWhenItsSizeDoesNotExplainIt() {
     Fixtures large = withLearnedTimes(150);
     large.runTimers(5_000).request("safe", "free", 4);
-    assertFalse(large.runTimers(900).emitted(Cancel.class), "600 ms is what it takes");
+    assertFalse(large.runTimers(900).emitted(Cancel.class), "its size explains 600 ms");
     Fixtures small = withLearnedTimes(150);
     small.runTimers(5_000).request("safe", "free", 1);
     assertTrue(small.runTimers(900).emitted(Cancel.class));
--- a/policy/src/test/java/willowdoor/policy/SlotsTest.java
+++ b/policy/src/test/java/willowdoor/policy/SlotsTest.java
@@ -20,7 +20,7 @@
 import willowdoor.policy.GatewayApi.Send;
 import willowdoor.policy.GatewayApi.Status;
 
-/** Plans that bound attempts out at once: places counted over all gateways, and what can leak one. */
+/** Plans that limit the attempts in flight: slots are counted over all gateways, and none may leak. */
 class SlotsTest {
 
   private static Send requestAndSend(Fixtures f, double total) {
@@ -40,7 +40,7 @@
     assertEquals(-1, release.amount());
     assertEquals(request.name(), release.name());
     f.runTimers(500);
-    assertFalse(f.emitted(Add.class), "once");
+    assertFalse(f.emitted(Add.class), "released only once");
   }
 
   @Test
@@ -48,20 +48,20 @@
     Fixtures f = Fixtures.withCounter();
     f.request("safe", "narrow", 1);
     f.replyTotal(3);
-    assertTrue(f.emitted(Refuse.class), "two places, and this would be the third attempt");
+    assertTrue(f.emitted(Refuse.class), "there are two slots, and this would be the third attempt");
     assertEquals(-1, f.lastOf(Add.class).amount());
-    assertTrue(f.lastOf(Refuse.class).retryAfterMs() > 0, "told when a place may be free");
+    assertTrue(f.lastOf(Refuse.class).retryAfterMs() > 0, "advised when a slot may be free");
     f.request("safe", "narrow", 1);
-    assertTrue(f.emitted(Refuse.class) && !f.emitted(Add.class), "not asked again at once");
+    assertTrue(f.emitted(Refuse.class) && !f.emitted(Add.class), "the counter is not asked again at once");
   }
 
   @Test
   void oneGatewayMayUseAllSlotsOfAFirm() {
     Fixtures f = Fixtures.withCounter();
     requestAndSend(f, 1);
-    assertTrue(requestAndSend(f, 2) != null, "an even part of two places among two gateways would be one");
+    assertTrue(requestAndSend(f, 2) != null, "an even part of two slots for two gateways would be one");
     f.request("safe", "narrow", 1);
-    assertTrue(f.emitted(Refuse.class) && !f.emitted(Add.class), "its own two are known");
+    assertTrue(f.emitted(Refuse.class) && !f.emitted(Add.class), "the gateway knows of its own two attempts");
   }
 
   @Test
@@ -72,7 +72,7 @@
     assertTrue(f.emitted(Send.class));
     f.request("safe", "narrow", 1);
     f.failCall(Status.REJECTED);
-    assertTrue(f.emitted(Refuse.class), "one of two places is this gateway's");
+    assertTrue(f.emitted(Refuse.class), "this gateway's even part is one of two slots");
   }
 
   @Test
@@ -103,8 +103,8 @@
     f.now += 26_000;
     f.request("safe", "narrow", 1);
     Add request = f.lastOf(Add.class);
-    assertFalse(request.name().equals(first), "a window on");
-    assertEquals(2, request.amount(), "this one and the one still out");
+    assertFalse(request.name().equals(first), "the count of the next window");
+    assertEquals(2, request.amount(), "this attempt and the one still in flight");
     f.replyTotal(2);
     f.outcome(s, 0, Status.OK, true);
     assertEquals(request.name(), f.lastOf(Add.class).name());
@@ -116,28 +116,32 @@
     requestAndSend(f, 1);
     f.request("safe", "narrow", 1);
     f.replyTotal(1);
-    assertEquals(1, f.lastOf(Add.class).amount(), "its own first place is put back");
+    assertEquals(1, f.lastOf(Add.class).amount(), "its own first slot is restored");
     Fixtures notified = Fixtures.withCounter();
     requestAndSend(notified, 1);
     notified.on(new CounterReplaced());
     assertEquals(1, notified.lastOf(Add.class).amount());
   }
 
-  /** Four gateways, one counter that loses, delays and turns away by a seed; one firm floods them all. */
+  /**
+   * Four gateways share a counter that, at random, rejects calls or loses its answers; one firm floods all
+   * gateways.
+   */
   @Test
   void fleetsStayWithinTheSlotsAndLeakNone() {
     for (long seed = 1; seed <= 20; seed++) {
       Fleet fleet = new Fleet(seed);
       fleet.run(400, true);
-      assertTrue(fleet.maxInFlight <= 2 + 4, "seed " + seed + ": " + fleet.maxInFlight + " out at once, "
-          + "two by the counter and an even part of one at each gateway");
+      assertTrue(fleet.maxInFlight <= 2 + 4,
+          "seed " + seed + ": " + fleet.maxInFlight + " in flight at once; "
+          + "allowed are two by the counter and an even part of one at each gateway");
       fleet.run(400, false);
       fleet.maxInFlight = 0;
       fleet.served = 0;
       fleet.run(400, false);
       assertTrue(fleet.maxInFlight <= 2,
-          "seed " + seed + ": " + fleet.maxInFlight + " out with a sound counter");
-      assertTrue(fleet.served > 100, "seed " + seed + ": places leaked, only " + fleet.served + " served");
+          "seed " + seed + ": " + fleet.maxInFlight + " in flight at once with a working counter");
+      assertTrue(fleet.served > 100, "seed " + seed + ": slots leaked, only " + fleet.served + " served");
     }
   }
 
@@ -159,7 +163,7 @@
       return new Fixtures(Fixtures.settings(true, 4, false, self)).withBackends(4);
     }
 
-    /** Steps of 25 ms; an attempt ends in one of six steps. */
+    /** Runs steps of 25 ms; an attempt ends in a step with a chance of one in six. */
     void run(int steps, boolean counterFails) {
       for (int i = 0; i < steps; i++) {
         for (int d = 0; d < doors.size(); d++) {
