--- a/door/src/main/java/willowdoor/Main.java
+++ b/door/src/main/java/willowdoor/Main.java
@@ -4,7 +4,7 @@
 import willowdoor.benchlink.BenchLink;
 import willowdoor.net.FrontDoor;
 
-/** Runs the module as a real front door, or on the bench's wire over standard input and output. */
+/** Runs the decision module as a front door process, or under the bench over standard input and output. */
 public final class Main {
 
   private Main() {
--- a/door/src/main/java/willowdoor/benchlink/BenchLink.java
+++ b/door/src/main/java/willowdoor/benchlink/BenchLink.java
@@ -42,7 +42,10 @@
 import willowdoor.wire.JsonFields;
 import willowdoor.wire.WireSettings;
 
-/** Turns the bench's wire into events of {@link GatewayApi} and the actions back into the wire; no more. */
+/**
+ * Translates messages of the bench into events of {@link GatewayApi}, and actions back into messages; decides
+ * nothing.
+ */
 public final class BenchLink {
 
   private static final Map<String, Status> STATUSES = Map.of("OK", Status.OK, "INTERNAL", Status.ERROR,
@@ -130,15 +133,12 @@
       }, backendLists.getOrDefault((int) number(message, "Bank"), List.of()));
       case "Req" -> new Request(text(message, "Tid"), text(message, "Kind"), text(message, "Package"),
           (long) number(message, "Customer"), (int) number(message, "EntryPoints"),
-          number(message, "CostUnits"),
-          number(message, "GiveUpAtMs"));
+          number(message, "CostUnits"), number(message, "GiveUpAtMs"));
       case "Accepted" -> new StreamStarted(text(message, "Tid"), (int) number(message, "SendNo"));
-      case "Result" ->
-          new Outcome(text(message, "Tid"), (int) number(message, "SendNo"),
-              (long) number(message, "Backend"),
+      case "Result" -> new Outcome(text(message, "Tid"), (int) number(message, "SendNo"),
+          (long) number(message, "Backend"),
           STATUSES.getOrDefault(text(message, "StateCode"), Status.ERROR), number(message, "LatencyMs"),
-          flag(message, "Last"),
-          number(message, "FinalUnits"), load(child(message, "Load")));
+          flag(message, "Last"), number(message, "FinalUnits"), load(child(message, "Load")));
       case "Gone" -> new ClientLeft(text(message, "Tid"));
       case "Reckoned" -> new Counted(text(message, "Book"),
           STATUSES.getOrDefault(text(message, "StateCode"), Status.ERROR), number(message, "Value"),
--- a/door/src/main/java/willowdoor/management/Call.java
+++ b/door/src/main/java/willowdoor/management/Call.java
@@ -7,27 +7,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads a management call: what is asked, or the refusal of what is no call, in plain words. */
+/** A parsed management call: what is asked for, or the refusal of an invalid call with its reason. */
 sealed interface Call {
 
-  /** Whether this process is ready. */
+  /** Asks whether this process is ready. */
   record Ready() implements Call { }
 
-  /** An order to carry out. */
+  /** A command to carry out. */
   record Execute(ManagementCommand command) implements Call { }
 
   /**
-   * The other process of this front door tells of itself.
+   * The other process of this front door announces itself.
    *
-   * @param address where it is managed
-   * @param serves whether it takes clients
+   * @param address the other process's management address
+   * @param serves whether the other process takes clients
    */
   record Hello(String address, boolean serves) implements Call { }
 
-  /** None of the calls there are. */
+  /** An invalid call, with the reply that refuses it. */
   record Invalid(Reply reply) implements Call { }
 
-  /** The longest name of a backend that is looked at. */
+  /** Maximum length of a backend's name, in characters. */
   int MAX_MEMBER_LENGTH = 256;
 
   static Call read(FullHttpRequest message) {
--- a/door/src/main/java/willowdoor/management/ManagementClient.java
+++ b/door/src/main/java/willowdoor/management/ManagementClient.java
@@ -22,16 +22,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Makes calls at another process's management address, one to a connection, as an operator would. */
+/** Calls the management address of another process, with one call per connection, as an operator would. */
 public final class ManagementClient {
 
-  /** What came of a call: an answer; or nobody listens there; or none in time. */
+  /** Outcome of a call: an answer arrived; no process listens there; or no answer arrived in time. */
   public enum CallOutcome { ANSWER, NOBODY, NOTHING }
 
   /**
-   * The end of a call.
+   * Result of a call.
    *
-   * @param reply null unless an answer came
+   * @param reply null unless an answer arrived
    */
   public record CallResult(CallOutcome outcome, Reply reply) { }
 
@@ -45,7 +45,11 @@
     this.channelType = channelType;
   }
 
-  /** Calls, on the loop; told is called there once, after the limit at the latest. */
+  /**
+   * Makes a call; on the loop. The callback runs there once, after the limit at the latest.
+   *
+   * @param limitMs the time limit in milliseconds
+   */
   public void call(InetSocketAddress address, HttpMethod method, String target, long limitMs,
       Consumer<CallResult> callback) {
     PendingCall pendingCall = new PendingCall(callback);
@@ -59,8 +63,7 @@
           }
         }).connect(address);
     loop.schedule(() -> pendingCall.finish(connecting.channel(), new CallResult(CallOutcome.NOTHING, null)),
-        limitMs,
-        TimeUnit.MILLISECONDS);
+        limitMs, TimeUnit.MILLISECONDS);
     connecting.addListener((ChannelFuture f) -> {
       if (!f.isSuccess()) {
         pendingCall.finish(f.channel(), new CallResult(CallOutcome.NOBODY, null));
@@ -74,7 +77,7 @@
     });
   }
 
-  /** One call, ended once. */
+  /** One call, finished once. */
   private static final class PendingCall extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final Consumer<CallResult> callback;
     private boolean ended;
@@ -97,7 +100,7 @@
           answer.content().toString(StandardCharsets.UTF_8))));
     }
 
-    /** A process that dies under a call is nobody. */
+    /** A process that dies during a call counts as {@link CallOutcome#NOBODY}. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       finish(ctx.channel(), new CallResult(CallOutcome.NOBODY, null));
--- a/door/src/main/java/willowdoor/management/ManagementCommand.java
+++ b/door/src/main/java/willowdoor/management/ManagementCommand.java
@@ -3,10 +3,10 @@
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 
-/** What an operator can have a front door do. All orders may be repeated: each names a state, not a step. */
+/** A command of an operator to a front door. All commands may be repeated: each names a state, not a step. */
 public sealed interface ManagementCommand {
 
-  /** The target of the call that orders it. */
+  /** The request target of the call that carries this command. */
   default String target() {
     if (this instanceof Disable o) {
       return "/backends/disable?member=" + URLEncoder.encode(o.member(), StandardCharsets.UTF_8);
@@ -16,15 +16,15 @@
     return this instanceof Drain ? "/drain" : "/undrain";
   }
 
-  /** Take a backend out until it is put back; whatever is told of it meanwhile. */
+  /** Disables a backend until it is enabled again, whatever discovery reports of it meanwhile. */
   record Disable(String member) implements ManagementCommand { }
 
-  /** Put a backend back that was taken out, however often it was. */
+  /** Enables a disabled backend, however often it was disabled. */
   record Enable(String member) implements ManagementCommand { }
 
-  /** Send clients away: say so at {@code /up}, and end their connections. */
+  /** Drains the clients: {@code /up} is answered with 503, and their connections are closed. */
   record Drain() implements ManagementCommand { }
 
-  /** Take clients again. */
+  /** Admits clients again. */
   record Undrain() implements ManagementCommand { }
 }
--- a/door/src/main/java/willowdoor/management/ManagementServer.java
+++ b/door/src/main/java/willowdoor/management/ManagementServer.java
@@ -31,25 +31,29 @@
 import java.util.logging.Logger;
 
 /**
- * The operators' address: one call to a connection, answered on the front door's own loop, so that a yes is
- * true for whatever the loop does after it. Guards against callers that never finish their call: connections
- * and bytes are bounded, and the one that has been silent longest gives way to a new one.
+ * Server of the operators' management address. Handles one call per connection, on the front door's own loop,
+ * so that a confirmed command holds for whatever the loop does afterwards. Guards against callers that never
+ * finish their call: connections and bytes are bounded, and the oldest unfinished caller is closed in favour
+ * of a new one.
  */
 public final class ManagementServer {
 
   private static final Logger LOG = Logger.getLogger(ManagementServer.class.getName());
-  /** Connections held at once; a front door's descriptors are counted with these. */
+  /**
+   * Maximum number of connections with an unfinished call; a front door's descriptor budget accounts for
+   * them.
+   */
   public static final int MAX_CONNECTIONS = 16;
-  /** A caller that has not finished its call by then is cut off. */
+  /** A caller that has not finished its call after so many milliseconds is disconnected. */
   private static final long CALL_TIMEOUT_MS = 5_000;
   private static final int MAX_LINE_BYTES = 1_024;
   private static final int MAX_HEADER_BYTES = 4_096;
   private static final int MAX_BODY_BYTES = 1_024;
-  /** Marks a call that the other process of this front door hands on. */
+  /** Header that marks a call forwarded by the other process of this front door. */
   static final String FORWARDED_HEADER = "Door-Forwarded";
 
   private final Operations operations;
-  /** Callers without a whole call, the oldest first. */
+  /** Callers with an unfinished call, oldest first. */
   private final ArrayDeque<Channel> incompleteCallers = new ArrayDeque<>();
   private Channel serverChannel;
 
@@ -57,7 +61,7 @@
     this.operations = operations;
   }
 
-  /** Listens; not for the loop's thread. */
+  /** Listens; not to be called on the loop's thread. */
   public void listen(EventLoopGroup loop, Class<? extends ServerSocketChannel> channelType,
       InetSocketAddress address) throws IOException, InterruptedException {
     try {
@@ -98,7 +102,7 @@
     }, CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** One caller, and its one call. */
+  /** Handles one caller and its one call. */
   private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private boolean callReceived;
 
@@ -140,10 +144,10 @@
       incompleteCallers.remove(ctx.channel());
     }
 
-    /** A caller whose connection breaks is gone; no other hears of it. */
+    /** A broken connection ends only its own call. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.log(Level.FINE, "management caller", cause);
+      LOG.log(Level.FINE, "management connection failed", cause);
       ctx.close();
     }
   }
--- a/door/src/main/java/willowdoor/management/Operations.java
+++ b/door/src/main/java/willowdoor/management/Operations.java
@@ -2,26 +2,27 @@
 
 import java.util.function.Consumer;
 
-/** What of a front door operators reach. Called on the front door's loop. */
+/** The operations of a front door that operators can call; called on the front door's loop. */
 public interface Operations {
 
-  /** Whether this process is ready to serve, whether or not operators have sent the clients away. */
+  /** Whether this process is ready to serve, whether or not operators have drained the clients. */
   boolean ready();
 
   /**
-   * The other process of this front door tells of itself.
+   * The other process of this front door announces itself.
    *
-   * @param address where it is managed
-   * @param serves whether it takes clients
-   * @return with a yes, the state that it has to go on from
+   * @param address the other process's management address
+   * @param serves whether the other process takes clients
+   * @return if successful, the state that the other process restores
    */
   Reply hello(String address, boolean serves);
 
   /**
-   * Has the order hold for whatever begins after it.
+   * Applies the command to whatever begins after it.
    *
-   * @param forwarded it comes from the other process of this front door, which has it hold there by itself
-   * @param callback called once, on the loop, when it holds or cannot
+   * @param forwarded whether the command comes from the other process of this front door, which applies it to
+   *     itself
+   * @param callback called once, on the loop, when the command is in effect or has failed
    */
   void carryOut(ManagementCommand command, boolean forwarded, Consumer<Reply> callback);
 }
--- a/door/src/main/java/willowdoor/management/Reply.java
+++ b/door/src/main/java/willowdoor/management/Reply.java
@@ -1,14 +1,14 @@
 package willowdoor.management;
 
 /**
- * What an operator is told.
+ * Reply to a management call.
  *
- * @param status of HTTP: 2xx is yes, all else is no
- * @param text one line in plain words
+ * @param status the HTTP status: 2xx means success, everything else a refusal or failure
+ * @param text the reply in plain words, in one line unless it carries a process's state
  */
 public record Reply(int status, String text) {
 
-  /** Yes. */
+  /** A successful reply. */
   public static Reply ok(String text) {
     return new Reply(200, text);
   }
--- a/door/src/main/java/willowdoor/net/ClientConnection.java
+++ b/door/src/main/java/willowdoor/net/ClientConnection.java
@@ -32,53 +32,71 @@
 import java.util.logging.Logger;
 import willowdoor.policy.GatewayApi.Request;
 
-/** One client's connection: a request at a time, each with the one final answer. */
+/** Connection of one client. Handles one request at a time and sends exactly one final answer to each. */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
 
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
-  /** How long a connection that is ended over bad input stays half open, so that the answer is read. */
+  /**
+   * How long, in milliseconds, a connection that is closed after invalid input stays half-open, so that the
+   * client can read the answer.
+   */
   private static final long LINGER_MS = 300;
   /**
-   * From its connecting, or for a later request from its first byte, a client has so long for a request's
-   * head, which may take it 2 s, and more by what has come, as a body may come at 64 kB a second. A trickle
-   * does not extend it: each held connection is one that another client cannot have.
+   * Time limit for receiving a request, in milliseconds, counted from the connect or, for a later request,
+   * from the request's first byte. The head may take 2 s. Received bytes extend the limit at the rate of
+   * {@link #MIN_BYTES_PER_MS}, as a body may arrive at 64 kB/s. A client that sends only a trickle gains
+   * practically no time: each held connection is one that another client cannot have.
    */
   private static final double REQUEST_TIMEOUT_MS = 2_600;
   private static final double MIN_BYTES_PER_MS = 40;
-  /** Between requests a connection may be ended after this, if another wants its place. */
+  /**
+   * Milliseconds after which a connection between requests may be closed if another client needs its place.
+   */
   private static final double EVICT_IDLE_MS = 2_050;
-  /** One with no whole request in so long goes sooner: clients connect in order to ask, and ask at once. */
+  /**
+   * The same for a connection without a complete request: clients connect in order to send a request, and
+   * send it at once.
+   */
   private static final double EVICT_SILENT_MS = 300;
-  /** Between requests a connection is ended after this in any case: some clients never come back. */
+  /**
+   * Milliseconds after which a connection between requests is closed in any case: some clients never come
+   * back.
+   */
   private static final double IDLE_TIMEOUT_MS = 10_000;
-  /** Requests kept behind the one under way; a client with more gets no further answers. */
+  /**
+   * Maximum number of pipelined requests kept behind the one in progress. Of a client that sends more, those
+   * kept are answered, and then the connection is closed.
+   */
   private static final int MAX_PENDING = 16;
 
   private final ClientServer server;
   private Channel channel;
-  /** One connection too many: its first request is refused, and it ends. */
+  /** The connection exceeds the limit: its first request is refused, and the connection is closed. */
   private boolean overLimit;
-  /** The request that is being worked on, and whether its connection is kept after it. */
+  /**
+   * Id of the request in progress, or null; {@link #keepAlive} tells whether the connection is kept after
+   * that request.
+   */
   private String currentRequestId;
   private boolean keepAlive;
-  /** Whether its client reads chunks. */
+  /** Whether the client understands chunked transfer encoding. */
   private boolean acceptsChunked;
-  /** The answer that passes through, or null. */
+  /** The answer that is being streamed, or null. */
   private AnswerPipe streamedAnswer;
   private boolean closing;
-  /** When it was opened or last answered. */
+  /** When the connection was opened or last answered, in milliseconds on the door's clock. */
   private double idleSinceMs;
   private boolean requestSeen;
-  /** When the request that is being received began, or NaN; and how many bytes have come of it. */
+  /** When the request being received began, or NaN; {@link #receivedBytes} counts its bytes so far. */
   private double receivingSinceMs = Double.NaN;
   private int receivedBytes;
-  /** Nothing more is taken: the requests kept are answered, and then the connection ends. */
+  /** No more requests are taken: those pending are answered, and then the connection is closed. */
   private boolean closeAfterPending;
-  /** Requests that wait their turn, and whether the first of them is about to have it. */
+  /** Pipelined requests; {@link #nextScheduled} tells whether the first of them is about to be handled. */
   private final ArrayDeque<PendingRequest> pending = new ArrayDeque<>(1);
   private boolean nextScheduled;
 
-  /** A request and when its last byte came to this machine: from then on its time counts. */
+  /** A request and when its last byte arrived at this machine; the request's timeout counts from then on. */
   private record PendingRequest(FullHttpRequest message, double arrivedMs) { }
 
   ClientConnection(ClientServer server) {
@@ -93,7 +111,10 @@
     overLimit = server.register(this);
   }
 
-  /** Called with the size of what has come, before it is decoded; false when nothing more is wanted. */
+  /**
+   * Called with the number of bytes received, before they are decoded. Returns false if no more input is
+   * wanted.
+   */
   boolean acceptsBytes(int bytes) {
     if (closing || closeAfterPending) {
       return false;
@@ -109,7 +130,11 @@
     return true;
   }
 
-  /** Called after that has been decoded; begun: part of a further request is among it. */
+  /**
+   * Called after the received bytes have been decoded.
+   *
+   * @param nextRequestBegun whether they include part of a further request
+   */
   void onDecoded(boolean nextRequestBegun) {
     if (nextRequestBegun && Double.isNaN(receivingSinceMs)) {
       receivingSinceMs = server.now();
@@ -126,7 +151,10 @@
     return idleSinceMs;
   }
 
-  /** Whether no request is on it, and has not been for long enough to end it for another's sake. */
+  /**
+   * Whether the connection has no request, and has had none for long enough to be closed in favour of another
+   * client.
+   */
   boolean isEvictable(double nowMs) {
     if (currentRequestId != null || closing) {
       return false;
@@ -137,7 +165,10 @@
     return nowMs - (requestSeen ? receivingSinceMs : idleSinceMs) > EVICT_SILENT_MS;
   }
 
-  /** Guards against clients that never finish a request, say nothing, or never come back. */
+  /**
+   * Closes the connection of a client that does not complete a request, sends nothing, or does not come back
+   * in time.
+   */
   void closeIfOverdue(double nowMs) {
     if (currentRequestId != null || closing) {
       return;
@@ -159,7 +190,8 @@
     if (closing || closeAfterPending) {
       message.release();
     } else if (!first && (pending.size() >= MAX_PENDING || message.decoderResult().isFailure())) {
-      // Reading goes on, so that a client that leaves is noticed; the bound is on what is kept.
+      // Reading continues, so that a disconnect of the client is noticed; only the number of requests kept is
+      // bounded.
       closeAfterPending = true;
       message.release();
     } else {
@@ -169,10 +201,11 @@
   }
 
   /**
-   * Has the next request handled behind all that the sockets have to tell by now. Guards against work for
-   * clients that are gone: where CPU is short for any cause, connections wait long to be accepted, and the
-   * hang-up is there with the request. Serving the dead first would leave no time for the living. Harm: a
-   * client that ends its sending before it has its answer gets none, as already when it does so later.
+   * Schedules the next request to be handled after the event loop has read everything that the sockets hold
+   * by now. Guards against work for clients that have disconnected: where CPU is short, connections wait long
+   * to be accepted, and the disconnect is there together with the request. Handling the requests of such
+   * clients first would leave no time for the clients that still wait. Drawback: a client that half-closes
+   * its connection before it has its answer gets none, as is already the case when it does so later.
    */
   private void scheduleNext() {
     if (!nextScheduled && currentRequestId == null && !pending.isEmpty()) {
@@ -209,7 +242,10 @@
     }
   }
 
-  /** A fault of ours costs this request, not the connection or the process; its cause goes to the log. */
+  /**
+   * Handles a fault of the gateway itself: logs the cause and answers the request in progress with 500.
+   * Without a request in progress, the connection is closed. The process goes on in both cases.
+   */
   private void handleFault(RuntimeException cause) {
     LOG.log(Level.SEVERE, "request failed", cause);
     if (currentRequestId != null) {
@@ -281,7 +317,7 @@
     backendRequest.release();
   }
 
-  /** What goes on to a backend: the request line, the body and the headers that are passed on, unchanged. */
+  /** Builds the request to a backend: the request line, the body and the forwarded headers, unchanged. */
   private static FullHttpRequest backendRequest(FullHttpRequest message) {
     HttpHeaders headers = message.headers();
     DefaultFullHttpRequest backendRequest = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, message.method(),
@@ -312,7 +348,7 @@
     write(answer);
   }
 
-  /** Passes a long answer on as it comes; the connection is taken until its end. */
+  /** Streams a long answer to the client as it arrives; the connection is occupied until the answer ends. */
   private void streamAnswer(FullHttpResponse backendAnswer, HttpHeaders extraHeaders, AnswerPipe rest) {
     HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
     String type = backendAnswer.headers().get(HttpHeaderNames.CONTENT_TYPE);
@@ -366,7 +402,10 @@
     });
   }
 
-  /** Ends it so that its client can tell that the answer is not whole: by a reset, whatever its framing. */
+  /**
+   * Closes the connection with a reset, so that the client can tell, whatever the framing, that the answer is
+   * incomplete.
+   */
   private void reset() {
     RequestLog.note(currentRequestId, "connection ends", "reason", "its answer broke off");
     closing = true;
@@ -384,7 +423,8 @@
   }
 
   private boolean decideKeepAlive() {
-    // In a crowd a kept connection is a place that another client may not find. What was read comes first.
+    // When connections are scarce, one that is kept open is one that another client may not get. Requests
+    // that were already read are answered first.
     closeAfterPending |= server.closesAfterAnswer() || server.isCrowded();
     return keepAlive && !(closeAfterPending && pending.isEmpty());
   }
@@ -429,8 +469,9 @@
   }
 
   /**
-   * Answers what cannot be read any further, and lets the client read that before the connection ends. Behind
-   * a request that has no answer yet it would be taken for that one's, so the connection ends with that.
+   * Answers input that cannot be read any further, and lets the client read the answer before the connection
+   * is closed. While an earlier request has no answer yet, the client would take this answer for that of the
+   * earlier request; then nothing is written, and the connection is closed after the pending answers.
    */
   void closeWith(HttpResponseStatus status, String reason) {
     if (closing) {
@@ -452,7 +493,9 @@
     channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Ends the connection if no request is on it; one that is answered while draining ends by itself. */
+  /**
+   * Closes the connection if it has no request; one that is answered during a drain closes with its answer.
+   */
   void closeIfIdle() {
     if (currentRequestId == null && pending.isEmpty() && !closing) {
       RequestLog.note(null, "connection ends", "reason", "idle", "open_ms", server.now() - idleSinceMs);
@@ -462,15 +505,18 @@
   }
 
   /**
-   * Whether nothing has been on it, nor come of a next request, for so long. One that has not asked yet is
-   * given the time that clients take to ask, however late this loop accepted it.
+   * Whether the connection has had no request, and nothing of a next one was received, for so long. A
+   * connection without any request so far is given {@link #EVICT_SILENT_MS}, the time that clients take to
+   * send a request, however late this loop accepted the connection.
+   *
+   * @param forMs the time without a request, in milliseconds
    */
   boolean isIdle(double nowMs, double forMs) {
     return currentRequestId == null && pending.isEmpty() && !closing && Double.isNaN(receivingSinceMs)
         && nowMs - idleSinceMs >= (requestSeen ? forMs : EVICT_SILENT_MS);
   }
 
-  /** Ends the connection if it has been quiet since that moment. */
+  /** Closes the connection if it has been idle since that moment. */
   void closeIfIdleSince(double sinceMs) {
     if (Double.isNaN(receivingSinceMs) && idleSinceMs <= sinceMs) {
       closeIfIdle();
--- a/door/src/main/java/willowdoor/net/ClientServer.java
+++ b/door/src/main/java/willowdoor/net/ClientServer.java
@@ -24,24 +24,39 @@
 import java.util.concurrent.TimeUnit;
 import willowdoor.policy.GatewayApi.Request;
 
-/** Accepts clients, and tells their connections what all of them share. */
+/** Accepts client connections, and holds the state that all of them share. */
 final class ClientServer {
 
-  /** Of the connections, this part is over the bound: those are still told so, any more end at once. */
+  /**
+   * So many connections above the limit as the limit divided by this number are still told that they are
+   * refused; any further ones are closed at once.
+   */
   private static final int EXCESS_DIVISOR = 16;
-  /** With so much of the places taken, connections end with their answers. */
+  /**
+   * With more than this share of the allowed client connections open, connections are closed with their
+   * answers.
+   */
   private static final double CROWDED_SHARE = 0.75;
   private static final int MAX_BODY_BYTES = 64 * 1024;
-  /** Of an answer that passes through, so much waits to be taken by its client. */
+  /** Low and high water mark, in bytes, of a streamed answer that waits to be taken by its client. */
   private static final WriteBufferWaterMark STREAM_WATER_MARK =
       new WriteBufferWaterMark(16 * 1024, 48 * 1024);
-  /** How often connections are looked at for overdue requests. */
+  /** Interval of the checks for overdue requests and idle connections, in milliseconds. */
   private static final long SWEEP_MS = 200;
-  /** A front looks at /up every 0.1 s and sends new connections for 0.2 s more: none ends before. */
+  /**
+   * Delay in milliseconds before a drain closes connections: a load balancer polls /up every 0.1 s and sends
+   * new connections for 0.2 s more, and no connection is closed before.
+   */
   static final double DRAIN_CLOSE_AFTER_MS = 500;
-  /** One without a request for so long is ended then; few requests cross the end of such a one. */
+  /**
+   * From then on, a connection that has been without a request for so many milliseconds is closed; few
+   * requests cross the close of such a connection.
+   */
   private static final double DRAIN_IDLE_MS = 300;
-  /** So long after that any is ended as soon as no request is on it: 4 s after the call none may be held. */
+  /**
+   * So many milliseconds after that moment, any connection is closed as soon as it has no request: 4 s after
+   * the drain command no connection may be held.
+   */
   private static final double DRAIN_CLOSE_ALL_MS = 1_100;
 
   private final EventLoop loop;
@@ -51,13 +66,13 @@
   private final RequestReader reader;
   private final ResourceLimits limits;
   private final ConnectionBudget budget;
-  /** In the order of their opening. */
+  /** In the order in which they were opened. */
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
   private int receivingBytes;
   private boolean ready;
   private boolean draining;
   private boolean closeAfterAnswer;
-  /** Clients' idle connections end from then on, or NaN. */
+  /** When the closing of idle connections begins, or NaN. */
   private double closeIdleFromMs = Double.NaN;
 
   ClientServer(EventLoop loop, Clock clock, ModuleDriver driver, BackendPool backends, RequestReader reader,
@@ -73,9 +88,9 @@
   }
 
   /**
-   * Listens and takes nothing yet: connections wait in the accept queue.
+   * Listens without accepting yet: connections wait in the accept queue.
    *
-   * @param shared another process of this front door may listen at the same address
+   * @param shared whether another process of this front door may listen at the same address
    */
   ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, boolean shared) {
     ServerBootstrap bootstrap = bootstrap(group);
@@ -88,7 +103,7 @@
         .bind(address);
   }
 
-  /** The same on a socket that listens already. */
+  /** Like {@link #listen}, on a socket that is already listening. */
   ChannelFuture adopt(EventLoopGroup group, int descriptor) {
     return bootstrap(group).channelFactory(() -> Transport.adoptServerSocket(descriptor)).register();
   }
@@ -107,16 +122,18 @@
         });
   }
 
-  /** Makes a channel a client's connection. */
+  /** Sets up a channel as a client's connection. */
   void adopt(Channel channel) {
     ClientConnection connection = new ClientConnection(this);
     RequestDecoder decoder = new RequestDecoder();
-    channel.pipeline()
-        .addLast(new ReceivedBytesHandler(connection, decoder), decoder, new HttpResponseEncoder(),
-        new BodyAggregator(connection), connection);
+    channel.pipeline().addLast(new ReceivedBytesHandler(connection, decoder), decoder,
+        new HttpResponseEncoder(), new BodyAggregator(connection), connection);
   }
 
-  /** Sees a client's bytes first: when a request begins, how much of it has come, whether it is wanted. */
+  /**
+   * First handler of a connection: tracks when a request begins and how many bytes of it have arrived, and
+   * drops bytes that are not wanted any more.
+   */
   private static final class ReceivedBytesHandler extends ChannelInboundHandlerAdapter {
     private final ClientConnection connection;
     private final RequestDecoder decoder;
@@ -137,7 +154,10 @@
     }
   }
 
-  /** Collects a message's body; one over the bound is answered 413, and the connection ends. */
+  /**
+   * Collects the body of a message. A body above the limit is answered with 413, and the connection is
+   * closed.
+   */
   private static final class BodyAggregator extends HttpObjectAggregator {
     private final ClientConnection connection;
 
@@ -172,7 +192,7 @@
     return ready && !draining && backends.hasBackends();
   }
 
-  /** Whether each answer ends its connection. */
+  /** Whether each answer closes its connection. */
   boolean closesAfterAnswer() {
     return closeAfterAnswer;
   }
@@ -181,15 +201,18 @@
     return clock.now();
   }
 
-  /** Counts bytes of requests that are being received, or gives them back; true when they are too many. */
+  /**
+   * Adds to the number of bytes of requests being received; a negative argument subtracts. Returns true if
+   * they exceed the limit.
+   */
   boolean addReceivingBytes(int bytes) {
     receivingBytes += bytes;
     return receivingBytes > limits.maxBodyBytes();
   }
 
   /**
-   * Whether requests are refused: with so much in bodies held, so that the process stays within its memory,
-   * and after its last call.
+   * Whether requests are refused: while the bodies held reach their limit, so that the process stays within
+   * its memory, and after {@link ModuleDriver#failAll}.
    */
   boolean isFull() {
     return driver.isClosed() || driver.heldBodyBytes() >= limits.maxBodyBytes();
@@ -199,7 +222,10 @@
     return budget.clients() > CROWDED_SHARE * budget.maxClients();
   }
 
-  /** True when the connection is one too many; far beyond that it ends at once, as descriptors run out. */
+  /**
+   * Registers a new connection. Returns true if it exceeds the limit; far above the limit the connection is
+   * closed at once, as file descriptors run out.
+   */
   boolean register(ClientConnection connection) {
     connections.add(connection);
     budget.addClients(1);
@@ -219,7 +245,9 @@
     }
   }
 
-  /** Ends the connection that has been idle longest, if one may be ended: others want its place. */
+  /**
+   * Closes the connection that has been idle longest, if one may be closed, to make room for another client.
+   */
   private void evictLongestIdle() {
     double now = clock.now();
     ClientConnection oldest = null;
@@ -239,46 +267,48 @@
     if (now >= closeIdleFromMs) {
       double idleMs = now - closeIdleFromMs > DRAIN_CLOSE_ALL_MS ? 0 : DRAIN_IDLE_MS;
       List<ClientConnection> idle = connections.stream().filter(c -> c.isIdle(now, idleMs)).toList();
-      // They end after one more look at the sockets: a late loop has not read what came meanwhile.
+      // Closed after one more poll of the sockets: a loop that runs late has not read what arrived meanwhile.
       loop.schedule(() -> idle.forEach(c -> c.closeIfIdleSince(now)), 1, TimeUnit.MILLISECONDS);
     }
   }
 
   /**
-   * Ends clients' connections from here on, each with its next answer or when it has been quiet, or keeps
-   * them again; new ones are still taken. Guards against requests that cross the end of their connection: it
-   * is the quiet ones that end, and all others by their answer, which tells the client.
+   * Begins to close connections without a request, or stops doing so; new connections are still accepted.
+   * Guards against requests that cross the close of their connection: only connections that have been idle
+   * are closed here. All others close with their next answer, which tells the client; see {@link
+   * #setCloseAfterAnswer}.
    *
-   * @param afterMs in so long, or NaN for not at all
+   * @param afterMs the delay in milliseconds, or NaN to stop
    */
   void closeIdleConnections(double afterMs) {
     closeIdleFromMs = clock.now() + afterMs;
   }
 
-  /** From here on it is not to be found, or is again; connections are taken and kept as before. */
+  /** While set, {@code GET /up} is answered with 503; connections are accepted and kept as before. */
   void setDraining(boolean enabled) {
     draining = enabled;
   }
 
-  /** From here on every answer ends its connection, or none does; new connections are still taken. */
+  /** While set, every answer closes its connection; new connections are still accepted. */
   void setCloseAfterAnswer(boolean enabled) {
     closeAfterAnswer = enabled;
   }
 
-  /** Takes no more connections. */
+  /** Stops accepting connections. */
   void stopListening(Channel listening) {
     listening.close();
   }
 
   /**
-   * The same once what waits to be accepted is in. Guards connections that came to this socket and not to the
-   * other process's: an end of the socket resets them. The loop looks at its sockets before its timers.
+   * Like {@link #stopListening}, once the connections in the accept queue are accepted. Guards connections
+   * that came to this socket and not to that of the other process: closing the socket would reset them. The
+   * loop polls its sockets before it runs its timers.
    */
   void stopListeningAfterAccepting(Channel listening) {
     listening.eventLoop().schedule(() -> listening.close(), 1, TimeUnit.MILLISECONDS);
   }
 
-  /** Takes no more connections, and ends those that no request is on. */
+  /** Stops accepting connections, and closes those without a request. */
   void stopAccepting(Channel listening) {
     listening.close();
     List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
--- a/door/src/main/java/willowdoor/net/Clock.java
+++ b/door/src/main/java/willowdoor/net/Clock.java
@@ -3,8 +3,9 @@
 import java.time.Instant;
 
 /**
- * Unix time in milliseconds that never goes back: the system's time once, and the monotonic clock since. The
- * names of the shared counts' windows come from it, so a step of the system's time must not reach them.
+ * Unix time in milliseconds that never goes backwards: the system clock is read once, and the monotonic clock
+ * from then on. The names of the shared counts' windows derive from this time, so a step of the system clock
+ * must not affect it.
  */
 final class Clock {
 
--- a/door/src/main/java/willowdoor/net/Config.java
+++ b/door/src/main/java/willowdoor/net/Config.java
@@ -15,23 +15,23 @@
 import willowdoor.wire.WireSettings;
 
 /**
- * What a front door is told at its start: on the platform, the file that {@code GW_CONFIG} names.
+ * Configuration of a front door: on the platform, the file that {@code GW_CONFIG} names.
  *
- * @param watchCounter the counter is not relied on to be one and the same: it is asked who it is, some
- * calls a
- *     second, and ceilings are divided among the doors; the platform spares both
- * @param management where operators call, or null where they do not
+ * @param watchCounter whether the counter may be replaced by another one: it is asked for its identity a few
+ *     times a second, and ceilings are divided among the doors; false on the platform
+ * @param management the management address for operators, or null for none
  */
 public record Config(InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress counter,
-    long seed,
-    Settings settings, ResourceLimits limits, double connectTimeoutMs, double idleTimeoutMs,
-    EndpointUpdate rememberedBackends,
-    boolean watchCounter, InetSocketAddress management) {
+    long seed, Settings settings, ResourceLimits limits, double connectTimeoutMs, double idleTimeoutMs,
+    EndpointUpdate rememberedBackends, boolean watchCounter, InetSocketAddress management) {
 
-  /** The addresses that a new configuration may move. */
+  /** The addresses that a reloaded configuration may change. */
   record Peers(InetSocketAddress discovery, InetSocketAddress counter) { }
 
-  /** Reads the file; anything that keeps the front door from serving is an IOException in plain words. */
+  /**
+   * Reads the file. Whatever keeps the front door from serving is reported as an IOException with a plain
+   * message.
+   */
   static Config read(Path file) throws IOException {
     Map<String, Object> fields = fields(file);
     String management = System.getenv("GW_MANAGEMENT");
@@ -41,7 +41,7 @@
     return of(fields);
   }
 
-  /** Reads only what may change while the front door serves. */
+  /** Reads only the settings that may change while the front door serves. */
   static Peers readPeers(Path file) throws IOException {
     Map<String, Object> fields = fields(file);
     return new Peers(address(fields, "discovery"),
@@ -66,11 +66,12 @@
     Map<String, Object> bounds = JsonFields.child(settings, "Bounds");
     Map<String, Object> limits = JsonFields.child(fields, "limits");
     double managementSockets = fields.get("management") == null ? 0 : ManagementServer.MAX_CONNECTIONS + 1;
-    ResourceLimits resourceLimits = ResourceLimits
-        .of(JsonFields.number(limits, "sockets", ResourceLimits.DEFAULT_SOCKETS) - managementSockets,
+    ResourceLimits resourceLimits = ResourceLimits.of(
+        JsonFields.number(limits, "sockets", ResourceLimits.DEFAULT_SOCKETS) - managementSockets,
         JsonFields.number(limits, "memory_mb", ResourceLimits.DEFAULT_MEMORY_MB));
     InetSocketAddress counter = fields.get("counter") == null
-        && !gatewaySettings.capabilities().sharedCounter() ? null
+        && !gatewaySettings.capabilities().sharedCounter()
+        ? null
         : address(fields, "counter");
     InetSocketAddress management = fields.get("management") == null ? null : address(fields, "management");
     return new Config(address(fields, "listen"), address(fields, "discovery"), counter, seed(fields),
--- a/door/src/main/java/willowdoor/net/ConnectionBudget.java
+++ b/door/src/main/java/willowdoor/net/ConnectionBudget.java
@@ -1,15 +1,21 @@
 package willowdoor.net;
 
 /**
- * The connections of clients and to backends, which share what descriptors there are: a crowd of clients may
- * take what the backends do not need, and gives it back as they need more.
+ * Counts the connections of clients and to backends, which share the available file descriptors: clients may
+ * use what the backends do not need, and give it back as backends need more.
  */
 final class ConnectionBudget {
 
-  /** Kept free for backends in any case, and beyond what they have. */
+  /**
+   * Shares of the total that are kept for backends: in any case, and beyond the connections that backends
+   * have.
+   */
   private static final double RESERVED_FOR_BACKENDS = 0.25;
   private static final double BACKEND_HEADROOM = 0.08;
-  /** Clients hold a third of all descriptors at most for requests, each with one attempt out. */
+  /**
+   * Maximum share for backends. Clients hold at most a third of all descriptors for requests, each with one
+   * attempt in flight.
+   */
   private static final double MAX_FOR_BACKENDS = 0.44;
 
   private final int configuredTotal;
@@ -22,7 +28,7 @@
     this.total = total;
   }
 
-  /** This process has such a part of the places from here on; what is open stays open. */
+  /** Limits this process to a share of the total from now on; open connections stay open. */
   void setShare(double share) {
     total = (int) (configuredTotal * share);
   }
@@ -39,7 +45,7 @@
     return clients;
   }
 
-  /** How many clients there may be by now. */
+  /** The number of client connections allowed at present. */
   int maxClients() {
     return total - (int) (Math.max(total * RESERVED_FOR_BACKENDS, backends + total * BACKEND_HEADROOM));
   }
--- a/door/src/main/java/willowdoor/net/FrontDoor.java
+++ b/door/src/main/java/willowdoor/net/FrontDoor.java
@@ -23,9 +23,9 @@
 import willowdoor.recovery.CounterWatch;
 
 /**
- * One real front door: its wiring, and the steps of its life. The platform's {@link #serve} takes them in one
- * fixed order; whoever embeds a door takes them as its own life asks, each step on {@link #loop()}, where
- * nothing of a door may block.
+ * One front door process: its wiring and the steps of its life cycle. {@link #serve}, as the platform uses
+ * it, takes the steps in one fixed order; an embedding program takes them as its own life cycle requires,
+ * each on {@link #loop()} unless its description says otherwise. Nothing of a door may block the loop.
  */
 public final class FrontDoor {
 
@@ -41,19 +41,21 @@
   private ModuleDriver driver;
   private ClientServer clients;
   private CounterStore counter;
-  /** Null where ceilings are not divided. */
+  /** Null if ceilings are not divided among the doors. */
   private CeilingShares ceilingShares;
   private DiscoveryClient discovery;
   private MergedRoster roster;
   private Channel serverChannel;
   private ConnectionBudget budget;
-  /** Null where operators do not call. */
+  /** Null if no management address is configured. */
   private FrontDoorOperations operations;
 
   private FrontDoor() {
   }
 
-  /** Reads the configuration that the environment names, and serves until the process is told to end. */
+  /**
+   * Reads the configuration file that {@code GW_CONFIG} names, and serves until the process is told to stop.
+   */
   public static void serve() throws IOException, InterruptedException {
     String file = System.getenv("GW_CONFIG");
     if (file == null) {
@@ -62,7 +64,7 @@
     Path path = Path.of(file);
     ReloadTrigger reloadTrigger = new ReloadTrigger(path);
     AtomicReference<FrontDoor> serving = new AtomicReference<>();
-    // First of all: a signal that nothing handles would end the JVM, and a start takes long without CPU.
+    // Before anything else: an unhandled SIGHUP would end the JVM, and a start takes long where CPU is short.
     reloadTrigger.onReload(() -> {
       if (serving.get() != null) {
         serving.get().reload(path);
@@ -91,12 +93,15 @@
     return start(config, null);
   }
 
-  /** The same for one that shares a folder with other processes of its front door, or with null none. */
+  /**
+   * Like {@link #start(Config)}, for a process that shares a folder with other processes of its front door;
+   * null for none.
+   */
   static FrontDoor start(Config config, String folder) throws IOException, InterruptedException {
     return start(config, folder, created -> { });
   }
 
-  /** Starts it; what is to be ready before the first client is done between its wiring and its listening. */
+  /** Starts a door; the preparation runs after the wiring and before the door listens. */
   private static FrontDoor start(Config config, String folder, Preparation beforeListening)
       throws IOException, InterruptedException {
     FrontDoor door = create(config);
@@ -124,12 +129,15 @@
     return door;
   }
 
-  /** A door with its peers' connections under way, that has no listening socket yet. */
+  /** Creates a door that begins to connect to its peers and has no listening socket yet. */
   public static FrontDoor create(Config config) throws InterruptedException {
     return create(config, null);
   }
 
-  /** The same with shared counts elsewhere than at the platform's counter, or with null there. */
+  /**
+   * Like {@link #create(Config)}, with the shared counts in another store than the platform's counter; null
+   * for that counter.
+   */
   public static FrontDoor create(Config config, CounterStore.Maker counterMaker) throws InterruptedException {
     FrontDoor door = new FrontDoor();
     try {
@@ -142,7 +150,7 @@
   }
 
   /**
-   * Warms this process up for such a configuration, 0.7 s at most; for a thread that may wait, not the loop.
+   * Warms up this process for such a configuration, for at most 0.7 s. Blocks: not to be called on the loop.
    */
   public static void warmUp(Config config) {
     new WarmUp(config).run(WarmUp.TIME_LIMIT_MS);
@@ -166,48 +174,50 @@
     roster = new MergedRoster(clock::now, driver::onRoster);
     driver.start(counter, roster.merge(config.rememberedBackends()));
     shutdownTimes = ShutdownTimes.of(config.settings().classes());
-    discovery =
-        new DiscoveryClient(loop, clock, config.discovery(), config.rememberedBackends().version(),
+    discovery = new DiscoveryClient(loop, clock, config.discovery(), config.rememberedBackends().version(),
         roster::onUpdate);
     discovery.start();
   }
 
   private CounterClient createCounterClient(Config config) {
-    CounterClient client =
-        new CounterClient(loop, clock, Dialer.sockets(loop, CounterClient.CONNECT_LIMIT_MS),
-        config.counter(), config.settings().capabilities().counterTimeoutMs(), driver::counted);
+    CounterClient client = new CounterClient(loop, clock,
+        Dialer.sockets(loop, CounterClient.CONNECT_LIMIT_MS), config.counter(),
+        config.settings().capabilities().counterTimeoutMs(), driver::counted);
     if (config.watchCounter()) {
       client.setWatch(new CounterWatch(Long.toHexString(config.seed())), driver::replaced);
     }
     return client;
   }
 
-  /** Has requests pass a gate, or with null none; on the loop, at best before the door listens. */
+  /**
+   * Sets the filter that requests pass; null for none. Called on the loop, preferably before the door
+   * listens.
+   */
   public void setFilter(RequestFilter filter) {
     driver.setFilter(filter);
   }
 
-  /** Has each request's end told to that one; on the loop. */
+  /** Sets the listener that is told of the end of each request; called on the loop. */
   public void setEndListener(RequestEndListener listener) {
     driver.setEndListener(listener);
   }
 
-  /** The part, from 0 to 1, of a customer's use that comes through this door; on the loop. */
+  /** The share, from 0 to 1, of a customer's traffic that comes through this door; called on the loop. */
   public double trafficShare(Request request) {
     return driver.trafficShare(request);
   }
 
-  /** The one thread that all of the door is on. */
+  /** The one event loop thread that the whole door runs on. */
   public EventLoop loop() {
     return loop;
   }
 
-  /** The loop as a group, for what shares the door's thread. */
+  /** The loop as a group, for components that share the door's thread. */
   public EventLoopGroup group() {
     return group;
   }
 
-  /** The kind of sockets that this loop drives. */
+  /** The type of the socket channels that this loop drives. */
   public static Class<? extends SocketChannel> socketType() {
     return Transport.PREFERRED.socket();
   }
@@ -221,7 +231,10 @@
     return clock.now();
   }
 
-  /** Listens, and leaves what comes in the accept queue until {@link #accept}; not for the loop's thread. */
+  /**
+   * Listens, and leaves connections in the accept queue until {@link #accept}; not to be called on the loop's
+   * thread.
+   */
   public void bind(InetSocketAddress address) throws IOException, InterruptedException {
     bind(address, false);
   }
@@ -237,9 +250,10 @@
   }
 
   /**
-   * Takes a listening socket that another process has handed over, as {@link #bind} would have made one.
+   * Takes over a listening socket from another process, as {@link #bind} would have opened one; not to be
+   * called on the loop's thread.
    *
-   * @param descriptor the socket's descriptor in this process, which this door owns from here on
+   * @param descriptor the socket's file descriptor in this process, which this door owns from now on
    */
   public void adopt(int descriptor) throws IOException, InterruptedException {
     try {
@@ -251,12 +265,14 @@
     }
   }
 
-  /** The descriptor of the listening socket, to be handed to a successor; -1 where the transport has none. */
+  /**
+   * The file descriptor of the listening socket, to be handed to a successor; -1 if the transport has none.
+   */
   public int descriptor() {
     return Transport.descriptor(serverChannel);
   }
 
-  /** Takes connections from here on. */
+  /** Accepts connections from now on. */
   public void accept() {
     if (ceilingShares != null) {
       ceilingShares.begin();
@@ -264,14 +280,14 @@
     serverChannel.config().setAutoRead(true);
   }
 
-  /** Answers {@code GET /up} with 200 from here on, as soon as a backend is known. */
+  /** Answers {@code GET /up} with 200 from now on, as soon as a backend is known. */
   public void markReady() {
     clients.markReady();
   }
 
   /**
-   * Has operators call at this address from here on, and goes on from what another process of this front door
-   * says; not for the loop's thread.
+   * Opens the management address for operators, and restores the state of another process of this front door,
+   * if one runs. Not to be called on the loop's thread.
    *
    * @param folder where processes of this front door find each other, or null
    */
@@ -280,8 +296,10 @@
     operations.open(group, address);
   }
 
-  /** Where operators call. */
-  /** Has that server's operators call at this address, answered on the loop; not for the loop's thread. */
+  /**
+   * Opens the address of the given management server, which answers on the loop; not to be called on the
+   * loop's thread.
+   */
   public void manage(ManagementServer server, InetSocketAddress at) throws IOException, InterruptedException {
     server.listen(group, Transport.PREFERRED.serverSocket(), at);
   }
@@ -290,7 +308,7 @@
     return operations.address();
   }
 
-  /** The backends that operators have taken out; on the loop. */
+  /** The backends that operators have disabled; called on the loop. */
   List<DisabledBackend> disabledBackends() {
     return roster.backendsOut();
   }
@@ -300,24 +318,27 @@
     return roster.hasListedBackends();
   }
 
-  /** Has it hear the lists of backends as discovery tells them; on the loop, both. */
+  /**
+   * Registers a listener for the backend lists that discovery sends; both this call and the listener's run on
+   * the loop.
+   */
   public void addRosterListener(Consumer<EndpointUpdate> listener) {
     roster.setSourceListener(listener);
   }
 
-  /** By what the fleet has agreed on a backend is out, or no longer; on the loop. */
+  /** Marks a backend as out, or no longer out, as the fleet has agreed; called on the loop. */
   public void setAgreedOut(long backend, boolean out) {
     roster.applyFleetDecision(backend, out);
   }
 
-  /** Whether an attempt is out at the backend; on the loop, and it looks at all that is held. */
+  /** Whether an attempt is in flight at the backend; called on the loop. Scans all requests held. */
   public boolean hasAttemptTo(long backend) {
     return driver.hasAttemptTo(backend);
   }
 
   /**
-   * Leaves new connections, and this door's parts of ceilings, to whoever else holds the listening socket;
-   * {@link #accept} takes them back.
+   * Leaves new connections, and this door's shares of ceilings, to the other process that holds the listening
+   * socket; {@link #accept} reverses this.
    */
   public void pauseAccepting() {
     if (ceilingShares != null) {
@@ -326,52 +347,57 @@
     serverChannel.config().setAutoRead(false);
   }
 
-  /** What this process has learned, for the one that takes its place; on the loop, and once. */
+  /** What this process has learned, for the process that replaces it; called on the loop, and only once. */
   public LearnedState learnedState() {
     return driver.learnedState();
   }
 
-  /** Goes on from what the process before this one had learned so long ago; on the loop. */
+  /**
+   * Restores what the previous process had learned; called on the loop.
+   *
+   * @param ageMs milliseconds since the previous process exported it
+   */
   public void restoreLearned(LearnedState learned, double ageMs) {
     driver.restoreLearned(learned, ageMs);
   }
 
-  /** Answers {@code GET /up} with 503, and ends each connection with its next answer. */
+  /** Answers {@code GET /up} with 503, and closes each connection with its next answer. */
   public void beginDrain() {
     driver.setDraining(true);
     clients.setDraining(true);
     clients.setCloseAfterAnswer(true);
   }
 
-  /** Serves on as before {@link #beginDrain}. */
+  /** Serves again as before {@link #beginDrain}. */
   public void resume() {
     driver.setDraining(false);
     clients.setDraining(false);
     clients.setCloseAfterAnswer(false);
   }
 
-  /** Closes this process's hold of the listening socket, and ends connections that no request is on. */
+  /** Closes this process's descriptor of the listening socket, and closes connections without a request. */
   public void stopAccepting() {
     clients.stopAccepting(serverChannel);
   }
 
-  /** Answers all that is out as failed. */
+  /** Fails all unanswered requests, and refuses new ones. */
   public void failAll() {
     driver.failAll();
   }
 
-  /** True when no client's connection is open. */
+  /** Whether no client connection is open. */
   public boolean hasNoConnections() {
     return clients.hasNoConnections();
   }
 
-  /** Requests without their final answer, or with an attempt out. */
+  /** Number of requests without a final answer, or with an attempt in flight. */
   public int heldRequests() {
     return driver.heldRequests();
   }
 
   /**
-   * Moves to other addresses of discovery and counter: new links first, the old ones finish what they owe.
+   * Switches to other addresses of discovery and the counter: new connections are opened first, and the old
+   * ones complete their outstanding calls.
    */
   public void moveTo(InetSocketAddress otherDiscovery, InetSocketAddress otherCounter) {
     counter.moveTo(otherCounter);
@@ -379,8 +405,8 @@
   }
 
   /**
-   * Takes the addresses of discovery and of the counter from the replaced file; nothing else of it changes
-   * while the process lives. Guards against a file that cannot be read: the old addresses stay.
+   * Takes the addresses of discovery and the counter from the replaced configuration file; no other setting
+   * changes while the process runs. If the file cannot be read, the old addresses stay in use.
    */
   void reload(Path file) {
     loop.execute(() -> {
@@ -388,12 +414,14 @@
         Config.Peers peers = Config.readPeers(file);
         moveTo(peers.discovery(), peers.counter());
       } catch (IOException | RuntimeException e) {
-        LOG.warning("the new configuration is not taken: " + e.getMessage());
+        LOG.warning("new configuration rejected, the old addresses stay in use: " + e.getMessage());
       }
     });
   }
 
-  /** The planned end: accept a little longer, answer all that was taken, then let the process go. */
+  /**
+   * Graceful shutdown: accepts a little longer, answers all accepted requests, then lets the process exit.
+   */
   void drain() {
     loop.execute(() -> {
       if (operations != null && operations.beginShutdown()) {
@@ -427,7 +455,10 @@
     }, shutdownTimes.keepConnectionsMs(), TimeUnit.MILLISECONDS);
   }
 
-  /** Another process listens at the same address: clients come there from their next connection on. */
+  /**
+   * Shutdown while another process listens at the same address: clients reach that process from their next
+   * connection on.
+   */
   private void shutDownBesideOther() {
     driver.setDraining(true);
     clients.setCloseAfterAnswer(true);
@@ -435,7 +466,7 @@
     clients.closeIdleConnections(0);
   }
 
-  /** Ends the loop, and with it every socket. */
+  /** Stops the event loop, which closes every socket. */
   public void stop() {
     if (counter != null) {
       counter.close();
--- a/door/src/main/java/willowdoor/net/FrontDoorOperations.java
+++ b/door/src/main/java/willowdoor/net/FrontDoorOperations.java
@@ -19,16 +19,18 @@
 import willowdoor.membership.DisabledBackend;
 
 /**
- * As its operators have a front door: backends out and back, clients sent away and taken back, and a second
- * process that replaces the first. While two run they are one front door: an order to either holds in both,
- * each has a part of the places, and what the first was told goes over to the second before it says yes.
+ * What operators can do with a front door: disable and enable backends, drain clients and admit them again,
+ * and replace a process with a second one. While two processes run, they act as one front door: a command to
+ * either takes effect in both, each has a share of the connections, and the second takes over what operators
+ * told the first before it reports itself ready.
  */
 final class FrontDoorOperations implements Operations {
 
   private static final Logger LOG = Logger.getLogger(FrontDoorOperations.class.getName());
   /**
-   * Parts of the places while two processes run. Clients are the same few for both, so that the parts may sum
-   * to more than one: the first serves alone until the second does, and then lets its clients go in 1 s.
+   * Shares of the connection budget while two processes run. Both serve the same clients, so the shares may
+   * sum to more than 1: the first process serves alone until the second does, and then releases its clients
+   * within 1 s.
    */
   private static final double FIRST_PROCESS_SHARE = 0.7;
   private static final double SECOND_PROCESS_SHARE = 0.8;
@@ -42,12 +44,12 @@
   private final ProcessFile processFile;
   private final ManagementClient managementClient;
   private final ManagementServer server = new ManagementServer(this);
-  /** The other process, or null. */
+  /** The other process of this front door, or null. */
   private PeerProcess otherProcess;
-  /** Operators have sent the clients away. */
+  /** Whether operators have drained the clients. */
   private boolean drainedByOperator;
   private boolean discoverable;
-  /** This process was started beside one that served. */
+  /** Whether this process was started beside one that served. */
   private volatile boolean startedSecond;
   private boolean shuttingDown;
 
@@ -63,8 +65,8 @@
   }
 
   /**
-   * Has operators call at this address, and goes on from what another process of this front door says, if one
-   * runs; not for the loop's thread.
+   * Opens the management address, and restores the state of another process of this front door, if one runs;
+   * not to be called on the loop's thread.
    */
   void open(EventLoopGroup group, InetSocketAddress address) throws IOException, InterruptedException {
     server.listen(group, Transport.PREFERRED.serverSocket(), address);
@@ -99,32 +101,34 @@
         FrontDoorState state = FrontDoorState.parse(hello.reply().text());
         loop.submit(() -> restore(state)).sync();
       } catch (IOException e) {
-        LOG.warning("the other process's state is left aside: " + e.getMessage());
+        LOG.warning("ignoring the state of the other process: " + e.getMessage());
       }
     }
   }
 
   private void restore(FrontDoorState state) {
-    LOG.info("goes on from the other process: " + state.backendsOut().size()
-        + " backends out, clients sent away: "
-        + state.clientsSentAway());
+    LOG.info("restored the state of the other process: " + state.backendsOut().size()
+        + " backends disabled, clients drained: " + state.clientsSentAway());
     roster.inherit(state.backendsOut());
     if (state.clientsSentAway()) {
       drain();
     }
   }
 
-  /** Whether it starts beside a process that serves; for any thread. */
+  /** Whether this process starts beside one that serves; may be called on any thread. */
   boolean isStartedSecond() {
     return startedSecond;
   }
 
-  /** Names this process to the next one; not for the loop's thread. */
+  /**
+   * Writes this process's address to the process file, for the next process; not to be called on the loop's
+   * thread.
+   */
   void writeProcessFile() {
     processFile.write(address());
   }
 
-  /** Tells the other process, if there is one, that this one takes clients; then it may be found. */
+  /** Tells the other process, if there is one, that this process takes clients, and then runs the action. */
   void announceServing(Runnable then) {
     Runnable serving = () -> {
       discoverable = true;
@@ -137,7 +141,7 @@
     }
   }
 
-  /** The process has been told to end; true if another one takes its clients. */
+  /** Called when the process is told to stop. Returns true if another process takes its clients. */
   boolean beginShutdown() {
     shuttingDown = true;
     boolean otherServes = otherProcess != null && otherProcess.isServing();
@@ -209,7 +213,7 @@
     }
     if (command instanceof ManagementCommand.Disable o) {
       if (forwarded) {
-        // It is known to the other process; the list here may be older.
+        // The other process knows the backend; the list of this process may be older.
         roster.inherit(List.of(new DisabledBackend(EndpointUpdate.idOf(o.member()), door.now())));
         return Reply.ok("out: " + o.member());
       }
@@ -223,7 +227,7 @@
     return new Reply(404, "no backend " + member + " is listed");
   }
 
-  /** As before an end, but nothing ends but the clients' connections. */
+  /** Drains clients as before a shutdown, but closes nothing except the clients' connections. */
   private void drain() {
     if (!drainedByOperator) {
       drainedByOperator = true;
@@ -234,7 +238,7 @@
     }
   }
 
-  /** They may come back; a process that is ending goes on doing so. */
+  /** Admits clients again; a process that is shutting down continues to do so. */
   private void undrain() {
     if (drainedByOperator) {
       drainedByOperator = false;
--- a/door/src/main/java/willowdoor/net/Headers.java
+++ b/door/src/main/java/willowdoor/net/Headers.java
@@ -2,7 +2,7 @@
 
 import io.netty.util.AsciiString;
 
-/** The protocol's own header names. */
+/** Names of the headers that the gateway's protocol defines. */
 final class Headers {
 
   static final AsciiString REQUEST_ID = AsciiString.cached("Request-Id");
--- a/door/src/main/java/willowdoor/net/ModuleDriver.java
+++ b/door/src/main/java/willowdoor/net/ModuleDriver.java
@@ -37,23 +37,28 @@
 import willowdoor.policy.QuotaPolicy;
 
 /**
- * Takes events to the module and its actions to the sockets; the only caller of the module. Holds the table
- * of requests taken and attempts out. All on the event loop's thread.
+ * Delivers events to the decision module ({@link QuotaPolicy}) and executes the actions that the module
+ * returns; nothing else calls the module. Holds the table of accepted requests and of their attempts in
+ * flight. Everything runs on the event loop's thread.
  */
 final class ModuleDriver implements CounterStore.Listener {
 
   private static final Logger LOG = Logger.getLogger(ModuleDriver.class.getName());
-  /** The last moment for a final answer, ahead of the client's own: later than any answer of the module. */
+  /**
+   * How long before the client's own deadline a final answer is sent at the latest, in milliseconds. All
+   * answers of the module come earlier.
+   */
   private static final double FINAL_ANSWER_MARGIN_MS = 6;
-  /** A module that failed on its wake-up is woken again after this. */
+  /** Delay in milliseconds before a wake-up on which the module failed is delivered again. */
   private static final long WAKE_RETRY_MS = 100;
 
-  /** Who waits for the one final answer. */
+  /** Receives the one final answer of a request. */
   interface Client {
     /**
-     * A backend's answer, with further headers for the client, or null.
+     * Passes on a backend's answer.
      *
-     * @param rest its body, as it comes; null when the answer is whole
+     * @param extraHeaders further headers for the client, or null
+     * @param rest the remaining body, streamed as it arrives; null when the answer is complete
      */
     void served(FullHttpResponse answer, HttpHeaders extraHeaders, AnswerPipe rest);
 
@@ -61,23 +66,26 @@
 
     void failed();
 
-    /** The gate's own answer, which is only lent. */
+    /**
+     * Sends the request filter's own answer. The reference stays with the caller: an implementation that
+     * writes the answer retains it.
+     */
     default void answered(FullHttpResponse answer) {
       failed();
     }
 
-    /** Whether it has left, also if that has not been read yet. */
+    /** Whether the client has disconnected, even if the disconnect has not been read from the socket yet. */
     default boolean isGone() {
       return false;
     }
 
-    /** What a gate may look at. */
+    /** What a request filter may inspect besides the request. */
     default RequestFilter.Origin origin() {
       return new RequestFilter.Origin(EmptyHttpHeaders.INSTANCE, null);
     }
   }
 
-  /** One request from its taking until it is answered and none of its attempts is out. */
+  /** State of one request, from its acceptance until it has its final answer and no attempt is in flight. */
   private final class RequestState {
     final Request request;
     final FullHttpRequest message;
@@ -86,12 +94,15 @@
     Future<?> finalAnswerTimer;
     boolean finished;
     int attemptsInFlight;
-    /** True while the gate has it: the module has not heard of it. */
+    /** True while the request is in the filter: the module has not been given the request yet. */
     boolean inFilter;
-    /** True while the gate takes it; and whether it let it pass meanwhile. */
+    /**
+     * True until the call of the filter returns; {@link #passedFilter} tells whether the filter let the
+     * request proceed.
+     */
     boolean enteringFilter;
     boolean passedFilter;
-    /** Null unless it entered the gate, and once the gate has heard of its end. */
+    /** Null unless the filter handles the request, and null again once the filter was told of the end. */
     RequestFilter.FilteredRequest filtered;
     RequestFilter.RequestEnd end;
     double acceptedMs;
@@ -103,7 +114,7 @@
       this.client = client;
     }
 
-    /** Marks the final answer; true for the first caller only. */
+    /** Marks the request as finished. Returns true for the first call only. */
     boolean finish(RequestFilter.RequestEnd requestEnd) {
       if (finished) {
         return false;
@@ -127,12 +138,15 @@
         try {
           notified.onEnd(end);
         } catch (RuntimeException e) {
-          LOG.log(Level.SEVERE, "the gate failed at the end of " + request.id(), e);
+          LOG.log(Level.SEVERE, "request filter failed at the end of request " + request.id(), e);
         }
       }
     }
 
-    /** Ends what has not reached its backend whole: nobody waits for it any more, and it has not run. */
+    /**
+     * Ends the attempts that are not completely written to their backend: nobody waits for them any more, and
+     * they have not run.
+     */
     void abandonUnsent() {
       for (Attempt attempt : List.copyOf(attempts)) {
         if (!attempt.written) {
@@ -141,7 +155,10 @@
       }
     }
 
-    /** A request stays in the table while an attempt of it is out: the module still gets that outcome. */
+    /**
+     * Removes the finished request unless an attempt is in flight: the module still gets the outcome of that
+     * attempt.
+     */
     void removeIfDone() {
       if (finished && attemptsInFlight == 0 && requests.remove(request.id(), this)) {
         heldBodyBytes -= message.content().readableBytes();
@@ -156,15 +173,15 @@
   private final BackendPool backends;
   private CounterStore counter;
   private RequestFilter filter;
-  /** Null where nobody listens. */
+  /** Null if nothing listens for the ends of requests. */
   private RequestEndListener endListener;
-  /** Null where firms' ceilings are used together by the shared count. */
+  /** Null if all doors use the firms' ceilings jointly through the shared count. */
   private CeilingShares ceilingShares;
   private final Map<String, RequestState> requests = new HashMap<>();
   private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
   private int heldBodyBytes;
   private boolean delivering;
-  /** The process is about to end: nobody would answer what it took now. */
+  /** True once the process is about to exit: a request accepted now would not be answered. */
   private boolean closed;
 
   ModuleDriver(EventLoop loop, Clock clock, QuotaPolicy policy, BackendPool backends) {
@@ -181,32 +198,42 @@
     deliver(new Roster(RosterForm.REMEMBERED, remembered.entries()));
   }
 
-  /** Has requests pass a gate from here on; null has none. */
+  /** Sets the filter that requests pass from now on; null for none. */
   void setFilter(RequestFilter requestFilter) {
     filter = requestFilter;
   }
 
-  /** Has each request's end told; null has none. */
+  /** Sets the listener that is told of the end of each request; null for none. */
   void setEndListener(RequestEndListener listener) {
     endListener = listener;
   }
 
-  /** The part of a customer's use that comes through this door. */
+  /** The share of a customer's traffic that comes through this door. */
   double trafficShare(Request request) {
     return policy.localUsageShare(request.customer(), request.entryPoints());
   }
 
-  /** What it has learned, for the process that takes its place; it owes nothing to shared counts then. */
+  /**
+   * What the module has learned, for the process that replaces this one; afterwards the module owes nothing
+   * to the shared counts.
+   */
   LearnedState learnedState() {
     return LearnedState.takeFrom(policy, clock.now());
   }
 
-  /** Goes on from what another process had learned so long ago. */
+  /**
+   * Restores what another process had learned.
+   *
+   * @param ageMs milliseconds since the other process exported it
+   */
   void restoreLearned(LearnedState learned, double ageMs) {
     learned.restoreInto(policy, clock.now(), ageMs);
   }
 
-  /** Has nothing wait at the gate any more, or lets it wait again. */
+  /**
+   * Tells the filter, if there is one, whether the door drains: while it does, no request may wait in the
+   * filter.
+   */
   void setDraining(boolean draining) {
     if (filter != null) {
       filter.setDraining(draining);
@@ -221,7 +248,7 @@
     return requests.size();
   }
 
-  /** Bytes of the bodies held. */
+  /** Bytes of the request bodies held. */
   int heldBodyBytes() {
     return heldBodyBytes;
   }
@@ -230,7 +257,7 @@
     return requests.containsKey(id);
   }
 
-  /** Takes a request; the message is kept until no attempt needs it. */
+  /** Accepts a request; the message is retained until no attempt needs it. */
   void accept(Request request, FullHttpRequest message, Client client) {
     RequestState state = new RequestState(request, message.retain(), client);
     requests.put(request.id(), state);
@@ -239,8 +266,8 @@
     double remainingMs = Math.max(0, request.giveUpMs() - FINAL_ANSWER_MARGIN_MS - state.acceptedMs);
     RequestLog.note(request.id(), "accepted", "class", request.className(), "left_ms",
         request.giveUpMs() - state.acceptedMs);
-    state.finalAnswerTimer = loop
-        .schedule(() -> fail(state), (long) (remainingMs * 1000), TimeUnit.MICROSECONDS);
+    state.finalAnswerTimer = loop.schedule(() -> fail(state), (long) (remainingMs * 1000),
+        TimeUnit.MICROSECONDS);
     if (filter != null && filter.appliesTo(request)) {
       applyFilter(state);
     } else {
@@ -248,7 +275,10 @@
     }
   }
 
-  /** At the gate, unless the module refuses it by what it knows already: that spares the asking. */
+  /**
+   * Passes the request to the filter. If the filter asks for it, the module first checks the request against
+   * what it knows already; a refusal then saves the call of the filter.
+   */
   private void applyFilter(RequestState state) {
     RequestLog.note(state.request.id(), "at gate");
     state.inFilter = true;
@@ -260,8 +290,8 @@
       return;
     }
     try {
-      state.filtered = filter
-          .filter(state.request, state.message, state.client.origin(), new RequestFilter.Continuation() {
+      state.filtered = filter.filter(state.request, state.message, state.client.origin(),
+          new RequestFilter.Continuation() {
         @Override
         public void proceed(HttpHeaders forClient) {
           if (state.inFilter && !state.finished) {
@@ -298,7 +328,7 @@
         deliver(state.request);
       }
     } catch (RuntimeException e) {
-      LOG.log(Level.SEVERE, "the gate failed on " + state.request.id(), e);
+      LOG.log(Level.SEVERE, "request filter failed on request " + state.request.id(), e);
       fail(state);
     }
   }
@@ -331,7 +361,7 @@
     }
   }
 
-  /** Has firms' ceilings divided among the doors from here on. */
+  /** Divides the firms' ceilings among the doors from now on. */
   void setCeilingShares(CeilingShares shares) {
     ceilingShares = shares;
   }
@@ -346,15 +376,16 @@
     deliver(new Roster(news.full() ? RosterForm.COMPLETE : RosterForm.CHANGES, news.entries()));
   }
 
-  /** Fails all that is still unanswered, and takes nothing more: the process is about to end. */
+  /** Fails all unanswered requests and accepts no more, as the process is about to exit. */
   void failAll() {
     closed = true;
     List.copyOf(requests.values()).forEach(this::fail);
   }
 
   /**
-   * The net under module and gate: a request that they left unanswered fails while its client still listens.
-   * At the gate nothing of it has run, so there it is refused.
+   * Safety net below module and filter: fails a request that both left unanswered, while its client still
+   * listens. Nothing of a request in the filter has run, so such a request is refused, and the client may
+   * retry.
    */
   private void fail(RequestState state) {
     if (state.finish(state.inFilter ? RequestFilter.RequestEnd.REFUSED : RequestFilter.RequestEnd.FAILED)) {
@@ -368,13 +399,16 @@
     }
   }
 
-  /** Whether an attempt is out at the backend. */
+  /** Whether an attempt is in flight at the backend. */
   boolean hasAttemptTo(long backend) {
     return requests.values().stream().flatMap(r -> r.attempts.stream())
         .anyMatch(a -> a.backendId == backend && !a.ended());
   }
 
-  /** Events that come up while an event is worked on wait for their turn: the module is not re-entered. */
+  /**
+   * Delivers an event to the module. An event that arises while another is processed is queued: the module is
+   * not re-entered.
+   */
   private void deliver(Event event) {
     pendingEvents.add(event);
     if (delivering) {
@@ -396,7 +430,7 @@
       boolean addShare = ceilingShares != null && event instanceof Request;
       actions = policy.on(clock.now(), addShare ? ceilingShares.withShare((Request) event) : event);
     } catch (RuntimeException e) {
-      LOG.log(Level.SEVERE, "the module failed on " + event, e);
+      LOG.log(Level.SEVERE, "decision module failed on event " + event, e);
       handleModuleFailure(event);
       return;
     }
@@ -404,12 +438,15 @@
       try {
         execute(action);
       } catch (RuntimeException e) {
-        LOG.log(Level.SEVERE, "could not do " + action, e);
+        LOG.log(Level.SEVERE, "failed to execute action " + action, e);
       }
     }
   }
 
-  /** A fault in the module costs the request it came up with, never the process. */
+  /**
+   * Limits a failure of the module to the request of the event, so that the process goes on. A failed wake-up
+   * is delivered again.
+   */
   private void handleModuleFailure(Event event) {
     if (event instanceof Request e) {
       failById(e.id());
@@ -458,10 +495,13 @@
         state.attempts.get(a.attempt()).abandon(Status.CANCELLED);
       }
     }
-    // FollowRoster needs nothing: the list is watched from the start.
+    // FollowRoster needs no action: the backend list is watched from the start.
   }
 
-  /** Never early: the module lets a wake-up pass that comes before its time, and then none would follow. */
+  /**
+   * Schedules a wake-up of the module, never early: the module ignores a wake-up that comes before its time,
+   * and no other would follow.
+   */
   private void scheduleWakeUp(WakeAt action) {
     double waitMs = Math.max(0, action.atMs() - clock.now());
     loop.schedule(() -> deliver(new Woken(action.label())), (long) Math.ceil(waitMs * 1000) + 1,
--- a/door/src/main/java/willowdoor/net/ReloadTrigger.java
+++ b/door/src/main/java/willowdoor/net/ReloadTrigger.java
@@ -8,38 +8,44 @@
 import java.util.logging.Logger;
 
 /**
- * Tells when a file was replaced, to a process that can't be told by a signal. Whoever is started with
- * SIGHUP ignored, as {@code nohup} has it, hands that on to all that it starts, and the JVM holds to it: a
- * handler is never run.
+ * Tells when a configuration file is to be reloaded: at SIGHUP or, in a process that cannot receive SIGHUP,
+ * when the file was replaced. A process that is started with SIGHUP ignored, as {@code nohup} does, passes
+ * this on to all its child processes, and a JVM started in this way never runs a handler for the signal.
  */
 public final class ReloadTrigger {
 
   private static final Logger LOG = Logger.getLogger(ReloadTrigger.class.getName());
-  /** Well inside the second that a door may take to heed news: the new address may tell some at once. */
+  /**
+   * Interval of the checks of the file, in milliseconds. Well below the 1 s in which a door must act on news
+   * of discovery: the new address may send some at once.
+   */
   private static final long POLL_INTERVAL_MS = 200;
 
-  /** Which file it is; any part differs after a rename over it or a write into it. */
+  /**
+   * Identifies a version of the file; at least one component changes when the file is replaced by a rename or
+   * written to.
+   */
   private record FileVersion(Object key, long modifiedNanos, long bytes) { }
 
   private final Path path;
   private final FileVersion initialVersion;
 
-  /** Remembers the file as it is; to be made before the file is read. */
+  /** Records the present version of the file; to be created before the file is read. */
   public ReloadTrigger(Path path) {
     this.path = path;
     initialVersion = readVersion();
   }
 
-  /** Whether it is another than at first. */
+  /** Whether the file exists and differs from the version recorded at construction. */
   boolean hasChanged() {
     FileVersion current = readVersion();
     return current != null && !current.equals(initialVersion);
   }
 
-  /** Runs the handler at each SIGHUP or, where none can be heard, within 0.2 s of each change of the file. */
+  /** Runs the handler at each SIGHUP or, where SIGHUP is ignored, within 0.2 s of each change of the file. */
   public void onReload(Runnable handler) throws IOException {
     if (!Signals.handle("HUP", handler)) {
-      LOG.info("SIGHUP is ignored by whoever started this process: " + path + " is looked at each "
+      LOG.info("this process was started with SIGHUP ignored: " + path + " is checked every "
           + POLL_INTERVAL_MS + " ms instead");
       Thread poller = new Thread(() -> poll(handler), "replaced-file");
       poller.setDaemon(true);
@@ -63,7 +69,7 @@
     }
   }
 
-  /** Null where there is none at this moment. */
+  /** The present version, or null if the file cannot be read at this moment. */
   private FileVersion readVersion() {
     try {
       BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
--- a/door/src/main/java/willowdoor/net/RequestDecoder.java
+++ b/door/src/main/java/willowdoor/net/RequestDecoder.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
-/** Decodes clients' requests; what two readers could frame differently is malformed here. */
+/** Decodes clients' requests. A message that two parsers could frame differently is treated as malformed. */
 final class RequestDecoder extends HttpRequestDecoder {
 
   private static final int MAX_LINE_BYTES = 8_192;
@@ -16,13 +16,16 @@
         .setMaxChunkSize(MAX_CHUNK_BYTES).setUseRfc9112TransferEncoding(true));
   }
 
-  /** Guards against smuggling: whoever goes by the length sees another request in what is a body here. */
+  /**
+   * Guards against request smuggling: a parser that goes by Content-Length sees another request in what is
+   * body here.
+   */
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
     throw new IllegalArgumentException("Content-Length with Transfer-Encoding");
   }
 
-  /** True when part of a further request has been read. */
+  /** Whether bytes of a further request have been received but not decoded. */
   boolean hasUndecodedBytes() {
     return actualReadableBytes() > 0;
   }
--- a/door/src/main/java/willowdoor/net/RequestEndListener.java
+++ b/door/src/main/java/willowdoor/net/RequestEndListener.java
@@ -2,9 +2,16 @@
 
 import willowdoor.policy.GatewayApi.Request;
 
-/** Hears how requests end, each once; on the door's loop, which it must not hold up. */
+/**
+ * Listens for the ends of requests. Called once for each request, on the door's loop, which an implementation
+ * must not block.
+ */
 public interface RequestEndListener {
 
-  /** A request has its final answer, so long after it was taken, or its client has left. */
+  /**
+   * Called when a request has its final answer or its client has disconnected.
+   *
+   * @param tookMs milliseconds since the request was accepted
+   */
   void onRequestEnd(Request request, RequestFilter.RequestEnd end, double tookMs);
 }
--- a/door/src/main/java/willowdoor/net/RequestFilter.java
+++ b/door/src/main/java/willowdoor/net/RequestFilter.java
@@ -7,79 +7,99 @@
 import willowdoor.policy.GatewayApi.Request;
 
 /**
- * What a request passes after it is read and before the module hears of it. A gate says pass or answer, now
- * or later, and hears of the request's end exactly once. It sends nothing to a backend, and a request that it
- * let pass never comes back to it, however many attempts it takes. All on the door's loop. A door without a
- * gate makes no object and takes no step for it.
+ * A filter that a request passes after it is read and before the decision module gets it. A filter decides,
+ * at once or later, that the request proceeds, is answered or is refused, and is told of the request's end
+ * exactly once. A filter sends nothing to a backend, and a request that a filter let proceed never returns to
+ * that filter, however many attempts the request takes. All calls run on the door's event loop. A door
+ * without a filter creates no object and takes no step for filtering.
  */
 public interface RequestFilter {
 
-  /** How a request that entered ended. */
+  /** How a request ended. */
   enum RequestEnd {
-    /** With a backend's answer. */
+    /** Answered by a backend. */
     SERVED,
-    /** Refused: asking again is harmless. */
+    /** Refused: a retry is harmless. */
     REFUSED,
-    /** Failed, with nothing promised. */
+    /** Failed, without a promise that nothing of the request ran. */
     FAILED,
-    /** With the gate's own answer. */
+    /** Answered by the filter itself. */
     ANSWERED_HERE,
-    /** Its client left. */
+    /** The client disconnected. */
     LEFT
   }
 
-  /** What a request came with that does not go on to a backend. */
+  /**
+   * Parts of a client's request that are not forwarded as they are: all headers, and the client's address.
+   */
   record Origin(HttpHeaders headers, SocketAddress remoteAddress) { }
 
-  /** The ways on; the first call counts, and none does after the request's end. */
+  /**
+   * Takes the filter's decision on a request. Only the first call counts, and no call does after the
+   * request's end.
+   */
   interface Continuation {
     /**
-     * It goes on, with the message as the gate left its headers.
+     * Lets the request proceed, with the message's headers as the filter left them.
      *
-     * @param responseHeaders headers that its answer carries if a backend serves it; may be null
+     * @param responseHeaders headers that are added to the answer if a backend serves the request; may be
+     *     null
      */
     void proceed(HttpHeaders responseHeaders);
 
-    /** Its final answer, which is the gate's own; the driver releases it. */
+    /** Answers the request with the filter's own final answer, which the driver releases. */
     void answer(FullHttpResponse answer);
 
-    /** It is refused: nothing of it has run. 0 gives no advice when to come back. */
+    /**
+     * Refuses the request: nothing of it has run.
+     *
+     * @param retryAfterMs when the client may retry, in milliseconds from now; 0 for no advice
+     */
     void refuse(double retryAfterMs);
   }
 
-  /** A request that entered. */
+  /** A request that the filter handles. */
   interface FilteredRequest {
-    /** It has its final answer or its client left; called once, whether it had passed or not. */
+    /**
+     * Called once, when the request has its final answer or its client has disconnected, whether the request
+     * had proceeded or not.
+     */
     void onEnd(RequestEnd end);
 
-    /** A backend's answer says what it truly cost, in units; told before its end. */
+    /** Called before the request's end with its actual cost in units, as stated by a backend's answer. */
     default void onUnitsCharged(double units) {
     }
 
     /**
-     * The module refuses it; told before its end.
+     * Called before the request's end if the module refuses the request.
      *
-     * @param limitReached for its firm's sake, whose quota or ceiling is used up
-     * @param holdOffMs what the module advises; 0 where nothing may be advised
-     * @return what is advised
+     * @param limitReached whether the quota or ceiling of the request's firm is used up
+     * @param holdOffMs when to retry by the module's advice, in milliseconds from now; 0 for no advice
+     * @return the advice that the client gets
      */
     default double adviseHoldOff(boolean limitReached, double holdOffMs) {
       return holdOffMs;
     }
   }
 
-  /** Whether this gate wants to see such a request at all. */
+  /** Whether the filter applies to such a request. */
   boolean appliesTo(Request request);
 
-  /** Whether what the module would refuse by what it knows already is to be refused before it enters. */
+  /**
+   * Whether a request that the module would refuse by what it knows already is to be refused before it
+   * reaches the filter.
+   */
   default boolean wantsQuotaPrecheck() {
     return true;
   }
 
-  /** Nothing may wait here from now on, as the door drains; or, with false, it serves on after all. */
+  /** Tells the filter whether the door drains: while it does, no request may wait in the filter. */
   default void setDraining(boolean draining) {
   }
 
-  /** Takes a request that concerns it. The message is only lent, until the request passes or ends. */
+  /**
+   * Handles a request to which the filter applies. The message is lent only until the request proceeds or
+   * ends.
+   */
   FilteredRequest filter(Request request, FullHttpRequest message, Origin origin, Continuation continuation);
 }
--- a/door/src/main/java/willowdoor/net/RequestFilterChain.java
+++ b/door/src/main/java/willowdoor/net/RequestFilterChain.java
@@ -5,7 +5,10 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import willowdoor.policy.GatewayApi.Request;
 
-/** Two gates, one after the other. What the first lets pass enters the second, and both hear of its end. */
+/**
+ * Two filters in sequence. A request that the first lets proceed goes to the second, and both are told of its
+ * end.
+ */
 public final class RequestFilterChain implements RequestFilter {
 
   private final RequestFilter first;
@@ -47,7 +50,10 @@
     return chained;
   }
 
-  /** A request in either; where it enters the second while the first is still being entered, too. */
+  /**
+   * A request in either filter or in both. The second filter may be called while the first filter's call has
+   * not returned yet.
+   */
   private final class ChainedRequest implements FilteredRequest, Continuation {
     private final Request request;
     private final FullHttpRequest message;
--- a/door/src/main/java/willowdoor/net/RequestLog.java
+++ b/door/src/main/java/willowdoor/net/RequestLog.java
@@ -4,9 +4,9 @@
 import java.util.logging.Logger;
 
 /**
- * One line for each change of a request's state, with its id: accepted, each attempt's way, refused, ended,
- * and why a client's connection was closed. Off unless the logger {@value #NAME} is at level FINE
- * ({@code deploy/request-log.properties}).
+ * Logs one line for each change of a request's state, with the request's id: acceptance, start and end of
+ * each attempt, refusal, end, and why a client's connection was closed. Off unless the logger {@value #NAME}
+ * is at level FINE ({@code deploy/request-log.properties}).
  */
 final class RequestLog {
 
@@ -25,7 +25,7 @@
    *
    * @param id the request's id, or null for a connection without a request
    * @param change what happened
-   * @param details names and values by turns
+   * @param details alternating names and values
    */
   static void note(String id, String change, Object... details) {
     if (!isEnabled()) {
--- a/door/src/main/java/willowdoor/net/RequestReader.java
+++ b/door/src/main/java/willowdoor/net/RequestReader.java
@@ -12,14 +12,17 @@
 import willowdoor.policy.GatewayApi.RequestClass;
 import willowdoor.policy.GatewayApi.Settings;
 
-/** Reads a client's message as a request for the module; what is not one is refused here with its reason. */
+/**
+ * Parses a client's message into a request for the module; an invalid message is refused here with the
+ * reason.
+ */
 final class RequestReader {
 
   private static final int MAX_ID_LENGTH = 128;
   private static final long CUSTOMER_ID_LIMIT = 1L << 33;
   private static final int MAX_HOST_LENGTH = 255;
 
-  /** A message that is no request of this protocol. */
+  /** The message is not a valid request of this protocol. */
   static final class BadRequest extends Exception {
     private static final long serialVersionUID = 1;
     private final boolean framingReliable;
@@ -33,7 +36,10 @@
       this.framingReliable = framingReliable;
     }
 
-    /** False when another reader may see other requests in the same bytes: the connection has to end. */
+    /**
+     * False if another parser may see different requests in the same bytes; the connection must then be
+     * closed.
+     */
     boolean isFramingReliable() {
       return framingReliable;
     }
@@ -93,8 +99,8 @@
   }
 
   /**
-   * The field {@code units=2,spread=3,first=1}. What is out of range is refused, not clipped: the request may
-   * bear another customer's name, and that customer's account must not move by it.
+   * Reads the field {@code units=2,spread=3,first=1}. A value out of range is refused, not clipped: the
+   * request may carry another customer's name, and that customer's account must not change by it.
    */
   private Request readQuota(String field, String id, String className, String plan, long customer,
       double giveUpMs)
@@ -155,7 +161,7 @@
         return value;
       }
     } catch (NumberFormatException e) {
-      // Falls through to the one message for all that is no number.
+      // Falls through to the common error for everything that is not a number.
     }
     throw new BadRequest(name + " is not a number");
   }
--- a/door/src/main/java/willowdoor/net/Signals.java
+++ b/door/src/main/java/willowdoor/net/Signals.java
@@ -4,9 +4,9 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Signals to this process. SIGHUP would end the JVM where nothing handles it; SIGTERM runs its shutdown hooks
- * once and never tells of a second one. The JDK's one interface to signals is reached by reflection, as the
- * compiler warns of every other use of it, and warnings are errors here.
+ * Handles signals to this process. An unhandled SIGHUP would end the JVM; SIGTERM runs the JVM's shutdown
+ * hooks once, and a second SIGTERM goes unnoticed. The JDK's only interface to signals is used by reflection,
+ * as the compiler warns of every direct use, and warnings are errors in this build.
  */
 public final class Signals {
 
@@ -14,10 +14,10 @@
   }
 
   /**
-   * Runs the handler at each signal of that name, on a thread of the JVM's own.
+   * Runs the handler at each signal of that name, on a thread of the JVM.
    *
-   * @param name without the leading SIG, such as HUP
-   * @return false where whoever started this process had the signal ignored: the JVM then never runs it
+   * @param name the name without the leading SIG, such as HUP
+   * @return false if this process was started with the signal ignored: the JVM then never runs the handler
    */
   public static boolean handle(String name, Runnable handler) throws IOException {
     try {
--- a/door/src/main/java/willowdoor/net/Transport.java
+++ b/door/src/main/java/willowdoor/net/Transport.java
@@ -20,13 +20,13 @@
 import java.net.StandardSocketOptions;
 
 /**
- * The sockets that the event loop drives: native epoll, which took a quarter less CPU on a calm day, or NIO
- * where its library cannot be loaded.
+ * The socket types that the event loop drives: native epoll, which took a quarter less CPU under undisturbed
+ * load, or NIO where the native library cannot be loaded.
  */
 record Transport(IoHandlerFactory ioHandler, Class<? extends SocketChannel> socket,
     Class<? extends ServerSocketChannel> serverSocket) {
 
-  /** States of a connection as Linux numbers them: reset, and ended by the peer. */
+  /** States of a TCP connection as numbered by Linux: reset, and closed by the peer. */
   private static final int TCP_CLOSE = 7;
   private static final int TCP_CLOSE_WAIT = 8;
 
@@ -34,26 +34,26 @@
       ? new Transport(EpollIoHandler.newFactory(), EpollSocketChannel.class, EpollServerSocketChannel.class)
       : new Transport(NioIoHandler.newFactory(), NioSocketChannel.class, NioServerSocketChannel.class);
 
-  /** More than one process may listen at the address. */
+  /** Lets more than one process listen at the same address. */
   static final ChannelOption<Boolean> REUSE_PORT = Epoll.isAvailable() ? EpollChannelOption.SO_REUSEPORT
       : NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
 
-  /** A server socket's channel on a descriptor that listens already; for epoll alone. */
+  /** Creates a server channel on a descriptor that is already listening; requires epoll. */
   static ServerChannel adoptServerSocket(int descriptor) {
     if (!Epoll.isAvailable()) {
-      throw new ChannelException("a listening socket can be taken over with epoll only");
+      throw new ChannelException("taking over a listening socket requires epoll");
     }
     return new EpollServerSocketChannel(descriptor);
   }
 
-  /** The descriptor of a channel, or -1 where it tells none. */
+  /** The file descriptor of a channel, or -1 if the channel has none. */
   static int descriptor(Channel channel) {
     return channel instanceof UnixChannel unix ? unix.fd().intValue() : -1;
   }
 
   /**
-   * Whether the peer is known to have closed, reset or ended its sending, by the kernel's word where it
-   * tells: a loop that was held up has not read it yet.
+   * Whether the peer is known to have closed, reset or half-closed the connection. Asks the kernel where the
+   * transport allows it, as a loop that was held up has not read the disconnect yet.
    */
   static boolean isPeerGone(Channel channel) {
     if (!channel.isActive()) {
@@ -68,8 +68,8 @@
   }
 
   /**
-   * For how long the newest bytes of a connection had been with the kernel, in milliseconds; 0 where it does
-   * not tell. A loop that is short of CPU reads late, and only the kernel knows how late.
+   * How long the newest bytes of a connection have been with the kernel, in milliseconds; 0 if the transport
+   * does not tell. A loop that is short of CPU reads late, and only the kernel knows how late.
    */
   static double kernelWaitMs(Channel channel) {
     try {
--- a/door/src/main/java/willowdoor/net/WarmUp.java
+++ b/door/src/main/java/willowdoor/net/WarmUp.java
@@ -24,32 +24,31 @@
 import willowdoor.policy.QuotaPolicy;
 
 /**
- * Takes made-up requests through a front door of its own, without sockets, so that the code is loaded and
- * compiled before the first client comes. Guards against a start that lasts into service where CPU is short:
- * cold code needs some ten times the CPU for a request. Harm: the start takes longer, by the limit at most,
- * and a restarted door is missed for so long.
+ * Sends made-up requests through a separate front door without sockets, so that the code is loaded and
+ * compiled before the first client connects. Guards against a slow first phase of service where CPU is short:
+ * a request through cold code needs about ten times the CPU. Drawback: the start takes longer, by the time
+ * limit at most, and a restarted door is missing for that long.
  */
 final class WarmUp {
 
   private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
-  /** What the compiler counts to before it compiles a method (200), twice. */
+  /** Twice the 200 calls after which the compiler compiles a method. */
   static final int MAX_REQUESTS = 400;
-  /** A start is worth so much more time at most: a restarted door is missed for as long. */
+  /** Maximum time that a start is extended by, in milliseconds: a restarted door is missing for that long. */
   static final double TIME_LIMIT_MS = 700;
   /**
-   * The same for one that starts beside a process that serves: nobody misses it yet, clients come to it
-   * all at once, and its yes is due within 6 s.
+   * The same for a process that starts beside one that serves: that one still takes the clients, the new
+   * process gets all of them at once, and it must report itself ready within 6 s.
    */
   static final int MAX_REQUESTS_SECOND_PROCESS = 4_000;
   static final double TIME_LIMIT_SECOND_PROCESS_MS = 2_500;
   private static final int BACKENDS = 8;
   private static final int CUSTOMERS = 50;
-  /** Requests on one connection. */
   private static final int REQUESTS_PER_CONNECTION = 10;
 
   private final Config config;
   private final Clock clock = new Clock();
-  /** Its timers never run, and nothing keeps it alive afterwards. */
+  /** The timers of this loop never run, and nothing keeps it alive afterwards. */
   private final EventLoop loop = new EmbeddedChannel().eventLoop();
   private final List<EmbeddedChannel> backends = new ArrayList<>();
   private final List<EmbeddedChannel> counters = new ArrayList<>();
@@ -59,17 +58,17 @@
     this.config = config;
   }
 
-  /** Stops after the limit in any case; gives how many requests were served. */
+  /** Warms up until the time limit at the latest; returns the number of requests served. */
   int run(double limitMs) {
     return run(limitMs, MAX_REQUESTS);
   }
 
-  /** The same with so many requests at the most. */
+  /** Like {@link #run(double)}, with a maximum number of requests. */
   int run(double limitMs, int requests) {
     try {
       sendRequests(clock.now() + limitMs, requests);
     } catch (RuntimeException e) {
-      LOG.log(Level.WARNING, "not warmed up", e);
+      LOG.log(Level.WARNING, "warm-up failed", e);
     }
     return served;
   }
@@ -116,7 +115,7 @@
     return channel.newSucceededFuture();
   }
 
-  /** Answers on each connection on which something was asked. */
+  /** Answers on each connection on which something was sent. */
   private static void answerPending(List<EmbeddedChannel> channels, String response) {
     for (EmbeddedChannel channel : List.copyOf(channels)) {
       if (channel.releaseOutbound()) {
--- a/door/src/main/java/willowdoor/wire/JsonFields.java
+++ b/door/src/main/java/willowdoor/wire/JsonFields.java
@@ -8,13 +8,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON objects as plain maps, and lenient looks into them: what is missing or of another kind is absent. */
+/**
+ * JSON objects as plain maps, with lenient accessors: a value that is missing or of another type counts as
+ * absent.
+ */
 public final class JsonFields {
 
   private JsonFields() {
   }
 
-  /** Reads the object at the parser's place; anything else is malformed. */
+  /** Reads the object at the parser's position; throws an IOException if there is no object. */
   public static Map<String, Object> object(JsonParser in) throws IOException {
     if (in.currentToken() != JsonToken.START_OBJECT) {
       throw new IOException("expected an object, found " + in.currentToken());
--- a/door/src/main/java/willowdoor/wire/WireSettings.java
+++ b/door/src/main/java/willowdoor/wire/WireSettings.java
@@ -17,7 +17,7 @@
 import willowdoor.policy.GatewayApi.Rules;
 import willowdoor.policy.GatewayApi.Settings;
 
-/** The settings object as the wire names it; the adapter and the real front door read the same one. */
+/** Reads the settings object by its names on the wire, for the bench link and the front door alike. */
 public final class WireSettings {
 
   private WireSettings() {
--- a/door/src/test/java/willowdoor/benchlink/BenchLinkTest.java
+++ b/door/src/test/java/willowdoor/benchlink/BenchLinkTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Plays short scripts of the wire and checks the exact replies. */
+/** Plays short scripts of bench messages, and checks the exact replies. */
 class BenchLinkTest {
 
   private static final String ATTACH = """
--- a/door/src/test/java/willowdoor/net/BadClientTest.java
+++ b/door/src/test/java/willowdoor/net/BadClientTest.java
@@ -13,14 +13,15 @@
 import willowdoor.net.Peers.Client;
 import willowdoor.net.Peers.Message;
 
-/** Clients that hold connections, never finish, or send what could be read in two ways. */
+/**
+ * Clients that hold connections, never finish a request, or send requests that could be parsed in two ways.
+ */
 @Timeout(40)
 class BadClientTest {
 
   private static final long END_LIMIT_NANOS = TimeUnit.SECONDS.toNanos(3);
   private static final int MAX_CLIENTS =
-      new ConnectionBudget(ResourceLimits.of(Peers.SMALL_SOCKET_LIMIT, 128).connections())
-      .maxClients();
+      new ConnectionBudget(ResourceLimits.of(Peers.SMALL_SOCKET_LIMIT, 128).connections()).maxClients();
 
   private final Peers peers = new Peers();
 
@@ -29,7 +30,9 @@
     peers.close();
   }
 
-  /** Descriptors run out without a bound; over it one connection is refused, not all of them. */
+  /**
+   * Without a limit, file descriptors run out; above the limit one connection is refused, not all of them.
+   */
   @Test
   void oneConnectionTooManyIsRefusedAndTheOthersAreServed() throws Exception {
     peers.start(peers.smallConfig());
@@ -38,7 +41,7 @@
     Client tooMany;
     int n = 0;
     do {
-      // Again if the machine stood still: those that send no whole request may be ended after a while.
+      // Repeated if the machine stalled: connections without a complete request may be closed after a while.
       for (int i = 1; i < MAX_CLIENTS; i++) {
         peers.client().send(request.substring(0, 20));
       }
@@ -50,7 +53,7 @@
     assertEquals(200, withinLimit.ask(request.substring(20)).status());
   }
 
-  /** Clients that ask once and keep their connection for good must not lock others out. */
+  /** Clients that send one request and keep their connection must not lock other clients out. */
   @Test
   void clientsThatAskOnceAndStayLockNobodyOut() throws Exception {
     peers.start(peers.smallConfig());
@@ -63,7 +66,10 @@
     assertEquals("close", answer.header("Connection"));
   }
 
-  /** Clients and backends share one table: whichever side needs more gets it, and never both together. */
+  /**
+   * Clients and backends share one budget: whichever side needs more gets it, and together they never exceed
+   * the budget.
+   */
   @Test
   void clientsAndBackendsTogetherStayWithinTheBudget() {
     ConnectionBudget budget = new ConnectionBudget(100);
@@ -92,7 +98,8 @@
         assertEquals(408, client.receive().status());
         break;
       } catch (IOException e) {
-        assertTrue(System.nanoTime() - from < END_LIMIT_NANOS, "neither an error nor a close in time");
+        assertTrue(System.nanoTime() - from < END_LIMIT_NANOS,
+            "neither an error nor a close within the limit");
         client.send("X-Pad: 1\r\n");
       }
     }
@@ -107,7 +114,7 @@
     assertTrue(System.nanoTime() - from < END_LIMIT_NANOS);
   }
 
-  /** The second request in the body must reach no backend, whichever of the two lengths is gone by. */
+  /** The second request in the body must not reach a backend, whichever of the two lengths applies. */
   @Test
   void ambiguousFramingIsRefusedAndTheConnectionCloses() throws Exception {
     peers.start();
@@ -137,7 +144,10 @@
     assertNull(peers.backendRequests.poll());
   }
 
-  /** A value out of range, in whomever's name, is no request: neither a backend nor a count hears of it. */
+  /**
+   * A request with a value out of range, in the name of whichever customer, reaches neither a backend nor the
+   * counter.
+   */
   @Test
   void valuesOutOfRangeReachNeitherBackendNorCounter() throws Exception {
     peers.start();
@@ -174,13 +184,15 @@
         chunked.send(chunk);
       }
     } catch (SocketException e) {
-      // The front door has ended the connection, which tells the client as well as the error does.
+      // The front door has closed the connection, which tells the client as much as the error does.
     }
     assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
     assertEquals("r2", Peers.next(peers.backendRequests).header("Request-Id"));
   }
 
-  /** More requests at once than are kept: those kept are answered, and the connection ends. */
+  /**
+   * When a client sends more requests than are kept, those kept are answered, and the connection is closed.
+   */
   @Test
   void aFloodOnOneConnectionIsBounded() throws Exception {
     peers.start();
@@ -196,7 +208,7 @@
         answers++;
       }
     } catch (IOException e) {
-      // The end of the connection.
+      // The connection was closed.
     }
     assertTrue(answers > 0 && answers < 200, "answers: " + answers);
   }
--- a/door/src/test/java/willowdoor/net/ClientDisconnectTest.java
+++ b/door/src/test/java/willowdoor/net/ClientDisconnectTest.java
@@ -19,21 +19,24 @@
 import willowdoor.net.Peers.Message;
 
 /**
- * Clients that leave while their request waits in the gateway, in every way that there is: nothing of it may
- * begin at a backend afterwards, and who stays is served all the same.
+ * Clients that close, reset or half-close their connection while their request waits in the gateway: no
+ * attempt of such a request may begin at a backend afterwards, and the remaining clients are served.
  */
 @Timeout(60)
 class ClientDisconnectTest {
 
-  /** More than the 0.1 s for which an attempt may still begin after its client has gone. */
+  /** More than the 0.1 s within which an attempt may still begin after its client disconnected. */
   private static final long AFTER_LEAVING_MS = 300;
   private static final long IN_PROGRESS_MS = 150;
-  /** A backend may be told so much more than the client has left. */
+  /** The timeout sent to a backend may exceed the client's remaining time by so many milliseconds. */
   private static final long SLACK_MS = 150;
-  /** Calls for one tenant wait behind each other, so only the first of them shows. */
+  /**
+   * Counter calls for one tenant are made one after the other, so only the first of them is visible; the rest
+   * is given this time to be read.
+   */
   private static final long ALL_READ_MS = 50;
   private static final int CLIENTS = 4;
-  /** A kernel asks for a connection again after one second, and after two more. */
+  /** The kernel retries a connect after one second, and again after two more. */
   private static final String SLOW_CONNECTS = "\"DialTimeoutMs\":2500";
 
   @TempDir
@@ -53,7 +56,9 @@
     peers.close();
   }
 
-  /** Its policy waits long enough for the counter to be stopped meanwhile. */
+  /**
+   * Starts a gateway whose policy waits for the counter long enough for the gateway to be stopped meanwhile.
+   */
   private void startWithBackends(int... backendPorts) throws Exception {
     String[] entries = new String[backendPorts.length];
     for (int i = 0; i < entries.length; i++) {
@@ -65,7 +70,7 @@
             .replace("\"CountLimitMs\":50", "\"CountLimitMs\":3000"));
   }
 
-  /** The same with backends of the test's own peers, to each of which connections are open and unused. */
+  /** The same with two backends of the test peers, to each of which idle connections are open. */
   private void startWithPooledConnections() throws Exception {
     int other = peers.listen(50, peers::serveBackend).getLocalPort();
     startWithBackends(peers.backend.getLocalPort(), other);
@@ -99,7 +104,10 @@
     void run() throws Exception;
   }
 
-  /** Stops the gateway as a busy host does, has this happen and the crowd leave, and lets it go on. */
+  /**
+   * Stops the process of the gateway, as happens on a busy host, runs the step, lets the clients leave, and
+   * continues the process.
+   */
   private void leaveWhileStopped(Step step, Clients clients) throws Exception {
     leaveWhileStopped(step, clients, "stays");
   }
@@ -116,7 +124,7 @@
     assertEquals(Set.of(served), ids(peers.backendRequests), gateway.log());
   }
 
-  /** Clients with one request each, of which all but the first leave. */
+  /** Clients with one request each; all but the first leave. */
   private final class Clients {
     final Client stays = gateway.client();
     private final Client closes = gateway.client();
@@ -127,7 +135,7 @@
       send("");
     }
 
-    /** Sends a request on each connection, with ids that begin so. */
+    /** Sends a request on each connection, with ids that begin with the prefix. */
     void send(String prefix) throws Exception {
       stays.send(Peers.get(prefix + "stays", 3_500));
       closes.send(Peers.get(prefix + "closes", 3_500));
@@ -150,19 +158,22 @@
     return ids;
   }
 
-  /** Guards against attempts that are written when their connection comes up, though the client has gone. */
+  /**
+   * Guards against attempts that are written when their connection is established, though the client has
+   * left.
+   */
   @Test
   void leavesWhileTheBackendConnectionIsEstablished() throws Exception {
     leaveWhileConnecting(() -> { });
   }
 
-  /** Guards against the same in a gateway that ends: what it still writes is for clients that stay. */
+  /** Guards against the same during shutdown: what the gateway still writes is for clients that stay. */
   @Test
   void leavesWhileConnectingDuringShutdown() throws Exception {
     leaveWhileConnecting(() -> gateway.signal("TERM"));
   }
 
-  /** Guards against the same in a gateway that moves to a new configuration. */
+  /** Guards against the same while the gateway reloads its configuration. */
   @Test
   void leavesWhileConnectingDuringReload() throws Exception {
     leaveWhileConnecting(() -> {
@@ -185,7 +196,10 @@
     assertEquals(Set.of("stays"), ids(lateBackend.requests), gateway.log());
   }
 
-  /** Guards against an attempt by a counter's answer that is read ahead of the clients' ends. */
+  /**
+   * Guards against an attempt that begins because the counter's answer is read before the clients'
+   * disconnects.
+   */
   @Test
   void leavesDuringACounterCallOfAStoppedGateway() throws Exception {
     startWithPooledConnections();
@@ -201,7 +215,7 @@
     leaveWhileStopped(answer::countDown, clients);
   }
 
-  /** Guards against a retry after a rejection that is read ahead of the clients' ends. */
+  /** Guards against a retry that begins because a rejection is read before the clients' disconnects. */
   @Test
   void leavesDuringARejectionInAStoppedGateway() throws Exception {
     startWithPooledConnections();
@@ -219,7 +233,7 @@
     leaveWhileStopped(reject::countDown, clients);
   }
 
-  /** Guards against work for clients that left while their request waited behind another of their own. */
+  /** Guards against work for clients that left while their request waited behind another one of theirs. */
   @Test
   void leavesWhileAPipelinedRequestWaits() throws Exception {
     startWithPooledConnections();
@@ -247,7 +261,7 @@
     leaveWhileStopped(() -> { }, new Clients());
   }
 
-  /** Guards against room that is held for gone clients for as long as a connection takes to come up. */
+  /** Guards against requests of disconnected clients that are held for as long as a connect takes. */
   @Test
   void aWithdrawnRequestHoldsNothing() throws Exception {
     lateBackend = new LateBackend();
@@ -262,7 +276,7 @@
     assertEquals(0, embedded.loop().submit(embedded::heldRequests).get());
   }
 
-  /** Guards against telling a backend the time that was left when its connection began to come up. */
+  /** Guards against sending a backend the time that was left when its connection began to be established. */
   @Test
   void theTimeoutSentIsWhatIsLeftWhenTheConnectionIsUp() throws Exception {
     lateBackend = new LateBackend();
@@ -275,10 +289,13 @@
     int timeoutMs = Integer.parseInt(Peers.next(lateBackend.requests).header("Request-Timeout-Ms"));
     long passedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
     assertTrue(timeoutMs <= 3_500 - passedMs + SLACK_MS,
-        timeoutMs + " ms told, " + passedMs + " of 3500 had passed");
+        timeoutMs + " ms sent, " + passedMs + " of 3500 had passed");
   }
 
-  /** Guards against an attempt whose connection is read as up ahead of the timer that ends the request. */
+  /**
+   * Guards against an attempt that begins because its connection is seen as established before the timer ends
+   * the request.
+   */
   @Test
   void timeRunsOutWhileConnecting() throws Exception {
     lateBackend = new LateBackend();
@@ -290,7 +307,7 @@
     gateway.signal("STOP");
     pause(1_400);
     gateway.signal("CONT");
-    assertEquals(503, client.receive().status(), "nothing of it ran, so asking again is harmless");
+    assertEquals(503, client.receive().status(), "nothing of the request ran, so a retry is harmless");
     pause(AFTER_LEAVING_MS);
     assertEquals(Set.of(), ids(lateBackend.requests), gateway.log());
   }
--- a/door/src/test/java/willowdoor/net/DelayedReadTest.java
+++ b/door/src/test/java/willowdoor/net/DelayedReadTest.java
@@ -14,7 +14,7 @@
 import willowdoor.net.Peers.Client;
 import willowdoor.net.Peers.Message;
 
-/** What came while the front door stood still, as one that is short of CPU does. */
+/** Requests that arrive while the event loop is blocked, as in a front door that is short of CPU. */
 @Timeout(30)
 class DelayedReadTest {
 
@@ -57,10 +57,10 @@
     assertEquals("stays", Peers.next(peers.backendRequests).header("Request-Id"));
   }
 
-  /** A backend is told the time that is left, not that which was there when the request came. */
+  /** A backend gets the time that is left, not the time that the request had when it arrived. */
   @Test
   void timeCountsFromTheArrivalOfTheRequest() throws Exception {
-    assumeTrue(Epoll.isAvailable(), "only there the kernel tells when it came");
+    assumeTrue(Epoll.isAvailable(), "only epoll reports when bytes arrived");
     Client client = peers.client();
     client.send(Peers.get("old", 3000));
     TimeUnit.MILLISECONDS.sleep(500);
@@ -68,12 +68,12 @@
     assertEquals(200, client.receive().status());
     Message sent = Peers.next(peers.backendRequests);
     int left = Integer.parseInt(sent.header("Request-Timeout-Ms"));
-    assertTrue(left < 2_600, left + " ms told, 500 of 3000 were over");
+    assertTrue(left < 2_600, left + " ms sent, after 500 of 3000 ms had passed");
   }
 
   @Test
   void aRequestThatIsReadTooLateIsNotSent() throws Exception {
-    assumeTrue(Epoll.isAvailable(), "only there the kernel tells when it came");
+    assumeTrue(Epoll.isAvailable(), "only epoll reports when bytes arrived");
     Client client = peers.client();
     client.send(Peers.get("over", 300));
     TimeUnit.MILLISECONDS.sleep(400);
--- a/door/src/test/java/willowdoor/net/FrontDoorTest.java
+++ b/door/src/test/java/willowdoor/net/FrontDoorTest.java
@@ -23,7 +23,7 @@
 import willowdoor.net.Peers.Client;
 import willowdoor.net.Peers.Message;
 
-/** The real front door between small peers on loopback. */
+/** A front door with real sockets, between small test peers on loopback. */
 @Timeout(30)
 class FrontDoorTest {
 
@@ -66,7 +66,7 @@
     for (int i = 0; i < 5; i++) {
       assertEquals("fine", client.ask(Peers.get("r" + i, 3000)).text());
       assertEquals("GET /quote/17?a=%20b&c HTTP/1.1", Peers.next(peers.backendRequests).firstLine());
-      // A connection is used again only once it is seen that nothing follows the answer.
+      // A connection is reused only after the front door has seen that nothing follows the answer.
       TimeUnit.MILLISECONDS.sleep(30);
     }
     assertEquals(1, connections.get());
@@ -94,7 +94,7 @@
     assertEquals(2, asked.get());
   }
 
-  /** A repeat of what may have run carries the same id and key; nothing but the module sends it. */
+  /** A retry of a request that may have run carries the same id and key; only the module sends it. */
   @Test
   void aConnectionBrokenAfterTheRequestIsAResetAndTheModuleRetries() throws Exception {
     peers.start();
@@ -140,7 +140,7 @@
     assertEquals(503, peers.client().ask(Peers.post("r1", "b")).status());
   }
 
-  /** Vanished hosts are silent: a connect has its own limit, far below the client's time. */
+  /** A vanished host does not answer: a connect attempt has its own timeout, far below the client's. */
   @Test
   void aConnectAttemptEndsByItsOwnTimeout() throws Exception {
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -231,7 +231,7 @@
     }
   }
 
-  /** A client that has gone gets nothing; its attempt still ends at the module, and serving goes on. */
+  /** A client that disconnected gets nothing; its attempt still ends at the module, and serving continues. */
   @Test
   void aClientThatLeavesIsForgotten() throws Exception {
     peers.start();
@@ -249,8 +249,9 @@
   }
 
   /**
-   * A planned end: what comes on connections that stand is served, as a front that has not noticed sends
-   * nowhere else; then an answer ends its connection, an idle one is ended, and what was taken is answered.
+   * During a graceful shutdown, requests on open connections are served, as a load balancer that has not
+   * noticed yet sends nowhere else. After that, each answer closes its connection, idle connections are
+   * closed, and all accepted requests are answered.
    */
   @Test
   void drainsWithoutLosingARequest() throws Exception {
--- a/door/src/test/java/willowdoor/net/ManagementTest.java
+++ b/door/src/test/java/willowdoor/net/ManagementTest.java
@@ -16,7 +16,7 @@
 import willowdoor.net.Peers.Client;
 import willowdoor.net.Peers.Message;
 
-/** Operators' calls on real sockets: what is answered, and what it does to clients. */
+/** Management calls on real sockets: their replies, and their effect on clients. */
 @Timeout(30)
 class ManagementTest {
 
@@ -38,7 +38,7 @@
   private Message call(String text) throws IOException {
     try (Client operator = new Client((InetSocketAddress) door.managementAddress())) {
       Message answer = operator.ask(text);
-      assertTrue(operator.isClosedByPeer(), "one call to a connection");
+      assertTrue(operator.isClosedByPeer(), "one call per connection");
       return answer;
     }
   }
@@ -63,16 +63,16 @@
     assertEquals(200, idle.ask(Peers.get("r2", 3000)).status());
     assertEquals(200, post("/drain"));
     assertEquals(503, up());
-    assertEquals(200, post("/drain"), "it may be said twice");
+    assertEquals(200, post("/drain"), "a command may be repeated");
     Message last = busy.ask(Peers.get("r3", 3000));
-    assertEquals(200, last.status(), "what comes meanwhile is served");
+    assertEquals(200, last.status(), "requests during a drain are served");
     assertEquals("close", last.header("Connection"));
     assertEquals(200, peers.client().ask(Peers.get("r4", 3000)).status(), "on new connections too");
     long asked = System.nanoTime();
     assertTrue(idle.isClosedByPeer());
     assertTrue(fresh.isClosedByPeer());
-    assertTrue(System.nanoTime() - asked < 3_000_000_000L, "well before 4 s");
-    assertEquals(200, call("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").status(), "the process is ready yet");
+    assertTrue(System.nanoTime() - asked < 3_000_000_000L, "connections must be closed well before 4 s");
+    assertEquals(200, call("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").status(), "the process is still ready");
     assertEquals(200, post("/undrain"));
     assertEquals(200, post("/undrain"));
     assertEquals(200, up());
@@ -87,7 +87,7 @@
     assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
     Peers.next(peers.backendRequests);
     assertEquals(200, post("/backends/disable?member=s-1"));
-    assertEquals(200, post("/backends/disable?member=s%2D1"), "it may be said twice");
+    assertEquals(200, post("/backends/disable?member=s%2D1"), "a command may be repeated");
     assertEquals(404, post("/backends/disable?member=s-9"));
     assertEquals(503, client.ask(Peers.get("r2", 3000)).status());
     Peers.next(peers.watchRequests);
@@ -143,7 +143,7 @@
     assertEquals(413, call("POST /drain HTTP/1.1\r\nContent-Length: 9999\r\n\r\n").status());
     assertEquals(400, call("nonsense\r\n\r\n").status());
     assertTrue(call("POST /backends/disable HTTP/1.1\r\nHost: a\r\n\r\n").text().contains("member=ID"));
-    assertEquals(200, up(), "none of it drained the door");
+    assertEquals(200, up(), "no invalid call may drain the door");
   }
 
   @Test
@@ -156,7 +156,7 @@
     }
     long asked = System.nanoTime();
     assertEquals(200, call("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").status());
-    assertTrue(System.nanoTime() - asked < 1_000_000_000L, "a whole caller waits 1 s at most");
+    assertTrue(System.nanoTime() - asked < 1_000_000_000L, "a complete call waits at most 1 s");
     assertTrue(silent.get(0).isClosedByPeer());
     assertFalse(silent.get(99).socket.isClosed());
     for (Client caller : silent) {
--- a/door/src/test/java/willowdoor/net/PipelinedTest.java
+++ b/door/src/test/java/willowdoor/net/PipelinedTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Timeout;
 import willowdoor.net.Peers.Client;
 
-/** Requests that come behind one under way: each that was read whole has its own answer. */
+/** Pipelined requests behind one in progress: each that was read completely gets its own answer. */
 @Timeout(30)
 class PipelinedTest {
 
@@ -21,12 +21,12 @@
   private static final int TOO_LARGE_BYTES = 70_000;
 
   private final Peers peers = new Peers();
-  /** As many requests are answered by the backend as the test lets it. */
+  /** Permits for the answers of the backend: one is taken for each answer. */
   private final Semaphore answers = new Semaphore(0);
   private FrontDoor gateway;
   private Client client;
 
-  /** A client whose first request is at the backend. */
+  /** Sends a first request that waits at the backend. */
   @BeforeEach
   void firstRequestIsUnderWay() throws Exception {
     gateway = peers.start();
@@ -53,7 +53,9 @@
     TimeUnit.MILLISECONDS.sleep(READ_MS);
   }
 
-  /** Guards against an error of the next request that its client reads as the answer to the one before. */
+  /**
+   * Guards against an error for the next request that the client takes for the answer to the previous one.
+   */
   @Test
   void anErrorBehindARequestIsNotItsAnswer() throws Exception {
     sendBehind(Peers.post("large", "").replace("Content-Length: 0", "Content-Length: " + TOO_LARGE_BYTES)
@@ -63,7 +65,7 @@
     assertTrue(client.isClosedByPeer());
   }
 
-  /** Guards against requests that were read whole and are dropped with the end of their connection. */
+  /** Guards against requests that were read completely and are dropped when their connection is closed. */
   @Test
   void requestsReadBeforeADrainAreAnswered() throws Exception {
     sendBehind(Peers.get("second", 3_500) + Peers.get("third", 3_500));
@@ -75,7 +77,7 @@
     assertTrue(client.isClosedByPeer());
   }
 
-  /** Guards against a client that keeps a gateway from its end by sending on and on. */
+  /** Guards against a client that holds up the shutdown of a gateway by sending more and more requests. */
   @Test
   void aDrainingGatewayTakesNoFurtherRequests() throws Exception {
     sendBehind(Peers.get("second", 3_500));
@@ -88,7 +90,7 @@
     assertTrue(client.isClosedByPeer());
   }
 
-  /** Guards against attempts that begin when the process is about to end, and nobody would answer them. */
+  /** Guards against attempts that begin when the process is about to exit and nobody would answer them. */
   @Test
   void noAttemptBeginsAfterFailAll() throws Exception {
     sendBehind(Peers.get("second", 3_500));
--- a/door/src/test/java/willowdoor/net/ReloadTest.java
+++ b/door/src/test/java/willowdoor/net/ReloadTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import willowdoor.net.Peers.Client;
 
-/** A replaced configuration moves discovery and the counter under load. */
+/** A replaced configuration moves discovery and the counter to other addresses under load. */
 @Timeout(30)
 class ReloadTest {
 
--- a/door/src/test/java/willowdoor/net/RequestFilterTest.java
+++ b/door/src/test/java/willowdoor/net/RequestFilterTest.java
@@ -21,7 +21,10 @@
 import willowdoor.net.Peers.Client;
 import willowdoor.policy.GatewayApi.Request;
 
-/** The driver's side of the gate's seam, with a gate that says what the test says, when it says it. */
+/**
+ * How the driver treats a request filter; the test makes the filter's decisions, at the moments that it
+ * chooses.
+ */
 @Timeout(30)
 class RequestFilterTest {
 
@@ -72,24 +75,24 @@
         Unpooled.copiedBuffer("no", StandardCharsets.US_ASCII));
   }
 
-  /** Its answer went out when its time was up: nothing of it may run any more. */
+  /** The request was answered when its time was up: nothing of it may run any more. */
   @Test
   void aDecisionAfterTheRequestsEndSendsNothing() throws Exception {
     Client client = peers.client();
     client.send(Peers.get("r1", 300));
     RequestFilter.Continuation late = nextContinuation();
-    assertEquals(503, client.receive().status(), "at the gate nothing has run");
+    assertEquals(503, client.receive().status(), "nothing of a request in the filter has run");
     assertEquals(RequestFilter.RequestEnd.REFUSED, nextEnd());
     onLoop(() -> late.proceed(null));
     onLoop(() -> late.answer(answer()));
-    assertTrue(peers.counterLines.isEmpty(), () -> "the module heard of it: " + peers.counterLines);
-    // What would be sent is sent before this one, which goes the same way.
+    assertTrue(peers.counterLines.isEmpty(), () -> "the module got the request: " + peers.counterLines);
+    // Anything sent for r1 would arrive before r2, which takes the same way.
     client.send(Peers.get("r2", 3_000));
     RequestFilter.Continuation next = nextContinuation();
     onLoop(() -> next.proceed(null));
     assertEquals(200, client.receive().status());
     assertEquals("r2", Peers.next(peers.backendRequests).header("Request-Id"));
-    assertEquals(1, peers.counterLines.size(), () -> "one call, of r2 alone: " + peers.counterLines);
+    assertEquals(1, peers.counterLines.size(), () -> "only r2 may cause a call: " + peers.counterLines);
     assertEquals(RequestFilter.RequestEnd.SERVED, nextEnd());
     assertNull(ends.poll());
     assertEquals(0, heldRequests(door));
@@ -99,7 +102,10 @@
     return door.loop().submit(door::heldRequests).get();
   }
 
-  /** Its client left with time to spare: the module, which never had it, does not get it now. */
+  /**
+   * The client disconnected before the deadline: the module, which never got the request, must not get it
+   * now.
+   */
   @Test
   void aDecisionAfterTheClientHasLeftDoesNotReachTheModule() throws Exception {
     Client gone = peers.client();
@@ -113,7 +119,7 @@
     RequestFilter.Continuation next = nextContinuation();
     onLoop(() -> next.proceed(null));
     assertEquals(200, client.receive().status());
-    assertEquals(1, peers.counterLines.size(), () -> "one call, of r2 alone: " + peers.counterLines);
+    assertEquals(1, peers.counterLines.size(), () -> "only r2 may cause a call: " + peers.counterLines);
     assertEquals("r2", Peers.next(peers.backendRequests).header("Request-Id"));
     assertEquals(0, heldRequests(door));
   }
@@ -140,6 +146,6 @@
     assertEquals(RequestFilter.RequestEnd.ANSWERED_HERE, nextEnd());
     assertNull(ends.poll());
     assertEquals("r1", Peers.next(peers.backendRequests).header("Request-Id"));
-    assertTrue(peers.backendRequests.isEmpty(), "neither r1 twice nor r2");
+    assertTrue(peers.backendRequests.isEmpty(), "neither a second attempt of r1 nor one of r2");
   }
 }
--- a/door/src/test/java/willowdoor/net/ServingProcess.java
+++ b/door/src/test/java/willowdoor/net/ServingProcess.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 
-/** A gateway that is a process of its own, as the platform runs it, with signals. */
+/** A gateway in its own process, as the platform runs it, which takes signals. */
 final class ServingProcess implements Closeable {
 
   private static final long START_LIMIT_MS = 20_000;
@@ -23,7 +23,7 @@
   private final Path folder;
   private final Process process;
 
-  /** Starts it by a configuration whose listening port is chosen here, and waits until it serves. */
+  /** Starts a gateway with a listening port that is chosen here, and waits until it serves. */
   ServingProcess(Path folder, String config) throws Exception {
     this.folder = folder;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -49,7 +49,7 @@
     long limit = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_LIMIT_MS);
     while (!up()) {
       if (System.nanoTime() > limit || !process.isAlive()) {
-        throw new AssertionError("does not serve: " + log());
+        throw new AssertionError("the gateway does not serve: " + log());
       }
       TimeUnit.MILLISECONDS.sleep(POLL_MS);
     }
@@ -67,20 +67,20 @@
     return new Peers.Client(address);
   }
 
-  /** Replaces the configuration, as an operator does before SIGHUP. */
+  /** Replaces the configuration file, as an operator does before SIGHUP. */
   void replace(String config) throws IOException {
     Files.move(write("fresh.json", config), folder.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** Sends it a signal, by its name. */
+  /** Sends the process a signal, by its name without SIG. */
   void signal(String name) throws Exception {
     List<String> kill = List.of("kill", "-" + name, Long.toString(process.pid()));
     if (new ProcessBuilder(kill).start().waitFor() != 0) {
-      throw new AssertionError("no process to signal: " + log());
+      throw new AssertionError("the signal could not be sent: " + log());
     }
   }
 
-  /** What it has printed, without the requests of its own warm-up. */
+  /** What the process has printed, without the requests of its own warm-up. */
   String log() throws IOException {
     return Files.readAllLines(folder.resolve("log")).stream().filter(l -> !l.contains(" request=w"))
         .collect(Collectors.joining("\n"));
@@ -91,7 +91,7 @@
     process.destroyForcibly().onExit().join();
   }
 
-  /** Ends a client's connection by a reset. */
+  /** Closes a client's connection with a reset. */
   static void reset(Socket socket) throws IOException {
     socket.setSoLinger(true, 0);
     socket.close();
--- a/door/src/test/java/willowdoor/net/ShutdownTimesTest.java
+++ b/door/src/test/java/willowdoor/net/ShutdownTimesTest.java
@@ -23,7 +23,10 @@
     assertEquals(new ShutdownTimes(2_600, 3_300), ShutdownTimes.of(List.of()));
   }
 
-  /** SIGKILL comes at 2.12 s there, and what it found on a connection that was still kept was lost. */
+  /**
+   * With a deadline of 1.42 s SIGKILL comes at 2.12 s; requests on a connection that was still kept then were
+   * lost.
+   */
   @Test
   void shortDeadlinesEndBeforeSigkill() {
     assertEquals(new ShutdownTimes(1_020, 1_720), of(1_420));
--- a/door/src/test/java/willowdoor/net/SighupTest.java
+++ b/door/src/test/java/willowdoor/net/SighupTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A front door that is a process of its own takes a replaced configuration. */
+/** A front door in its own process reloads a replaced configuration. */
 @Timeout(60)
 class SighupTest {
 
@@ -36,7 +36,7 @@
     after.close();
   }
 
-  /** Starts it by a shell that does this first, and waits until it watches. */
+  /** Starts a front door by a shell that runs the prefix first, and waits until it watches discovery. */
   private void start(String shellPrefix) throws Exception {
     file = Files.writeString(folder.resolve("config.json"), before.config());
     List<String> command = new ArrayList<>(List.of("sh", "-c", shellPrefix + "exec \"$@\"", "sh",
@@ -57,9 +57,9 @@
   @Test
   void reloadsOnSighup() throws Exception {
     assumeFalse(maskHoldsSighup("SigIgn", "self"),
-        "the tests were started by nohup: a door can't hear the signal");
+        "the tests were started by nohup: a door cannot receive the signal");
     start("");
-    // One that came before it is handled would end the process.
+    // A SIGHUP before the handler is installed would end the process.
     assertTrue(maskHoldsSighup("SigCgt", Long.toString(door.pid())));
     replace();
     new ProcessBuilder("kill", "-HUP", Long.toString(door.pid())).start().waitFor();
@@ -67,7 +67,10 @@
     assertTrue(door.isAlive());
   }
 
-  /** A start takes a second and more where CPU is short: it looks once more when it can take a change. */
+  /**
+   * A start takes a second or more where CPU is short: the front door checks once more when it is able to
+   * reload.
+   */
   @Test
   void aReplacementDuringTheStartIsSeen() throws Exception {
     file = Files.writeString(folder.resolve("config.json"), before.config());
@@ -81,14 +84,17 @@
     assertTrue(trigger.hasChanged());
   }
 
-  /** Whether a process's mask of signals, by its name in /proc, holds SIGHUP. */
+  /** Whether a signal mask of a process, by its name in /proc, holds SIGHUP. */
   private static boolean maskHoldsSighup(String mask, String process) throws IOException {
     String line = Files.readString(Path.of("/proc/" + process + "/status")).lines()
         .filter(l -> l.startsWith(mask)).findFirst().orElseThrow();
     return (Integer.parseInt(line.substring(line.length() - 1), 16) & 1) == 1;
   }
 
-  /** Started by nohup, or by what was: no SIGHUP reaches it, and the old address tells no drains any more. */
+  /**
+   * A process started by nohup, or by a child of such a process, gets no SIGHUP, and discovery at the old
+   * address no longer reports drains.
+   */
   @Test
   void reloadsByPollingWhereSighupIsIgnored() throws Exception {
     start("trap '' HUP; ");
--- a/door/src/test/java/willowdoor/net/WarmUpTest.java
+++ b/door/src/test/java/willowdoor/net/WarmUpTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The made-up requests before service. */
+/** The warm-up with made-up requests before the first client. */
 @Timeout(30)
 class WarmUpTest {
 
@@ -18,7 +18,10 @@
     peers.close();
   }
 
-  /** They go the whole way, or they would warm nothing; and nobody outside sees anything of them. */
+  /**
+   * The made-up requests pass through all of the code, or they would warm up nothing, and no peer sees any of
+   * them.
+   */
   @Test
   void servesMadeUpRequestsWithoutTouchingASocket() throws Exception {
     String config = peers.config(Peers.rosterEntry("s-1", peers.backend.getLocalPort(), "active"));
