--- a/fair/src/main/java/willowdoor/fairgate/FairGate.java
+++ b/fair/src/main/java/willowdoor/fairgate/FairGate.java
@@ -36,16 +36,16 @@
 import willowdoor.policy.GatewayApi.Settings;
 
 /**
- * Takes requests to a {@link FairQueue} and its decisions to their passages. All on the door's loop. What the
- * queue decides while a decision is being carried out waits for its turn, so a burst of releases that are all
- * refused at once goes in a loop, not ever deeper.
+ * Passes requests to a {@link FairQueue} and applies its decisions to their passages. Runs on the door's
+ * event loop only. Actions that result while another action is executed are queued, so that a burst of
+ * releases that are all refused at once is handled iteratively, not recursively.
  */
 public final class FairGate implements RequestFilter {
 
-  /** What tells clients of a firm apart. */
+  /** How the clients of a firm are distinguished. */
   public enum ClientBy { ADDRESS, CONNECTION, HEADER }
 
-  /** One request from its entering to its end. */
+  /** A request from its arrival to its end. */
   private final class QueuedEntry implements FilteredRequest {
     private final Request request;
     private final Continuation passage;
@@ -93,10 +93,13 @@
   }
 
   private static final Logger LOG = Logger.getLogger(FairGate.class.getName());
-  /** How often what was counted is logged, if it has changed. */
+  /** Interval at which the counters are logged, if they have changed. */
   private static final long COUNTS_LOG_INTERVAL_S = 10;
 
-  /** Of firms refused here, one is asked about this often: the most refused are the most asked about. */
+  /**
+   * Minimum time between two updates of a firm's share on a refusal by the queue; all firms share this limit,
+   * so the firms that are refused most are updated most.
+   */
   private static final double SHARE_UPDATE_INTERVAL_MS = 20;
 
   private final EventLoop loop;
@@ -115,11 +118,11 @@
   private double shareUpdatedMs = Double.NEGATIVE_INFINITY;
 
   /**
-   * A gate, for the door's loop and by its clock.
+   * Creates a gate for the door's event loop.
    *
-   * @param clock milliseconds
+   * @param clock monotonic clock of the door, in milliseconds
    * @param firmShare the part of a request's firm's use that comes through this door, from 0 to 1
-   * @param header that names a client, with {@link ClientBy#HEADER}
+   * @param header name of the header that identifies a client, with {@link ClientBy#HEADER}
    */
   public FairGate(EventLoop loop, DoubleSupplier clock, Settings settings, FairSettings fair,
       ToDoubleFunction<Request> firmShare, ClientBy clientBy, String header) {
@@ -142,7 +145,7 @@
     }
   }
 
-  /** What the queue has counted and holds; on the loop. */
+  /** Counters and state of the queue; to be called on the event loop. */
   public FairCounts counts() {
     return queue.counts();
   }
@@ -152,7 +155,7 @@
     return true;
   }
 
-  /** The queue's promises are for what the quota refuses, too. */
+  /** False: the queue also promises come-back times for requests that the quota refuses. */
   @Override
   public boolean wantsQuotaPrecheck() {
     return false;
@@ -178,12 +181,14 @@
         : request.giveUpMs();
     handle(new Arrived(request.id(), request.className(), request.planName(), request.customer(),
         clientKey(origin), request.entryPoints(), request.units(), message.content().readableBytes(),
-        usefulUntilMs,
-        aimMs));
+        usefulUntilMs, aimMs));
     return entry;
   }
 
-  /** Never 0, which is nobody; clients whose hashes meet share their turns. */
+  /**
+   * Key of the client within its firm. Never 0, which means an unknown client; clients with the same hash
+   * share a flow.
+   */
   private long clientKey(Origin origin) {
     SocketAddress source = origin.remoteAddress();
     Object key = clientBy == ClientBy.HEADER ? origin.headers().get(header)
@@ -191,12 +196,14 @@
     return key == null ? 1 : (key.hashCode() & 0xFFFF_FFFFL) + 1;
   }
 
-  /** Where a firm's use comes through moves on while it is paced here. */
+  /**
+   * Reports the firm's current share at this door to the queue; the share changes while the firm is paced
+   * here.
+   */
   private void updateFirmShare(Request request) {
     shareUpdatedMs = clock.getAsDouble();
-    pendingActions
-        .addAll(queue
-        .on(shareUpdatedMs, new FirmShare(request.customer(), firmShare.applyAsDouble(request))));
+    pendingActions.addAll(queue.on(shareUpdatedMs,
+        new FirmShare(request.customer(), firmShare.applyAsDouble(request))));
   }
 
   private void handle(FairEvent event) {
@@ -227,8 +234,8 @@
     } else if (action instanceof Refuse a) {
       QueuedEntry entry = entriesById.get(a.id());
       if (entry != null) {
-        if (a.reason() == RefusalReason.SPENT && clock.getAsDouble()
-            - shareUpdatedMs >= SHARE_UPDATE_INTERVAL_MS) {
+        if (a.reason() == RefusalReason.SPENT
+            && clock.getAsDouble() - shareUpdatedMs >= SHARE_UPDATE_INTERVAL_MS) {
           updateFirmShare(entry.request);
         }
         entry.passage.refuse(advisesHoldOff ? a.comeBackMs() : 0);
@@ -238,12 +245,12 @@
         wakeUp.cancel(false);
       }
       double waitMs = Math.max(0, a.atMs() - clock.getAsDouble());
-      wakeUp = loop
-          .schedule(() -> handle(new Woken()), (long) Math.ceil(waitMs * 1000), TimeUnit.MICROSECONDS);
+      wakeUp = loop.schedule(() -> handle(new Woken()), (long) Math.ceil(waitMs * 1000),
+          TimeUnit.MICROSECONDS);
     }
   }
 
-  /** For tests and statistics: ids that wait or are out. */
+  /** Ids of the requests that wait or are outstanding; for tests and statistics. */
   List<String> currentIds() {
     return List.copyOf(entriesById.keySet());
   }
--- a/policy/src/main/java/willowdoor/fairness/ConcurrencyLimit.java
+++ b/policy/src/main/java/willowdoor/fairness/ConcurrencyLimit.java
@@ -3,48 +3,58 @@
 import willowdoor.fairness.FairSettings.Limit;
 
 /**
- * How many requests may be out at a pool of nodes from this door. The knee is where more of them bring no
- * more answers, only longer ones (L. Kleinrock, "Power and Deterministic Rules of Thumb for Probabilistic
- * Problems in Computer Communications", 1979). It is found by trials in rounds of answers: a tenth more,
- * while requests wait here, is kept where it brings more answers; else it is taken back, and the next trial
- * waits for twice as many rounds.
+ * Adaptive limit of the number of outstanding requests of this door at a pool of backends. The target is the
+ * knee, beyond which more concurrency brings longer response times but no more answers (L. Kleinrock, "Power
+ * and Deterministic Rules of Thumb for Probabilistic Problems in Computer Communications", 1979). It is found
+ * by trials in rounds of answers. While requests wait, the limit is raised by a tenth; the increase is kept
+ * if the answer rate grows, and otherwise reverted, and the next trial waits for twice as many rounds.
  *
- * <p>Beside other doors a door with more out has more answers, but takes them from these. So where answers
- * take a tenth of the time they want, each round takes a tenth, and near that one is added at a time: all
- * doors see the same answers, go down together and come to even parts (multiplicative decrease: D.-M. Chiu
- * and R. Jain, "Analysis of the Increase and Decrease Algorithms for Congestion Avoidance in Computer
- * Networks", 1989).
+ * <p>When several doors share the pool, a door with more outstanding requests gets more answers at the
+ * expense of the others. Therefore, when response times exceed a tenth of their target, each round cuts the
+ * limit by a tenth, and above half of that threshold a trial adds only one request. All doors see the same
+ * response times, decrease together and converge to even shares (multiplicative decrease: D.-M. Chiu and R.
+ * Jain, "Analysis of the Increase and Decrease Algorithms for Congestion Avoidance in Computer Networks",
+ * 1989).
  *
- * <p>Two things are not a crowd, and are told apart from one:
+ * <p>Two conditions are distinguished from congestion:
  *
  * <ul>
- * <li>A <b>pause</b>: no answer at all for much longer than usual while requests are out. What was out
- *     during it tells nothing, and the round begins anew.
- * <li><b>Slow nodes</b>: with fewer out, fewer answers come and none is quicker. What was taken is given
- *     back.
+ * <li>A <b>pause</b>: no answer at all for much longer than usual while requests are outstanding. The answers
+ *     to requests released before its end are ignored, and the round starts again.
+ * <li><b>Slow backends</b>: with fewer outstanding requests, answers are fewer and not faster. The cuts are
+ *     reverted.
  * </ul>
  *
- * <p>It never falls below the least, which keeps probes at nodes that recover.
+ * <p>The limit never falls below its minimum, which keeps probes going to backends that recover.
  */
 final class ConcurrencyLimit {
 
   private static final double TRIAL_INCREASE = 0.1;
-  /** Answers that take more are a crowd, unless fewer out make them no quicker. */
+  /**
+   * Ratio of response time to its target above which the pool is congested, unless a lower limit makes
+   * answers no faster.
+   */
   private static final double CONGESTION_THRESHOLD = 0.1;
   private static final double CONGESTION_CUT_FACTOR = 0.9;
-  /** After so many rounds of it answers are to take this much less, or it is no crowd. */
+  /**
+   * After this many rounds of cuts, response times must have fallen by {@link #MIN_LATENCY_GAIN}; otherwise
+   * the pool is not congested.
+   */
   private static final int CONGESTION_CHECK_ROUNDS = 4;
   private static final double MIN_LATENCY_GAIN = 0.15;
-  /** A trial of more is kept if the answers grow by this part of it. */
+  /** A trial is kept if the answer rate grows by more than this part of the increase of the limit. */
   private static final double MIN_TRIAL_GAIN = 0.35;
   private static final int MIN_ROUND_ANSWERS = 10;
   private static final double MIN_ROUND_MS = 500;
   private static final int MAX_HOLD_ROUNDS = 32;
-  /** A gap of this many usual ones, and of so long at the least, is a pause. */
+  /**
+   * A gap between answers is a pause if it is longer than this many usual gaps and than {@link
+   * #MIN_PAUSE_GAP_MS}.
+   */
   private static final double PAUSE_GAP_FACTOR = 8;
   private static final double MIN_PAUSE_GAP_MS = 150;
   private static final double GAP_SMOOTHING = 0.05;
-  /** One answer counts for no more than this many times the time wanted. */
+  /** Upper bound of the latency ratio of one answer; a failure counts as this ratio. */
   private static final double MAX_LATENCY_RATIO = 3;
 
   private final Limit bounds;
@@ -58,16 +68,20 @@
   private int failures;
   private double latencyRatioSum;
   private boolean limitReached;
-  /** Before a trial: the limit and what its round had; NaN when none is on. */
+  /** Limit before the current trial; NaN without a trial. The rate is that of the round before the trial. */
   private double limitBeforeTrial = Double.NaN;
   private double rateBeforeTrial;
   /**
-   * Where a crowd is taken to be: the limit before, what answers took, and rounds since; NaN when none is.
+   * Limit before the current series of cuts; NaN without one. The other two fields hold the latency ratio
+   * before these cuts, and the number of rounds of cuts.
    */
   private double limitBeforeCuts = Double.NaN;
   private double latencyRatioBeforeCuts;
   private int cutRounds;
-  /** Rounds until the next trial of more and of less, and how many after one that is taken back. */
+  /**
+   * Rounds until the next trial (index 0) and the next cuts (index 1); nextHoldRounds holds the value for the
+   * next revert.
+   */
   private final int[] holdRounds = new int[2];
   private final int[] nextHoldRounds = {1, 1};
 
@@ -96,12 +110,12 @@
     outstanding++;
   }
 
-  /** It is over without an answer that tells of the pool. */
+  /** A request has ended without an answer that gives information about the pool. */
   void endedWithoutAnswer() {
     outstanding--;
   }
 
-  /** A node answered it, or it failed there. */
+  /** A backend has answered a request, or the request failed there. */
   void onAnswer(double nowMs, double releasedMs, double aimMs, boolean failed) {
     outstanding--;
     recordAnswerGap(nowMs);
@@ -126,7 +140,7 @@
     if (gapMs > Math.max(MIN_PAUSE_GAP_MS, PAUSE_GAP_FACTOR * usualGapMs)) {
       pauseEndedMs = nowMs;
       limitReached = false;
-      // The round begins anew: half of it before and half after a pause compare with nothing.
+      // Restart the round: a round that spans a pause cannot be compared with another.
       answers = 0;
       failures = 0;
       latencyRatioSum = 0;
@@ -156,8 +170,8 @@
     } else if (limitReached && holdRounds[0] == 0 && failures * 2 < answers && limit < bounds.max()) {
       limitBeforeTrial = limit;
       rateBeforeTrial = answersPerMs;
-      limit = Math.min(bounds.max(),
-          limit + (latencyRatio < CONGESTION_THRESHOLD / 2 ? Math.max(1, limit * TRIAL_INCREASE) : 1));
+      limit = Math.min(bounds.max(), limit
+          + (latencyRatio < CONGESTION_THRESHOLD / 2 ? Math.max(1, limit * TRIAL_INCREASE) : 1));
     }
   }
 
--- a/policy/src/main/java/willowdoor/fairness/FairAction.java
+++ b/policy/src/main/java/willowdoor/fairness/FairAction.java
@@ -1,33 +1,36 @@
 package willowdoor.fairness;
 
-/** What {@link FairQueue} has done. A request that arrived gets one of {@link Release}, {@link Refuse}. */
+/**
+ * An action that {@link FairQueue} asks for. A request that arrived gets one {@link Release} or one
+ * {@link Refuse}, unless it leaves before.
+ */
 public sealed interface FairAction {
 
-  /** Why a request is refused. */
+  /** Reason for the refusal of a request. */
   enum RefusalReason {
-    /** It would have waited, or has waited, for longer than an answer is of use. */
+    /** The request has waited, or would wait, longer than its answer is useful. */
     LATE,
-    /** Too much waits, and most of it is its firm's. */
+    /** The queue is full, and the firm has the largest backlog for its weight. */
     FULL,
-    /** Its firm's quota is spent for longer than an answer is of use. */
+    /** The firm's quota stays spent for longer than the answer is useful. */
     SPENT,
-    /** The door ends. */
+    /** The door is draining. */
     DRAINING
   }
 
-  /** It goes on to the policy. */
+  /** The request goes on to the policy. */
   record Release(String id, double waitedMs) implements FairAction { }
 
   /**
-   * It is answered now; nothing of it has run.
+   * The request is refused now; nothing of it has run.
    *
-   * @param comeBackMs after which it may come back, which is remembered; 0 where nothing can be promised
+   * @param comeBackMs promised delay after which the client may come back; 0 if none can be promised
    */
   record Refuse(String id, RefusalReason reason, double comeBackMs) implements FairAction { }
 
-  /** What the policy's refusal advises; 0 where nothing can be promised. */
+  /** The come-back delay for a refusal by the policy, in milliseconds; 0 if none can be promised. */
   record Advise(String id, double comeBackMs) implements FairAction { }
 
-  /** To be woken at that time; only the latest such wish counts. */
+  /** Asks for a {@link FairEvent.Woken} at this time; replaces the previous WakeAt. */
   record WakeAt(double atMs) implements FairAction { }
 }
--- a/policy/src/main/java/willowdoor/fairness/FairEvent.java
+++ b/policy/src/main/java/willowdoor/fairness/FairEvent.java
@@ -2,63 +2,64 @@
 
 import java.util.Map;
 
-/** What {@link FairQueue} is told. Times are milliseconds on a clock that only moves forward. */
+/** An input of {@link FairQueue}. Times are in milliseconds on a monotonic clock. */
 public sealed interface FairEvent {
 
-  /** How a request that was let through ended. */
+  /** Outcome of a released request. */
   enum Result {
-    /** A node answered it. */
+    /** A backend answered the request. */
     SERVED,
-    /** It failed at the nodes, or its time passed there. */
+    /** The request failed or timed out at the backends. */
     FAILED,
-    /** Refused since its firm's quota or ceiling was spent: nothing of it ran. */
+    /** Refused because the firm's quota or ceiling was spent: nothing of it ran. */
     SPENT,
-    /** Refused for any other cause: nothing of it ran. */
+    /** Refused for another cause: nothing of it ran. */
     REFUSED,
-    /** Its client left. */
+    /** The client left. */
     LEFT
   }
 
   /**
-   * A request that wants to go on.
+   * A request has arrived.
    *
-   * @param client whose it is within its firm; 0 where that is not known
-   * @param entryPoints doors through which its firm's requests may come
-   * @param bytes of its body
-   * @param usefulUntilMs when an answer stops to be worth anything: the time wanted, or, where late answers
-   *     earn, the deadline
-   * @param aimMs how long its class wants to be under way at most
+   * @param client the client within the firm; 0 if unknown
+   * @param entryPoints number of doors through which the firm's requests may come
+   * @param bytes size of the body
+   * @param usefulUntilMs the time from which an answer is worth nothing: the target time, or the deadline
+   *     where late answers still have a value
+   * @param aimMs target response time of the request's class, in milliseconds
    */
   record Arrived(String id, String className, String plan, long firm, long client, int entryPoints,
       double units, int bytes, double usefulUntilMs, double aimMs) implements FairEvent { }
 
-  /** A waiting request is over without this module: its client left, or its time is up. */
+  /** A waiting request ended outside the queue: its client left, or its deadline passed. */
   record Left(String id) implements FairEvent { }
 
-  /** A request that was let through is over; units are what it truly cost, 0 where that is not told. */
+  /** A released request has ended; units are its actual cost, 0 if unknown. */
   record Ended(String id, Result result, double units) implements FairEvent { }
 
-  /** That part, from 0 to 1, of a firm's use of late came through this door. */
+  /** The share, from 0 to 1, of a firm's recent use that came through this door. */
   record FirmShare(long firm, double share) implements FairEvent { }
 
   /**
-   * The policy refuses a request that was let through, and would advise to come back after that time;
-   * answered by an Advise.
+   * The policy refuses a released request and would itself advise to come back after the hold-off time.
+   * Answered by an {@link FairAction.Advise}.
    *
-   * @param quotaSpent the cause is its firm's quota or ceiling
+   * @param quotaSpent whether the cause is the firm's quota or ceiling
+   * @param holdOffMs the policy's own advice, in milliseconds
    */
   record Refusing(String id, boolean quotaSpent, double holdOffMs) implements FairEvent { }
 
-  /** Plans have other parts from here on. */
+  /** The settings of the plans have changed. */
   record PlansChanged(Map<String, FairSettings.PlanSettings> plans) implements FairEvent { }
 
   /**
-   * Nothing may wait here any more: this door ends, or another instance takes over.
+   * No request may wait here any more: this door ends, or another instance takes over.
    *
-   * @param on false when it serves on after all
+   * @param on false if the door continues to serve after all
    */
   record Draining(boolean on) implements FairEvent { }
 
-  /** The time of a WakeAt has come. */
+  /** The time of the last {@link FairAction.WakeAt} has come. */
   record Woken() implements FairEvent { }
 }
--- a/policy/src/main/java/willowdoor/fairness/FairQueue.java
+++ b/policy/src/main/java/willowdoor/fairness/FairQueue.java
@@ -24,32 +24,32 @@
 import willowdoor.fairness.FairSettings.PlanSettings;
 
 /**
- * Decides who comes next to a pool of nodes, and how long a request may wait for its turn. Which node,
- * whether to retry and what to refuse otherwise is the policy's, which a request meets when it is let
- * through; until then it takes no units and no place. No I/O, no clock, no thread.
+ * Decides which request goes next to a pool of backends, and how long a request may wait. The policy chooses
+ * the backend and decides on retries and all other refusals; a request reaches the policy when it is
+ * released, and uses no units and no backend capacity before. The class does no I/O and has no clock or
+ * thread of its own.
  *
  * <ul>
- * <li>Turns go by {@link FairTree}; how much may be out by {@link ConcurrencyLimit}. A firm at its own bound
- * of
- *     requests out, or whose quota was seen to be spent, has no turn until there is room, and stands in
- *     nobody's way.
- * <li>What cannot be let through early enough for an answer that is of use is refused as soon as that is
- *     seen, on arrival at best. It is never held back.
- * <li>A refusal tells when to come back if a time can be promised, and that is remembered ({@link
- *     Promises}): a client that does comes
- *     ahead of all turns, charged to its firm. What was promised is less than what drains, so that room is
- *     there; when it is not, since nodes have died or a limit fell, the promise is counted as missed and the
- *     client taken at its next coming, whenever that is.
+ * <li>{@link FairTree} defines the order, {@link ConcurrencyLimit} the number of outstanding requests. A firm
+ *     at its own bound of outstanding requests, or whose quota was found spent, is skipped until it has room,
+ *     and does not delay other firms.
+ * <li>A request that cannot be released early enough for a useful answer is refused as soon as this is known,
+ *     if possible on arrival.
+ * <li>A refusal carries a come-back time if one can be promised ({@link Promises}). A client that comes back
+ *     on time goes ahead of the fair order, and its firm is charged. Less than the service rate is promised,
+ *     so that there is room for these clients. When there is none, because backends failed or a limit fell,
+ *     the promise counts as missed. If the request was refused, other than for draining, the client is
+ *     admitted on its next arrival within {@link Promises#OWED_MS}.
  * </ul>
  */
 public final class FairQueue {
 
-  /** No earlier than this is promised: the answer has its way, and the client a moment to think. */
+  /** Minimum come-back delay: allows for the answer's travel time and the client's processing. */
   private static final double MIN_COME_BACK_MS = 100;
-  /** What the pool serves is measured over so long: longer than a pause. */
+  /** Window of the measurement of the service rate; longer than a pause (see {@link ConcurrencyLimit}). */
   private static final double RATE_WINDOW_MS = 1_000;
   private static final double RATE_SMOOTHING = 0.3;
-  /** Classes whose times are learned; further ones share one entry. */
+  /** Maximum number of classes with their own service time model; further classes share one. */
   private static final int MAX_CLASSES = 64;
 
   private final FairSettings settings;
@@ -58,12 +58,12 @@
   private final ConcurrencyLimit limit;
   private final Promises promises;
   private final Map<String, QueuedRequest> requestsById = new HashMap<>();
-  /** Those that came back when told, in order of their coming. */
+  /** Requests of clients that came back on time, in order of arrival. */
   private final ArrayDeque<QueuedRequest> expressQueue = new ArrayDeque<>();
   private final TreeSet<QueuedRequest> waitingByDeadline =
       new TreeSet<>(Comparator.<QueuedRequest>comparingDouble(w -> w.latestReleaseMs)
       .thenComparingLong(w -> w.sequenceNumber));
-  /** Firms held back until their quota lets one through. */
+  /** Firms held back until their quota admits a request, earliest first. */
   private final TreeSet<Flow> heldBackFirms =
       new TreeSet<>(Comparator.<Flow>comparingDouble(f -> f.firm.readyAtMs)
       .thenComparingLong(f -> f.firm.number));
@@ -74,7 +74,7 @@
   private boolean draining;
   private long nextNumber;
   private long waitingBytes;
-  /** Cost that the pool ends in a millisecond; NaN until measured. */
+  /** Cost that the pool completes per millisecond; NaN until measured. */
   private double poolCostPerMs = Double.NaN;
   private double windowStartMs = Double.NaN;
   private double windowCost;
@@ -97,7 +97,7 @@
     promises = new Promises(settings.bounds(), settings.comeBack());
   }
 
-  /** Takes one event and gives what to do, in order. */
+  /** Handles one event and returns the resulting actions, in order. */
   public List<FairAction> on(double eventMs, FairEvent event) {
     nowMs = eventMs;
     actions = new ArrayList<>(2);
@@ -132,22 +132,19 @@
     return new FairCounts(arrived, releasedAtOnce, released, refusedByReason[RefusalReason.LATE.ordinal()],
         refusedByReason[RefusalReason.SPENT.ordinal()],
         refusedByReason[RefusalReason.FULL.ordinal()], refusedByReason[RefusalReason.DRAINING.ordinal()],
-        left,
-        promises.promisedCount(), keptPromises,
-        missedLate, missedSpent, missedFull, promises.unclaimedCount(), waitingByDeadline.size(),
-        waitingBytes,
-        limit.outstanding(),
+        left, promises.promisedCount(), keptPromises, missedLate, missedSpent, missedFull,
+        promises.unclaimedCount(), waitingByDeadline.size(), waitingBytes, limit.outstanding(),
         limit.limit(), tree.firmCount(), tree.clientFlowCount(), promises.rememberedCount());
   }
 
-  // ---- Coming ----
+  // ---- Arrival ----
 
   private void onArrived(Arrived e) {
     arrived++;
     PlanSettings planSettings = plans.getOrDefault(e.plan(), settings.otherPlans());
     int doors = Math.max(1, Math.min(e.entryPoints(), settings.doors()));
-    Flow flow = tree
-        .clientFlow(plans.containsKey(e.plan()) ? e.plan() : "", planSettings, e.firm(), e.client(), doors);
+    Flow flow = tree.clientFlow(plans.containsKey(e.plan()) ? e.plan() : "", planSettings, e.firm(),
+        e.client(), doors);
     Firm firm = flow.parent.firm;
     double cost = e.units() * (settings.cost() == Cost.WORK ? firm.workFactor : 1);
     QueuedRequest request = new QueuedRequest(e, flow, nextNumber++, nowMs,
@@ -165,9 +162,8 @@
         ? firm.unpromisedWaitMs(nowMs, flow.parent.waitingCost + e.units()) : 0;
     double waitMs = Math.max(quotaWaitMs, waitForTurnMs(e, flow, cost));
     if (waitMs > 0 && (draining || nowMs + waitMs > request.latestReleaseMs)) {
-      refuse(request,
-          draining ? RefusalReason.DRAINING : quotaWaitMs >= waitMs ? RefusalReason.SPENT
-          : RefusalReason.LATE);
+      refuse(request, draining ? RefusalReason.DRAINING
+          : quotaWaitMs >= waitMs ? RefusalReason.SPENT : RefusalReason.LATE);
     } else if (makeRoom(request)) {
       register(request);
       tree.add(request);
@@ -181,13 +177,13 @@
     waitingBytes += request.arrival.bytes();
   }
 
-  /** What a request is expected to take at the nodes, in milliseconds; 0 while nothing is known. */
+  /** Expected service time of a request at the backends, in milliseconds; 0 while nothing is known. */
   private double expectedServiceMs(Arrived e) {
     ServiceTimeModel serviceTime = serviceTimes.get(e.className());
     return serviceTime == null ? 0 : serviceTime.expectedMs(e.units());
   }
 
-  /** How long until such a request has its turn, by what drains now. */
+  /** Expected wait of a new request for its turn, in milliseconds, at the current service rate. */
   private double waitForTurnMs(Arrived e, Flow flow, double cost) {
     Firm firm = flow.parent.firm;
     double firmWaitMs = 0;
@@ -202,7 +198,8 @@
   }
 
   /**
-   * Puts out the latest of the fullest firm until there is room; false when the newcomer itself had to go.
+   * Drops the latest request of the firm with the largest backlog for its weight until there is room. Returns
+   * false if the newcomer itself was refused.
    */
   private boolean makeRoom(QueuedRequest newcomer) {
     while (waitingByDeadline.size() >= settings.bounds().waiting() || waitingBytes > 0
@@ -216,20 +213,22 @@
     return true;
   }
 
-  /** Whether the newcomer's firm has, with it, more waiting for its weight than any other. */
+  /**
+   * Whether the newcomer's firm, including the newcomer, has a larger backlog for its weight than any other.
+   */
   private boolean newcomerIsFullest(QueuedRequest newcomer) {
     Flow firmFlow = newcomer.flow.parent;
-    return (firmFlow.waitingCost + newcomer.cost) / firmFlow.weight > tree
-        .victim().flow.parent.backlogPerWeight;
+    return (firmFlow.waitingCost + newcomer.cost) / firmFlow.weight
+        > tree.victim().flow.parent.backlogPerWeight;
   }
 
-  // ---- Going on ----
+  // ---- Release ----
 
   private void releaseWhileRoom() {
     while (limit.hasRoom()) {
       QueuedRequest request = expressQueue.poll();
       if (request != null && request.firm().isAtOutstandingLimit()) {
-        // Its firm has all out that it may: it is the first of its firm when one of those ends.
+        // The firm is at its bound: this request goes to the head of its client's flow instead.
         request.isExpress = false;
         tree.addFirst(request);
         updateHold(request.flow.parent);
@@ -258,7 +257,7 @@
     actions.add(new Release(request.arrival.id(), nowMs - request.arrivedMs));
   }
 
-  /** Lets a firm have its turns, or holds it back, as its quota and its bound say now. */
+  /** Holds a firm back or makes it eligible again, according to its quota and its bound. */
   private void updateHold(Flow firmFlow) {
     heldBackFirms.remove(firmFlow);
     double units = firmFlow.waitingCount == 0 ? 0 : firmFlow.readyChildren.first().head.arrival.units();
@@ -305,14 +304,17 @@
     }
   }
 
-  /** Charges what it took beyond what it was charged, and learns what its class and its firm take. */
+  /**
+   * Charges the difference between actual and assumed cost, and updates the service time of the class and the
+   * work factor of the firm.
+   */
   private void settle(QueuedRequest request, double reportedUnits) {
     double units = request.arrival.units();
     double actualCost = reportedUnits > 0 ? reportedUnits : units;
     double tookMs = nowMs - request.releasedMs;
     String className = request.arrival.className();
-    ServiceTimeModel serviceTime = serviceTimes
-        .computeIfAbsent(serviceTimes.size() < MAX_CLASSES ? className : "", n -> new ServiceTimeModel());
+    ServiceTimeModel serviceTime = serviceTimes.computeIfAbsent(
+        serviceTimes.size() < MAX_CLASSES ? className : "", n -> new ServiceTimeModel());
     if (settings.cost() == Cost.WORK) {
       request.firm().recordWorkRatio(serviceTime.workRatio(units, tookMs));
       actualCost = units * request.firm().workFactor;
@@ -331,25 +333,26 @@
     double spanMs = nowMs - windowStartMs;
     if (spanMs >= RATE_WINDOW_MS) {
       double measured = windowCost / spanMs;
-      poolCostPerMs = Double.isNaN(poolCostPerMs) ? measured : windowBusy ? poolCostPerMs + RATE_SMOOTHING
-          * (measured - poolCostPerMs) : Math.max(poolCostPerMs, measured);
+      poolCostPerMs = Double.isNaN(poolCostPerMs) ? measured
+          : windowBusy ? poolCostPerMs + RATE_SMOOTHING * (measured - poolCostPerMs)
+          : Math.max(poolCostPerMs, measured);
       windowStartMs = nowMs;
       windowCost = 0;
       windowBusy = true;
     }
   }
 
-  // ---- Going ----
+  // ---- Refusal ----
 
   private void refuseOverdue() {
     while (!waitingByDeadline.isEmpty() && waitingByDeadline.first().latestReleaseMs < nowMs) {
       QueuedRequest request = waitingByDeadline.first();
-      refuseWaiting(request,
-          request.firm().isHeldBack() && !request.hasPromise ? RefusalReason.SPENT : RefusalReason.LATE);
+      refuseWaiting(request, request.firm().isHeldBack() && !request.hasPromise
+          ? RefusalReason.SPENT : RefusalReason.LATE);
     }
   }
 
-  /** Refuses one that waits. */
+  /** Removes a waiting request and refuses it. */
   private void refuseWaiting(QueuedRequest request, RefusalReason reason) {
     removeWaiting(request);
     refuse(request, reason);
@@ -389,8 +392,8 @@
     if (request.hasPromise) {
       promises.owe(request.firm(), request.arrival.client(), nowMs);
     }
-    actions.add(
-        new Refuse(request.arrival.id(), reason, Double.isNaN(comeBackAtMs) ? 0 : comeBackAtMs - nowMs));
+    actions.add(new Refuse(request.arrival.id(), reason,
+        Double.isNaN(comeBackAtMs) ? 0 : comeBackAtMs - nowMs));
   }
 
   private void onRefusing(Refusing e) {
@@ -407,7 +410,7 @@
     actions.add(new Advise(e.id(), Double.isNaN(comeBackAtMs) ? 0 : comeBackAtMs - nowMs));
   }
 
-  /** The time from which on the client is let through, or NaN where none can be promised. */
+  /** Promises a time from which the client is admitted; NaN if none can be promised. */
   private double promiseComeBack(QueuedRequest request, double minWaitMs) {
     if (Double.isNaN(poolCostPerMs)) {
       return Double.NaN;
@@ -419,23 +422,21 @@
     firmTakesMs = pacedUnitsPerMs > 0 ? Math.max(firmTakesMs, units / pacedUnitsPerMs) : firmTakesMs;
     double drainRate = firm.outstandingDrainRate(Math.max(1, expectedServiceMs(request.arrival)));
     firmTakesMs = drainRate > 0 ? Math.max(firmTakesMs, 1 / drainRate) : firmTakesMs;
-    double earliestMs = nowMs
-        + Math.max(Math.max(minWaitMs, MIN_COME_BACK_MS),
+    double earliestMs = nowMs + Math.max(Math.max(minWaitMs, MIN_COME_BACK_MS),
         firm.waitForQuotaMs(nowMs, pacedUnitsPerMs > 0 ? units : 0));
-    return promises
-        .promise(firm, request.arrival.client(), nowMs, earliestMs, firmTakesMs,
+    return promises.promise(firm, request.arrival.client(), nowMs, earliestMs, firmTakesMs,
         request.cost / poolCostPerMs);
   }
 
-  // ---- Beside ----
+  // ---- Shares and timer ----
 
   private void onFirmShare(FirmShare e) {
     for (String plan : tree.planNames()) {
       Flow firmFlow = tree.firm(plan, e.firm());
       if (firmFlow != null) {
         firmFlow.firm.doorShare(nowMs, e.share());
-        tree.setWeight(firmFlow,
-            plans.getOrDefault(plan, settings.otherPlans()).firmWeight() * firmFlow.firm.doorShare());
+        tree.setWeight(firmFlow, plans.getOrDefault(plan, settings.otherPlans()).firmWeight()
+            * firmFlow.firm.doorShare());
         updateHold(firmFlow);
       }
     }
--- a/policy/src/main/java/willowdoor/fairness/FairSettings.java
+++ b/policy/src/main/java/willowdoor/fairness/FairSettings.java
@@ -3,18 +3,18 @@
 import java.util.Map;
 
 /**
- * What a {@link FairQueue} goes by.
+ * Settings of a {@link FairQueue}.
  *
- * @param plans the plans with parts of their own
- * @param otherPlans what any other plan has
- * @param doors doors of the fleet: until more is told, a firm's part at one is what an even spread makes it
- * @param cost what a request is charged
+ * @param plans plans with their own settings, by name
+ * @param otherPlans settings of every other plan
+ * @param doors doors of the fleet; until a firm's share at this door is reported, an even spread over the
+ *     doors is assumed
+ * @param cost how a request is charged
  */
 public record FairSettings(Map<String, PlanSettings> plans, PlanSettings otherPlans, int doors, Cost cost,
-    Bounds bounds,
-    Limit limit, ComeBack comeBack) {
+    Bounds bounds, Limit limit, ComeBack comeBack) {
 
-  /** A request costs its units, or its units by what its firm's requests take of the nodes' time. */
+  /** A request is charged its units, or its units multiplied by the measured work factor of its firm. */
   public enum Cost { UNITS, WORK }
 
   public FairSettings {
@@ -22,19 +22,19 @@
     positive("doors", doors);
   }
 
-  /** That plan's part. */
+  /** The settings of a plan. */
   PlanSettings planSettings(String plan) {
     return plans.getOrDefault(plan, otherPlans);
   }
 
   /**
-   * One plan.
+   * Settings of a plan.
    *
-   * @param weight of the whole plan against other plans; 0 makes it the sum of its waiting firms' weights
-   * @param firmWeight of each of its firms against its other firms
-   * @param rate units a second of a firm's quota; 0 is none
-   * @param burst units of a firm's bucket
-   * @param maxOutstanding requests of a firm at the nodes at once, over all doors; 0 is no bound
+   * @param weight weight of the whole plan against other plans; 0: the sum of its ready firms' weights
+   * @param firmWeight weight of each firm against the other firms of the plan
+   * @param rate refill rate of a firm's quota, in units per second; 0 for no quota
+   * @param burst capacity of a firm's token bucket, in units
+   * @param maxOutstanding maximum concurrent requests of a firm at the backends, over all doors; 0: no bound
    */
   public record PlanSettings(double weight, double firmWeight, double rate, double burst,
       int maxOutstanding) {
@@ -48,15 +48,16 @@
   }
 
   /**
-   * Sizes, and what follows where one is met.
+   * Size limits, and the effect of reaching each.
    *
-   * @param waiting requests; one more refuses the latest of the firm that has most waiting
-   * @param bytes of waiting bodies; the same
-   * @param firms firms known; further ones share one flow of their plan
-   * @param flows clients' flows of all firms; further clients share those of their firm
-   * @param clientsOfFirm a firm's clients with a flow of their own
-   * @param sharedFlows flows of a firm that its further clients share, by hash
-   * @param promises come-back times remembered; beyond it advice promises nothing
+   * @param waiting waiting requests; beyond the limit, the latest request of the firm with the largest
+   *     backlog for its weight is refused
+   * @param bytes total size of the waiting bodies, with the same effect
+   * @param firms firms with a flow; further firms share one flow of their plan
+   * @param flows clients' flows of all firms; further clients share a flow of their firm
+   * @param clientsOfFirm clients of a firm with their own flow
+   * @param sharedFlows flows that further clients of a firm share, chosen by hash
+   * @param promises promised come-back times in memory; beyond the limit, none is promised
    * @param promisesOfFirm the same for one firm
    */
   public record Bounds(int waiting, long bytes, int firms, int flows, int clientsOfFirm, int sharedFlows,
@@ -72,13 +73,16 @@
       notNegative("promisesOfFirm", promisesOfFirm);
     }
 
-    /** What a door of 64 MB holds without feeling it. */
+    /** Limits that fit into a door with 64 MB of memory. */
     public static Bounds defaults() {
       return new Bounds(4_096, 4 << 20, 4_096, 16_384, 64, 8, 16_384, 1_024);
     }
   }
 
-  /** Requests out at the pool from this door: to begin with, at the least (the probes' part), at the most. */
+  /**
+   * Bounds of the concurrency limit of this door at the pool: the initial value, the minimum (which keeps
+   * health probes going) and the maximum.
+   */
   public record Limit(double initial, double min, double max) {
     public Limit {
       positive("least", min);
@@ -89,10 +93,11 @@
   }
 
   /**
-   * Come-back times.
+   * Settings of promised come-back times.
    *
-   * @param promisedShare of what drains that may be promised; the rest is for those who come unpromised
-   * @param maxDelayMs the furthest that is promised, in milliseconds
+   * @param promisedShare the part of the service rate that may be promised; the rest is for clients
+   *     without a promise
+   * @param maxDelayMs the longest delay that is promised, in milliseconds
    */
   public record ComeBack(double promisedShare, double maxDelayMs) {
     public ComeBack {
--- a/policy/src/main/java/willowdoor/fairness/FairTree.java
+++ b/policy/src/main/java/willowdoor/fairness/FairTree.java
@@ -7,24 +7,24 @@
 import willowdoor.fairness.FairSettings.PlanSettings;
 
 /**
- * Whose turn it is: start-time fair queueing in a hierarchy of plan, firm and client. P. Goyal, H. M. Vin and
- * H. Cheng, "Start-time Fair Queueing: A Scheduling Algorithm for Integrated Services Packet Switching
- * Networks", SIGCOMM 1996. Of two flows {@code f} and {@code m} of one parent that both have something
- * waiting throughout an interval, with {@code W} what each was charged in it, {@code w} their weights and
- * {@code l} the dearest request of each,
+ * Selects the next request by start-time fair queueing in a hierarchy of plan, firm and client (P. Goyal,
+ * H. M. Vin and H. Cheng, "Start-time Fair Queueing: A Scheduling Algorithm for Integrated Services Packet
+ * Switching Networks", SIGCOMM 1996). For two flows {@code f} and {@code m} with the same parent that both
+ * have waiting requests throughout an interval, with {@code W} the cost charged to each in the interval,
+ * {@code w} their weights and {@code l} the highest cost of a request of each,
  *
  * <pre>|W_f / w_f - W_m / w_m| &lt;= l_f / w_f + l_m / w_m</pre>
  *
- * <p>whatever the nodes' rate does meanwhile. What was charged too little or too much moves the flow's tag.
- * When too much waits, the latest request of the firm with the most cost waiting for its weight goes: longest
- * queue drop (B. Suter et al., "Design Considerations for Supporting TCP with Per-flow Queueing", INFOCOM
- * 1998). A decision costs O(log flows).
+ * <p>however the service rate varies meanwhile. A correction of a request's cost moves the flow's start tag.
+ * On overflow, the latest request of the firm with the highest waiting cost for its weight is dropped:
+ * longest queue drop (B. Suter et al., "Design Considerations for Supporting TCP with Per-flow Queueing",
+ * INFOCOM 1998). A decision takes O(log flows).
  */
 final class FairTree {
 
-  /** The firm that stands for all without a place of their own. */
+  /** Key of the flow that all firms of a plan beyond the limit share. */
   private static final Object SHARED_FIRM_KEY = new Object();
-  /** Idle flows looked at for one to forget. */
+  /** Maximum number of idle flows that are inspected to evict one. */
   private static final int MAX_IDLE_INSPECTED = 4;
 
   private final Bounds bounds;
@@ -57,18 +57,18 @@
     return !root.readyChildren.isEmpty();
   }
 
-  /** Plans of which a firm was seen. */
+  /** Names of the plans of which a firm has been seen. */
   List<String> planNames() {
     return root.children.keySet().stream().map(k -> (String) k).toList();
   }
 
-  /** The firm's flow if it has one. */
+  /** The firm's own flow, or null. */
   Flow firm(String plan, long firm) {
     Flow planFlow = root.children.get(plan);
     return planFlow == null ? null : planFlow.children.get(firm);
   }
 
-  /** The flow of a client; made if there is a place for it, else one that it shares. */
+  /** The flow of a client. It is created if the limits allow; otherwise the client gets a shared flow. */
   Flow clientFlow(String plan, PlanSettings settings, long firm, long client, int entryPoints) {
     Flow planFlow = root.children.get(plan);
     if (planFlow == null) {
@@ -131,14 +131,14 @@
     updateEligibility(request.flow);
   }
 
-  /** The same, ahead of its client's others. */
+  /** Adds a request ahead of the other requests of its client. */
   void addFirst(QueuedRequest request) {
     request.flow.addFirst(request);
     updateBacklog(request, 1);
     updateEligibility(request.flow);
   }
 
-  /** The next request by turn; it is charged. */
+  /** Removes the next request in fair order, and charges its cost. */
   QueuedRequest next() {
     Flow flow = root;
     while (flow.readyChildren != null) {
@@ -155,14 +155,17 @@
     return request;
   }
 
-  /** It waits no longer, and costs nothing. */
+  /** Removes a waiting request without charging it. */
   void remove(QueuedRequest request) {
     request.flow.unlink(request);
     updateBacklog(request, -1);
     updateEligibility(request.flow);
   }
 
-  /** What has to go when too much waits: the latest request of the fullest client of the fullest firm. */
+  /**
+   * The request to drop on overflow: the latest request of the client with the highest waiting cost, of the
+   * firm with the highest backlog for its weight.
+   */
   QueuedRequest victim() {
     Flow fullest = null;
     for (Flow client : firmsByBacklog.first().children.values()) {
@@ -172,20 +175,23 @@
     return fullest.tail;
   }
 
-  /** Charges a client, its firm and its plan; a negative amount gives back, not beyond the present. */
+  /**
+   * Charges a client, its firm and its plan. A negative cost is a refund; it moves no tag before the parent's
+   * current virtual time.
+   */
   void charge(Flow leaf, double cost) {
     for (Flow flow = leaf; flow.parent != null; flow = flow.parent) {
       double weight = flow.effectiveWeight();
       boolean wasReady = removeFromReady(flow);
-      flow.startTag = Math
-          .max(flow.parent.virtualTime, Math.max(flow.parent.virtualTime, flow.startTag) + cost / weight);
+      flow.startTag = Math.max(flow.parent.virtualTime, Math.max(flow.parent.virtualTime, flow.startTag)
+          + cost / weight);
       if (wasReady) {
         addToReady(flow);
       }
     }
   }
 
-  /** Another weight from here on. */
+  /** Changes the weight of a flow. */
   void setWeight(Flow flow, double weight) {
     boolean wasReady = removeFromReady(flow);
     flow.weight = weight;
@@ -194,7 +200,7 @@
     }
   }
 
-  /** A plan's parts from here on: of itself, and of the firms that it has. */
+  /** Changes the settings of a plan and of its current firms. */
   void setPlan(String plan, PlanSettings settings) {
     Flow planFlow = root.children.get(plan);
     if (planFlow != null) {
@@ -208,7 +214,7 @@
     }
   }
 
-  /** Takes into account that a flow, or what is above it, may be served now or may not any more. */
+  /** Updates whether a flow and its ancestors are eligible for service. */
   void updateEligibility(Flow from) {
     for (Flow flow = from; flow.parent != null; flow = flow.parent) {
       boolean eligible = flow.isEligible();
@@ -222,21 +228,26 @@
     }
   }
 
-  /** The part of all that is served which a flow would have if it had something waiting, from 0 to 1. */
+  /**
+   * The share of the total service that a flow has, or would have if it had waiting requests, from 0 to 1.
+   */
   double shareOf(Flow leaf) {
     double share = 1;
     double joiningWeight = 0;
     for (Flow flow = leaf; flow.parent != null; flow = flow.parent) {
       double ownWeight = flow.weight > 0 ? flow.weight : flow.readyChildrenWeight + joiningWeight;
-      double othersWeight = Math
-          .max(0, readyWeight(flow.parent) - (flow.isReady ? flow.effectiveWeight() : 0));
+      double othersWeight =
+          Math.max(0, readyWeight(flow.parent) - (flow.isReady ? flow.effectiveWeight() : 0));
       share *= ownWeight / (ownWeight + othersWeight);
       joiningWeight = flow.isReady ? 0 : ownWeight;
     }
     return share;
   }
 
-  /** Plans are few, and those without a weight change theirs as firms come and go. */
+  /**
+   * The weight of all ready children. For the root it is summed anew: there are few plans, and the weight of
+   * a plan without its own weight changes with its ready firms.
+   */
   private double readyWeight(Flow parent) {
     if (parent != root) {
       return parent.readyChildrenWeight;
--- a/policy/src/main/java/willowdoor/fairness/Firm.java
+++ b/policy/src/main/java/willowdoor/fairness/Firm.java
@@ -4,36 +4,43 @@
 import willowdoor.fairness.FairSettings.PlanSettings;
 
 /**
- * What is known of a firm beside its place in the order: what it has out, its quota once that was seen to be
- * spent, and the come-back times that it was told.
+ * State of a firm apart from its position in the fair order: its outstanding requests, its quota once the
+ * policy has found it spent, and the come-back times promised to its clients.
  *
- * <p>Of its quota this door paces a part: what is told of its use over all doors, or an even one. A request
- * that was paced and found the quota spent all the same, as parts were told late or not at all, makes it
- * careful for a while: a little less is paced, and so promised.
+ * <p>This door paces the firm by a share of its quota: the reported share of the firm's use that comes
+ * through this door, or an even share. A paced request may still find the quota spent, when shares were
+ * reported late or not at all. The pace is then reduced for a while, and with it the rate that is promised.
  */
 final class Firm {
 
   /**
-   * A firm seen to be spent is paced by its quota for so long, and then until its bucket is full: it asks for
-   * less than its quota. Ended earlier, whatever came next would take what others were told to come back for.
+   * After its quota was found spent, a firm is paced for this time, and then until its bucket is full, which
+   * shows that it asks for less than its quota. If pacing ended earlier, new arrivals would take the units
+   * that were promised to other clients.
    */
   private static final double SPENT_PACING_MS = 5_000;
   private static final double PACE_CUT_FACTOR = 0.9;
   private static final double MIN_PACE_FACTOR = 0.5;
   private static final double PACE_RAISE_PER_S = 0.02;
-  /** A part that is told is mixed with an even one by so much, or a door that has none would get none. */
+  /**
+   * Weight of the even share that is mixed into a reported share, so that a door with a reported share of 0
+   * still gets some of the quota.
+   */
   private static final double EVEN_SHARE_MIX = 0.1;
-  /** Cuts come this far apart: what was let through before the first one tells nothing new. */
+  /** Minimum time between two cuts: requests released before the first cut give no new information. */
   private static final double MIN_CUT_INTERVAL_MS = 250;
-  /** A firm without a quota, or unknown, is not bound by one. */
+  /** Rate of a firm that is not paced. */
   private static final double NO_RATE = 0;
-  /** What is left of a quota's pace beside those who were told to come back: a guess, and a careful one. */
+  /**
+   * Assumed part of a firm's pace that is left for clients without a promise while promises are outstanding;
+   * a conservative estimate.
+   */
   private static final double UNPROMISED_RATE_SHARE = 0.2;
-  /** A wait of less than this is none. */
+  /** A wait that is no longer than this counts as no wait. */
   private static final double ROUNDING_MS = 0.01;
-  /** Weight of the newest answer in what a firm's requests take. */
+  /** Weight of the newest answer in the moving average of a firm's work ratio. */
   private static final double WORK_RATIO_SMOOTHING = 0.03;
-  /** Answers tell of the work of one request within these factors; beyond, of an accident. */
+  /** Bounds of the work factor: ratios beyond them come from disturbances, not from the work of a request. */
   static final double MIN_WORK_FACTOR = 0.1;
   static final double MAX_WORK_FACTOR = 20;
 
@@ -43,14 +50,14 @@
   private double doorShare;
   private double paceFactor = 1;
   int outstanding;
-  /** What its requests take for what their units say, all firms' being 1. */
+  /** Work of the firm's requests for their units, relative to all firms (1). */
   double workFactor = 1;
   private double meanWorkRatio = 1;
-  /** Come-back times told, in order, and not claimed yet. */
+  /** Promised come-back times that are not claimed yet, in order. */
   final ArrayDeque<Promises.Promise> promises = new ArrayDeque<>(1);
-  /** When its quota lets the next through, while it is held back. */
+  /** While the firm is held back: the time at which its quota admits the next request. */
   double readyAtMs;
-  /** Until then nothing more may be promised: what was has taken the room. */
+  /** All of the firm's rate that may be promised is taken until this time. */
   double promisedUntilMs;
   private double bucketUnits;
   private double bucketUpdatedMs;
@@ -66,7 +73,7 @@
     doorShare = 1.0 / this.entryPoints;
   }
 
-  /** The part of its use that comes through this door, as told, or else as an even spread makes it. */
+  /** The share of the firm's use that comes through this door: as reported, otherwise an even share. */
   double doorShare() {
     return doorShare;
   }
@@ -81,7 +88,7 @@
     bucketUnits = Math.min(bucketUnits, newPlan.burst());
   }
 
-  /** Whether it may have nothing more out now. */
+  /** Whether no further request of the firm may be released now. */
   boolean isBlocked() {
     return heldBack || isAtOutstandingLimit();
   }
@@ -95,17 +102,20 @@
     return outstanding == 0 && promises.isEmpty() && !heldBack && bucketUnits >= 0;
   }
 
-  /** Units a millisecond of its quota that are this door's; 0 while it is not known to be spent. */
+  /** This door's part of the quota, in units per millisecond; 0 while the firm is not paced. */
   double pacedUnitsPerMs(double nowMs) {
     return paced ? plan.rate() * doorShare * paceFactor / 1000 : NO_RATE;
   }
 
-  /** Requests a millisecond that its bound of requests out lets through, each taking so long; 0 is any. */
+  /**
+   * Requests per millisecond that the firm's bound of outstanding requests allows, at the given service time
+   * of each in milliseconds; 0 for no bound.
+   */
   double outstandingDrainRate(double serviceMs) {
     return plan.maxOutstanding() <= 0 ? 0 : Math.max(1, plan.maxOutstanding() * doorShare) / serviceMs;
   }
 
-  /** How long until its quota lets so many units through, with so many ahead; 0 where it does not bind. */
+  /** Milliseconds until the quota admits this many units; 0 while the firm is not paced. */
   double waitForQuotaMs(double nowMs, double units) {
     advance(nowMs);
     double unitsPerMs = pacedUnitsPerMs(nowMs);
@@ -116,13 +126,16 @@
     return Math.max(1, plan.burst() * doorShare);
   }
 
-  /** Units kept for those who were told to come back. */
+  /** Units reserved for clients with a promised come-back time. */
   private double reservedUnits(double nowMs) {
     return promises.isEmpty() ? 0
         : Math.min(bucketCapacity() / 2, pacedUnitsPerMs(nowMs) * Promises.CLAIM_WINDOW_MS);
   }
 
-  /** How long until so many units come through for who was promised nothing, beside those who were. */
+  /**
+   * Milliseconds until the quota admits this many units for a client without a promise, beside the clients
+   * with one.
+   */
   double unpromisedWaitMs(double nowMs, double units) {
     double rateShare = promises.isEmpty() ? 1 : UNPROMISED_RATE_SHARE;
     return waitForQuotaMs(nowMs, units + reservedUnits(nowMs)) / rateShare;
@@ -133,8 +146,10 @@
   }
 
   /**
-   * Holds it back while its quota is spent, with a second's room kept for those who were told to come back;
-   * tells whether that has changed.
+   * Holds the firm back while its quota is spent. Up to one second of its pace, and at most half of its
+   * bucket, is reserved for promised clients.
+   *
+   * @return whether the state has changed
    */
   boolean updateHold(double nowMs, double units) {
     boolean wasHeldBack = heldBack;
@@ -153,13 +168,13 @@
     }
   }
 
-  /** A request cost so much more of its quota than it was taken to, or less. */
+  /** Corrects the bucket by the difference between a request's actual and assumed units; may be negative. */
   void settleUnits(double nowMs, double units) {
     advance(nowMs);
     bucketUnits = Math.min(bucketCapacity(), bucketUnits - units);
   }
 
-  /** The policy found its quota spent: from now on it is paced. */
+  /** The policy found the quota spent: the firm is paced from now on. */
   void onQuotaSpent(double nowMs) {
     advance(nowMs);
     if (plan.rate() <= 0) {
@@ -177,13 +192,13 @@
   private void advance(double nowMs) {
     double seconds = (nowMs - bucketUpdatedMs) / 1000;
     paceFactor = Math.min(1, paceFactor + PACE_RAISE_PER_S * seconds);
-    bucketUnits = Math
-        .min(bucketCapacity(), bucketUnits + plan.rate() * doorShare * paceFactor * seconds);
+    bucketUnits = Math.min(bucketCapacity(),
+        bucketUnits + plan.rate() * doorShare * paceFactor * seconds);
     bucketUpdatedMs = nowMs;
     paced &= nowMs < spentUntilMs || bucketUnits < bucketCapacity() - ROUNDING_MS;
   }
 
-  /** One of its requests took that much of what its units say. */
+  /** Records the ratio of a request's work to the usual work for its units. */
   void recordWorkRatio(double ratio) {
     meanWorkRatio += WORK_RATIO_SMOOTHING
         * (Math.max(-MAX_WORK_FACTOR, Math.min(MAX_WORK_FACTOR, ratio)) - meanWorkRatio);
--- a/policy/src/main/java/willowdoor/fairness/Flow.java
+++ b/policy/src/main/java/willowdoor/fairness/Flow.java
@@ -8,39 +8,40 @@
 import java.util.TreeSet;
 
 /**
- * One node of the hierarchy of a {@link FairTree}: the root, a plan, a firm or a client. Inner nodes order
- * their children by start tags in a virtual time of their own; a client's flow holds its requests in order.
+ * A node in the hierarchy of a {@link FairTree}: the root, a plan, a firm or a client. An inner node orders
+ * its children by start tags, in its own virtual time. A client's flow is a leaf and holds the client's
+ * requests in order of arrival.
  */
 final class Flow {
 
-  /** By start tag; those of one tag in the order in which they came to have something waiting. */
+  /** Orders flows by start tag; equal tags in the order in which the flows became eligible for service. */
   static final Comparator<Flow> BY_START_TAG = Comparator.<Flow>comparingDouble(f -> f.startTag)
       .thenComparingLong(f -> f.readyOrder);
 
   final Flow parent;
   final Object key;
   double weight;
-  /** A plan's: what one firm weighs. */
+  /** For a plan: the weight of one of its firms. */
   double firmWeight = 1;
-  /** In the parent's virtual time: start of what is next here, or end of what was last. */
+  /** In the parent's virtual time: the start tag of the next request, or the finish tag of the last one. */
   double startTag;
   long readyOrder;
-  /** Virtual time of the children: the start tag last served. */
+  /** Virtual time of the children: the highest start tag that was served. */
   double virtualTime;
-  /** Children that have something waiting and may be served. */
+  /** Children that have waiting requests and may be served. */
   final TreeSet<Flow> readyChildren;
   double readyChildrenWeight;
   final Map<Object, Flow> children;
-  /** Children with nothing waiting, longest idle first: the ones to be forgotten. */
+  /** Children without waiting requests, longest idle first: the candidates for eviction. */
   final LinkedHashSet<Flow> idleChildren;
   int waitingCount;
   double waitingCost;
   boolean isReady;
-  /** Its place among all firms by what waits of each, as it was entered there. */
+  /** For a firm: waiting cost divided by weight, as last entered in the tree's order of firms by backlog. */
   double backlogPerWeight;
-  /** A firm's; null elsewhere. */
+  /** The firm's state; null for flows that are not firms. */
   Firm firm;
-  /** A client's requests, first and last. */
+  /** First and last request of a client's flow. */
   QueuedRequest head;
   QueuedRequest tail;
 
@@ -58,7 +59,7 @@
     return new Flow(null, "", 1, false);
   }
 
-  /** A child of this, with nothing waiting. */
+  /** Adds a child without waiting requests. */
   Flow addChild(Object childKey, double childWeight, boolean leaf) {
     Flow child = new Flow(this, childKey, childWeight, leaf);
     children.put(childKey, child);
@@ -66,7 +67,10 @@
     return child;
   }
 
-  /** What it weighs at present; a plan without a weight weighs what its ready firms do, one at least. */
+  /**
+   * The current weight. A plan without a weight of its own weighs as much as its ready firms together, or as
+   * one firm while none is ready.
+   */
   double effectiveWeight() {
     return weight > 0 ? weight : readyChildrenWeight > 0 ? readyChildrenWeight : firmWeight;
   }
@@ -76,12 +80,15 @@
         && (readyChildren == null || !readyChildren.isEmpty());
   }
 
-  /** Whether forgetting it changes nothing: its tag has passed, and nothing else is known of it. */
+  /**
+   * Whether evicting this flow loses no state: virtual time has passed its tag, and its firm, if any, holds
+   * no state.
+   */
   boolean canBeEvicted() {
     return waitingCount == 0 && startTag <= parent.virtualTime && (firm == null || firm.canBeEvicted());
   }
 
-  /** Forgets one idle child, looking at the longest idle ones only; gives it, or null. */
+  /** Evicts one idle child and returns it, or null. Only the longest idle children are inspected. */
   Flow evictIdleChild(int maxInspected) {
     Iterator<Flow> iterator = idleChildren.iterator();
     for (int i = 0; i < maxInspected && iterator.hasNext(); i++) {
--- a/policy/src/main/java/willowdoor/fairness/Promises.java
+++ b/policy/src/main/java/willowdoor/fairness/Promises.java
@@ -6,20 +6,21 @@
 import willowdoor.fairness.FairSettings.ComeBack;
 
 /**
- * Come-back times that were told, and what became of them. A time is told by virtual scheduling (the generic
- * cell rate algorithm, ITU-T I.371): the firm's and the pool's next free moment, each moved on by what the
- * request takes of their rate, so times told are spread as the room that they take, and a request larger than
- * a firm's whole part takes as much time as it needs. A firm's times are remembered until a second after.
+ * Come-back times that were promised to clients, and their outcome. A time is assigned by virtual scheduling
+ * (the generic cell rate algorithm, ITU-T I.371): it is the next free time of both the firm and the pool, and
+ * each of these advances by the time that the request takes at their rate. Promised times are therefore
+ * spread by the capacity that they take, and a request larger than a firm's whole share takes as much time as
+ * it needs. A promise is kept in memory until {@value #CLAIM_WINDOW_MS} ms after its time.
  */
 final class Promises {
 
-  /** A client is in time from this much before its time until {@link #CLAIM_WINDOW_MS} after. */
+  /** A client is on time from this much before the promised time until {@link #CLAIM_WINDOW_MS} after it. */
   static final double EARLY_TOLERANCE_MS = 10;
   static final double CLAIM_WINDOW_MS = 1_000;
-  /** A client whose promise was missed is taken at its next coming, for so long. */
+  /** A client whose promise was missed is admitted on its next arrival within this time. */
   static final double OWED_MS = 10_000;
 
-  /** A time that was told to a client of a firm; client 0 is any of the firm's. */
+  /** A come-back time promised to a client of a firm. Client 0 stands for any client of the firm. */
   record Promise(Firm firm, double atMs, double untilMs, long client, long number) { }
 
   private final Bounds bounds;
@@ -54,12 +55,12 @@
   }
 
   /**
-   * Promises a time if there is a place for it.
+   * Promises a come-back time, if the limits allow.
    *
-   * @param earliestMs not before
-   * @param firmTakesMs for so long the request takes all that is promised of its firm's part
-   * @param poolTakesMs and of the pool
-   * @return the time, or NaN where none within reach can be kept
+   * @param earliestMs the earliest time that may be promised
+   * @param firmTakesMs the time that the request takes at the firm's full rate, in milliseconds
+   * @param poolTakesMs the time that the request takes at the pool's full rate, in milliseconds
+   * @return the promised time, or NaN if the maximum delay or a limit on the number of promises is exceeded
    */
   double promise(Firm firm, long client, double nowMs, double earliestMs, double firmTakesMs,
       double poolTakesMs) {
@@ -77,7 +78,7 @@
     return atMs;
   }
 
-  /** The client comes: whether it does so when it was told to. */
+  /** Claims a promise for an arriving client; returns whether the client came at a promised time. */
   boolean claim(Firm firm, long client, double nowMs) {
     expire(nowMs);
     for (Promise promise : firm.promises) {
@@ -90,7 +91,7 @@
     return false;
   }
 
-  /** Its promise was not kept: the client is taken when it comes next, whenever that is. */
+  /** Records a missed promise: the client is admitted on its next arrival within {@link #OWED_MS}. */
   void owe(Firm firm, long client, double nowMs) {
     if (byExpiry.size() < bounds.promises() && firm.promises.size() < bounds.promisesOfFirm()) {
       remember(new Promise(firm, nowMs, nowMs + OWED_MS, client, nextNumber++));
@@ -103,7 +104,7 @@
     byExpiry.add(promise);
   }
 
-  /** Forgets times that have passed without their client. */
+  /** Removes promises whose claim window has passed unclaimed. */
   void expire(double nowMs) {
     while (!byExpiry.isEmpty() && byExpiry.first().untilMs < nowMs) {
       Promise expired = byExpiry.pollFirst();
--- a/policy/src/main/java/willowdoor/fairness/QueuedRequest.java
+++ b/policy/src/main/java/willowdoor/fairness/QueuedRequest.java
@@ -2,29 +2,28 @@
 
 import willowdoor.fairness.FairEvent.Arrived;
 
-/** A request from its arrival until it is over. */
+/** A request from its arrival until its end, both while it waits and after its release. */
 final class QueuedRequest {
 
   final Arrived arrival;
   final Flow flow;
   final long sequenceNumber;
   final double arrivedMs;
-  /** It has to be let through by then, or an answer is of no use. */
+  /** Latest time of release at which the answer is still expected to be useful. */
   final double latestReleaseMs;
-  /** What it is charged; settled when it ends. */
+  /** Cost charged on release; corrected when the request ends. */
   final double cost;
-  /** It came back when it was told to. */
+  /** Whether the client came at a promised time. */
   final boolean hasPromise;
-  /** It waits ahead of all turns. */
+  /** Whether the request waits in the express queue, ahead of the fair order. */
   boolean isExpress;
   double releasedMs = Double.NaN;
-  /** Its neighbours in its flow. */
+  /** Neighbours in the list of the flow. */
   QueuedRequest previous;
   QueuedRequest next;
 
   QueuedRequest(Arrived arrival, Flow flow, long sequenceNumber, double arrivedMs, double latestReleaseMs,
-      double cost,
-      boolean hasPromise) {
+      double cost, boolean hasPromise) {
     this.arrival = arrival;
     this.flow = flow;
     this.sequenceNumber = sequenceNumber;
--- a/policy/src/main/java/willowdoor/fairness/ServiceTimeModel.java
+++ b/policy/src/main/java/willowdoor/fairness/ServiceTimeModel.java
@@ -1,21 +1,25 @@
 package willowdoor.fairness;
 
 /**
- * How long requests of a class take at the nodes by their units: a line, its slope fitted by least squares to
- * the last thousand answers or so, its level to the last fifty. The slope is the work of a unit; what is
- * there without units is the way and the queue. Where all have the same units there is no slope, and the work
- * is what is taken beyond the time that nearly all take (a low quantile by stochastic approximation: H.
- * Robbins and S. Monro, 1951), which tells less, as it holds the queue's ups and downs.
+ * Linear model of the service time at the backends by units, for the requests of a class. The slope is a
+ * least squares fit over about the last thousand answers, the level an average of about the last fifty. The
+ * slope is the work per unit; the intercept is network and queueing time. If all requests have the same units
+ * there is no slope. The work is then the time beyond a low quantile of the service times, found by
+ * stochastic approximation (H. Robbins and S. Monro, 1951); this is less exact, because it includes
+ * variations of the queueing time.
  */
 final class ServiceTimeModel {
 
   private static final double SLOPE_SMOOTHING = 0.002;
   private static final double LEVEL_SMOOTHING = 0.02;
-  /** Fewer answers than this tell no slope. */
+  /** Minimum number of answers for a slope. */
   private static final int MIN_SLOPE_ANSWERS = 50;
-  /** Units that differ by less than this, as a variance for their square, are the same. */
+  /** Units count as equal if their variance is below this part of their mean square. */
   private static final double MIN_RELATIVE_VARIANCE = 0.01;
-  /** The quantile taken for what all share, and how far a step goes for what answers take. */
+  /**
+   * The quantile that estimates the time common to all requests; {@link #QUANTILE_STEP} is the step size
+   * relative to the mean service time.
+   */
   private static final double SHARED_QUANTILE = 0.1;
   private static final double QUANTILE_STEP = 0.05;
 
@@ -39,23 +43,26 @@
     recentUnits += levelWeight * (units - recentUnits);
     recentMs += levelWeight * (ms - recentMs);
     sharedMs = Double.isNaN(sharedMs) ? ms
-        : Math.max(0,
-        sharedMs + QUANTILE_STEP * meanMs * (ms < sharedMs ? SHARED_QUANTILE - 1 : SHARED_QUANTILE));
+        : Math.max(0, sharedMs + QUANTILE_STEP * meanMs
+        * (ms < sharedMs ? SHARED_QUANTILE - 1 : SHARED_QUANTILE));
   }
 
-  /** Milliseconds of a unit; 0 where the answers tell none. */
+  /** Milliseconds per unit; 0 if the answers give no slope. */
   private double msPerUnit() {
     double variance = meanSquaredUnits - meanUnits * meanUnits;
     return answers < MIN_SLOPE_ANSWERS || variance < MIN_RELATIVE_VARIANCE * meanSquaredUnits ? 0
         : Math.max(0, (meanUnitsTimesMs - meanUnits * meanMs) / variance);
   }
 
-  /** The time that so many units are expected to take, in milliseconds. */
+  /** Expected service time of a request with these units, in milliseconds. */
   double expectedMs(double units) {
     return Math.max(0, recentMs + msPerUnit() * (units - recentUnits));
   }
 
-  /** Times the usual work for its units that a request has taken. */
+  /**
+   * Ratio of a request's work to the usual work for its units; 1 while it is unknown. It may be negative for
+   * fast answers.
+   */
   double workRatio(double units, double ms) {
     double msPerUnit = msPerUnit();
     double workMs = msPerUnit > 0 ? msPerUnit * units : Math.max(recentMs / 20, recentMs - sharedMs);
--- a/policy/src/test/java/willowdoor/fairness/FairTreeTest.java
+++ b/policy/src/test/java/willowdoor/fairness/FairTreeTest.java
@@ -15,15 +15,15 @@
 import willowdoor.fairness.FairSettings.Bounds;
 import willowdoor.fairness.FairSettings.PlanSettings;
 
-/** The order against an ideal fluid schedule (GPS: A. K. Parekh and R. G. Gallager, 1993) in a hierarchy. */
+/** The order compared with an ideal hierarchical fluid schedule (A. K. Parekh, R. G. Gallager, GPS, 1993). */
 class FairTreeTest {
 
   private static final double MAX_COST = 40;
-  private static final Map<String,
-      PlanSettings> PLANS = Map.of("big", new PlanSettings(3, 1, 0, 0, 0), "small",
+  private static final Map<String, PlanSettings> PLANS = Map.of(
+      "big", new PlanSettings(3, 1, 0, 0, 0), "small",
       new PlanSettings(1, 1, 0, 0, 0), "open", new PlanSettings(0, 2, 0, 0, 0));
 
-  /** A node of the ideal schedule: what waits in it is a fluid. */
+  /** A node of the ideal schedule, whose backlog is served as a fluid. */
   private static final class Fluid {
     final double weight;
     final List<Fluid> children = new ArrayList<>();
@@ -43,7 +43,7 @@
           : children.stream().filter(c -> c.backlog() > 1e-9).mapToDouble(c -> c.weight).sum();
     }
 
-    /** The rate of each leaf of this where this has so much. */
+    /** Adds the rate of each leaf, given the rate of this node. */
     void addLeafRates(double rate, Map<Fluid, Double> leafRates) {
       if (children.isEmpty()) {
         leafRates.put(this, rate);
@@ -54,7 +54,7 @@
       busy.forEach(c -> c.addLeafRates(rate * c.effectiveWeight() / sum, leafRates));
     }
 
-    /** Serves for so long at a rate of 1. */
+    /** Serves for this time at a total rate of 1. */
     static void serve(Fluid root, double time) {
       double left = time;
       while (left > 1e-9 && root.backlog() > 1e-9) {
@@ -73,7 +73,10 @@
     }
   }
 
-  /** The largest spread of the difference of two flows' charges for their weights while both wait. */
+  /**
+   * The largest spread of the difference between two flows' charges divided by their weights, while both have
+   * waiting requests.
+   */
   private static final class FlowPair {
     final Flow first;
     final Flow second;
@@ -136,7 +139,7 @@
     Map<Flow, Double> served = new HashMap<>();
     double lag = 0;
     for (int step = 0; step < 6_000; step++) {
-      // Bursts of a random flow, at some 110% of what is served.
+      // Bursts of a random flow, at about 110% of the service rate.
       Flow to = leaves.get(random.nextInt(leaves.size()));
       int burst = random.nextInt(100) < 4 ? 1 + random.nextInt(50) : 0;
       for (int i = 0; i < burst; i++) {
@@ -161,11 +164,12 @@
     }
     for (FlowPair p : pairs) {
       double bound = MAX_COST / p.first.effectiveWeight() + MAX_COST / p.second.effectiveWeight();
-      assertTrue(p.spread <= bound, "seed " + seed + ": " + p.spread + " apart, bound " + bound);
+      assertTrue(p.spread <= bound, "seed " + seed + ": " + p.spread
+          + " spread of normalised service, bound " + bound);
     }
     assertTrue(pairs.stream().anyMatch(p -> p.spread > MAX_COST / 4), "seed " + seed
         + ": nothing was compared");
-    // Each level may put the dearest request of each sibling first, and the flow's own.
+    // On each level, one request of maximum cost of each sibling and of the flow itself may go first.
     double maxLag = MAX_COST * (3 + 3 + 2);
     assertTrue(lag <= maxLag, "seed " + seed + ": " + lag + " behind the fluid, bound " + maxLag);
   }
@@ -189,7 +193,7 @@
     QueuedRequest gone = one.tail;
     tree.remove(gone);
     assertEquals(59, one.waitingCount);
-    // The first one takes eleven times what it was charged: ten turns go to the other.
+    // The first request costs eleven times its charge: the next eleven turns go to the other flow.
     QueuedRequest first = tree.next();
     tree.charge(first.flow, 10);
     int others = 0;
@@ -215,7 +219,7 @@
       seen++;
     }
     assertEquals(10_000, seen);
-    // All is idle and passed: a new firm takes the place of an old one.
+    // All flows are idle and their tags have passed: a new firm replaces an old one.
     Flow fresh = tree.clientFlow("p", part, 9_999, 1, 1);
     assertEquals(9_999L, fresh.parent.key);
   }
--- a/policy/src/test/java/willowdoor/fairness/PromiseCountTest.java
+++ b/policy/src/test/java/willowdoor/fairness/PromiseCountTest.java
@@ -25,7 +25,9 @@
     queue.on(nowMs, new Arrived(id, "c", "p", 1, 7, 1, 1, 10, nowMs + 1_000, 1_000));
   }
 
-  /** Of those that came when told, one that the policy then refuses was not kept, whatever its cause. */
+  /**
+   * A promise does not count as kept if the policy refuses the request after its release, whatever the cause.
+   */
   @Test
   void promiseRefusedByThePolicyIsNotKept() {
     for (int i = 0; i < 30; i++) {
@@ -34,16 +36,15 @@
     }
     arrive(2_000, "first");
     double comeBackMs = queue.on(2_000, new Refusing("first", false, 0)).stream()
-        .filter(Advise.class::isInstance)
-        .mapToDouble(a -> ((Advise) a).comeBackMs()).sum();
-    assertTrue(comeBackMs > 0, "no time told");
+        .filter(Advise.class::isInstance).mapToDouble(a -> ((Advise) a).comeBackMs()).sum();
+    assertTrue(comeBackMs > 0, "no come-back time was promised");
     queue.on(2_000, new Ended("first", Result.REFUSED, 0));
     arrive(2_000 + comeBackMs, "again");
     queue.on(2_000 + comeBackMs, new Refusing("again", false, 0));
     queue.on(2_000 + comeBackMs, new Ended("again", Result.REFUSED, 0));
     assertEquals(0, queue.counts().kept(), queue.counts().summary());
     assertEquals(1, queue.counts().missedFull(), queue.counts().summary());
-    // It is taken at its next coming, whenever that is, and this time served.
+    // The client is admitted on its next arrival, and served this time.
     arrive(2_010 + comeBackMs, "third");
     queue.on(2_020 + comeBackMs, new Ended("third", Result.SERVED, 0));
     assertEquals(1, queue.counts().kept(), queue.counts().summary());
--- a/store-valkey/src/main/java/willowdoor/valkey/ValkeySettings.java
+++ b/store-valkey/src/main/java/willowdoor/valkey/ValkeySettings.java
@@ -1,11 +1,11 @@
 package willowdoor.valkey;
 
 /**
- * How to reach the server beside its address and the limit of a call, which the door's own settings tell.
+ * Access settings of the server. Its address and the time limit of a call come from the door's own settings.
  *
  * @param user the user to authenticate as, or empty
- * @param password the password, or empty when none is asked for
- * @param prefix what all keys begin with; installations that share a server differ in it
+ * @param password the password, or empty if the server requires none
+ * @param prefix prefix of all keys; installations that share a server need different prefixes
  */
 public record ValkeySettings(String user, String password, String prefix) {
 
@@ -19,7 +19,7 @@
     }
   }
 
-  /** The password is in no log. */
+  /** Omits the password, so that it appears in no log. */
   @Override
   public String toString() {
     return "ValkeySettings[user=" + user + ", prefix=" + prefix + "]";
--- a/store-valkey/src/main/java/willowdoor/valkey/ValkeyStore.java
+++ b/store-valkey/src/main/java/willowdoor/valkey/ValkeyStore.java
@@ -46,17 +46,18 @@
 import willowdoor.recovery.WatchEvent.Woken;
 
 /**
- * Shared counts in Valkey or Redis: one script that adds and tells whose counts these are, over one pipelined
- * connection. Lettuce does the sockets on threads of its own; all state here is on the door's loop.
+ * Shared counters in Valkey or Redis. One script adds to a counter and returns the epoch of the data, over
+ * one pipelined connection. Lettuce handles the sockets on its own threads; all state of this class is
+ * confined to the door's event loop.
  *
- * <p>Two things tell other counts from those before. Each answer carries the epoch, a key that the script
- * makes where there is none: data that began anew has another. And {@link CounterWatch} adds to a name of
- * this door's: data that lacks some of that (a replica that was promoted without the last writes, a snapshot
- * that was loaded) is told by the next check, with how much is missing.
+ * <p>Replaced data is detected in two ways. Each answer carries the epoch, a key that the script creates
+ * where there is none, so a data set that started empty has another epoch. And {@link CounterWatch} adds to a
+ * counter of this door: its next check detects data that lacks some of these additions (a replica that was
+ * promoted without the last writes, or a loaded snapshot), and tells since when additions are missing.
  *
- * <p>A call is made once at the most: nothing is sent again after a break, as an add may have been made.
- * Bounds: {@value #MAX_OUTSTANDING_CALLS} calls out, beyond which one ends as NOT_SENT; each ends at the
- * limit.
+ * <p>A call is made at most once: nothing is sent again after a disconnect, because the add may already have
+ * been made. At most {@value #MAX_OUTSTANDING_CALLS} calls are outstanding; further calls end as NOT_SENT.
+ * Each call ends at its time limit at the latest.
  */
 public final class ValkeyStore implements CounterStore {
 
@@ -66,12 +67,12 @@
   private static final long CONNECT_LIMIT_MS = 1_000;
   private static final double MIN_BACKOFF_MS = 50;
   private static final double MAX_BACKOFF_MS = 1_000;
-  /** A left address closes its connection after this; what is owed on it by then is given up before. */
+  /** Delay until the connection to a previous address is closed; the calls on it have timed out by then. */
   private static final long OLD_CONNECTION_CLOSE_MS = 1_300;
   private static final long SHUTDOWN_LIMIT_MS = 2_000;
   private static final String SCRIPT = loadScript();
 
-  /** What a call tells at its end; the total is NaN unless the status is OK. */
+  /** Receives the end of a call; the total is NaN unless the status is OK. */
   private interface CallListener {
     void onEnd(Status status, double total);
   }
@@ -91,10 +92,10 @@
   private CounterWatch watch;
   private int watchCount;
   private int outstandingCalls;
-  /** Makes each epoch that is proposed another one, also of one door to a server that began anew. */
+  /** Makes each proposed epoch unique, also when one door proposes one to a restarted server again. */
   private long proposals;
   private double backoffMs = MIN_BACKOFF_MS;
-  /** Counts the addresses it was moved to; what began for another one is dropped. */
+  /** Number of address changes; connection attempts begun before the last change are dropped. */
   private int moveCount;
   private volatile boolean closed;
   private boolean failureLogged;
@@ -118,7 +119,7 @@
             .tcpNoDelay(true).build()).build());
   }
 
-  /** Makes stores by such settings. */
+  /** Returns a factory of stores with these settings. */
   public static Maker maker(ValkeySettings settings) {
     return (loop, clock, door, config, listener) ->
         new ValkeyStore(loop, clock, door, config, listener, settings);
@@ -192,7 +193,7 @@
     }
   }
 
-  /** What comes after the loop has ended is of no use to anyone. */
+  /** Runs a task on the event loop; drops it if the loop is shutting down. */
   private void runOnLoop(Runnable task) {
     if (!loop.isShuttingDown()) {
       loop.execute(task);
@@ -205,7 +206,7 @@
     }
     if (!failureLogged) {
       failureLogged = true;
-      LOG.warning("no connection to the counts at " + address + ": " + reason(e));
+      LOG.warning("cannot connect to the counter store at " + address + ": " + reason(e));
     }
     double waitMs = backoffMs * (0.5 + ThreadLocalRandom.current().nextDouble());
     backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
@@ -221,7 +222,7 @@
     while (cause != null && cause.getCause() != null) {
       cause = cause.getCause();
     }
-    return cause == null ? "it was closed" : String.valueOf(cause.getMessage());
+    return cause == null ? "the connection was closed" : String.valueOf(cause.getMessage());
   }
 
   private void connected(StatefulRedisConnection<String, String> newConnection, String loadedDigest) {
@@ -257,7 +258,7 @@
         status == Status.OK ? total : 0, clock.getAsDouble() - startedMs)));
   }
 
-  /** Makes a call, whose end is told once: by its answer, by the break of its connection, or by the limit. */
+  /** Starts a call. Its listener is called once: on the answer, on a disconnect or at the time limit. */
   private void call(String name, double amount, double ttlMs, CallListener listener) {
     StatefulRedisConnection<String, String> usedConnection = connection;
     if (usedConnection == null || !usedConnection.isOpen()) {
@@ -270,8 +271,8 @@
     }
     outstandingCalls++;
     PendingCall pendingCall = new PendingCall(listener);
-    pendingCall.timeout = loop
-        .schedule(() -> pendingCall.complete(Status.TIMED_OUT, Double.NaN), (long) (limitMs * 1000),
+    pendingCall.timeout =
+        loop.schedule(() -> pendingCall.complete(Status.TIMED_OUT, Double.NaN), (long) (limitMs * 1000),
         TimeUnit.MICROSECONDS);
     String[] keys = {settings.prefix() + ':' + name, settings.prefix() + "!epoch"};
     String[] arguments = {plainDecimal(amount), Long.toString(Math.max(1, (long) ttlMs)),
@@ -280,7 +281,10 @@
         .whenComplete((answer, e) -> runOnLoop(() -> onReply(usedConnection, pendingCall, answer, e)));
   }
 
-  /** Tells an end once, and frees the call's place when its answer has come too, or never will. */
+  /**
+   * A call in progress; its listener is called once only. The call counts as outstanding until Lettuce
+   * completes it, which may be after its timeout.
+   */
   private final class PendingCall {
     private final CallListener listener;
     private Future<?> timeout;
@@ -306,13 +310,13 @@
     if (e == null) {
       onAnswer(pendingCall, answer);
     } else if (e instanceof RedisNoScriptException) {
-      // Nothing ran: the scripts were flushed, or the server began anew behind a proxy.
+      // Nothing ran: the scripts were flushed, or the server restarted behind a proxy.
       usedConnection.async().scriptLoad(SCRIPT);
       pendingCall.complete(Status.REJECTED, Double.NaN);
     } else if (e instanceof RedisCommandExecutionException) {
       if (!failureLogged) {
         failureLogged = true;
-        LOG.warning("the counts at " + address + " refuse adds: " + e.getMessage());
+        LOG.warning("the counter store at " + address + " rejects adds: " + e.getMessage());
       }
       pendingCall.complete(Status.REJECTED, Double.NaN);
     } else {
@@ -336,9 +340,9 @@
     failureLogged = false;
     String answeredEpoch = String.valueOf(answer.get(1));
     if (epoch != null && !epoch.equals(answeredEpoch)) {
-      LOG.info("other counts answer than before: epoch " + answeredEpoch + " after " + epoch);
+      LOG.info("counter data was replaced: epoch " + answeredEpoch + " after " + epoch);
       epoch = answeredEpoch;
-      // The watch would tell of the same once more: a new one begins at these counts.
+      // The old watch would report this replacement again: start a new one on the new data.
       watch = new CounterWatch(door + 'w' + ++watchCount);
       listener.replaced(Double.NEGATIVE_INFINITY);
       notifyWatch(new Woken());
@@ -360,7 +364,7 @@
         call(c.name(), c.amount(), c.ttlMs(), (status, total) -> loop.execute(() ->
             notifyWatch(target, new CheckEnded(c.number(), status == Status.OK ? total : Double.NaN))));
       } else if (action instanceof Replaced r) {
-        LOG.info("other counts answer than before (" + r.origin() + ")");
+        LOG.info("counter data was replaced (" + r.origin() + ")");
         listener.replaced(r.lostSinceMs());
       } else if (action instanceof WakeAt w) {
         loop.schedule(() -> notifyWatch(target, new Woken()),
@@ -370,7 +374,7 @@
     }
   }
 
-  /** Decimal digits without an exponent. */
+  /** Formats an amount as decimal digits without an exponent. */
   private static String plainDecimal(double amount) {
     return BigDecimal.valueOf(amount).setScale(6, RoundingMode.HALF_UP).stripTrailingZeros().toPlainString();
   }
--- a/store-valkey/src/test/java/willowdoor/valkey/ValkeyStoreTest.java
+++ b/store-valkey/src/test/java/willowdoor/valkey/ValkeyStoreTest.java
@@ -26,7 +26,7 @@
 import willowdoor.policy.GatewayApi.Status;
 import willowdoor.testkit.StandInValkey;
 
-/** The store against a stand-in: what it tells when that is lost, replaced, promoted, slow or refuses. */
+/** The store against a stand-in server that is lost, restarted, promoted, slow or rejects calls. */
 @Timeout(60)
 class ValkeyStoreTest {
 
@@ -95,7 +95,7 @@
     return result;
   }
 
-  /** A store that is connected: its first add under a name of no other use has been answered. */
+  /** Returns a connected store: an add to a counter that no test uses otherwise was answered. */
   private CounterStore connectedStore(StandInValkey server) throws Exception {
     CounterStore store = store(server.address(), DEFAULT_SETTINGS);
     awaitOk(store);
@@ -105,7 +105,7 @@
   private void awaitOk(CounterStore store) throws Exception {
     long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S);
     while (add(store, "up", 0, 1_000).status() != Status.OK) {
-      assertTrue(System.nanoTime() < deadlineNanos, "no answer that is OK");
+      assertTrue(System.nanoTime() < deadlineNanos, "no add was answered with OK");
     }
   }
 
@@ -121,7 +121,7 @@
     add(one, "short", 1, 60);
     long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S);
     while (add(one, "short", 0, 60).total() != 0) {
-      assertTrue(System.nanoTime() < deadlineNanos, "never forgotten");
+      assertTrue(System.nanoTime() < deadlineNanos, "the counter did not expire");
     }
     assertTrue(replaced.isEmpty());
   }
@@ -136,7 +136,7 @@
     awaitOk(store);
     assertEquals(Double.NEGATIVE_INFINITY, replaced.poll(WAIT_S, TimeUnit.SECONDS));
     assertEquals(1, add(store, "16:1", 1, 60_000).total());
-    // The watch goes on at the new counts, and tells of the next one, but not of this one again.
+    // The watch continues on the new data and does not report this restart again.
     awaitChecks(server, 3);
     assertTrue(replaced.isEmpty(), replaced::toString);
   }
@@ -145,12 +145,12 @@
     long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S);
     long before = server.adds();
     while (server.adds() < before + more) {
-      assertTrue(System.nanoTime() < deadlineNanos, "no checks seen");
+      assertTrue(System.nanoTime() < deadlineNanos, "no checks of the watch arrived");
       Thread.onSpinWait();
     }
   }
 
-  /** Whoever asks first after FLUSHALL on a live connection learns it. */
+  /** The first add after FLUSHALL on an open connection reports the replaced data. */
   @Test
   void flushIsReportedOnAnOpenConnection() throws Exception {
     StandInValkey server = startServer();
@@ -159,8 +159,9 @@
       add(store, "16:1", 3, 60_000);
       assertEquals("+OK", server.say("FLUSHALL"));
       assertEquals(1, add(store, "16:1", 1, 60_000).total());
-      assertEquals(Double.NEGATIVE_INFINITY, replaced.poll(), "told before the answer itself, round " + i);
-      assertTrue(replaced.isEmpty(), "told twice");
+      assertEquals(Double.NEGATIVE_INFINITY, replaced.poll(),
+          "replacement not reported before the answer, round " + i);
+      assertTrue(replaced.isEmpty(), "replacement reported twice");
     }
   }
 
@@ -172,7 +173,7 @@
     StandInValkey replica = register(StandInValkey.replicaOf(primary));
     awaitEquals("3", () -> replica.say("GET test:16:1"));
     awaitChecks(primary, 2);
-    // Both asked each time: a name whose life ends meanwhile is in neither.
+    // Both sizes are read each time, because counters may expire meanwhile in both.
     awaitEquals("as many", () -> primary.say("DBSIZE").equals(replica.say("DBSIZE")) ? "as many" : "others");
     assertEquals("+OK", replica.say("REPLICAOF NO ONE"));
     double cutAt = now();
@@ -180,7 +181,8 @@
     assertEquals(8, add(store, "16:1", 5, 60_000).total());
     group.next().execute(() -> store.moveTo(replica.address()));
     double lostSince = replaced.poll(WAIT_S, TimeUnit.SECONDS);
-    assertTrue(lostSince <= cutAt && lostSince > cutAt - 10_000, lostSince + " beside " + cutAt);
+    assertTrue(lostSince <= cutAt && lostSince > cutAt - 10_000, lostSince
+        + " is not within 10 s before " + cutAt);
     awaitOk(store);
     assertEquals(4, add(store, "16:1", 1, 60_000).total());
   }
@@ -214,7 +216,7 @@
     assertEquals("$-1", primary.say("GET test:16:1"));
   }
 
-  /** Errors of the published protocol: each tells that nothing was added, and the store goes on after it. */
+  /** Errors of the published protocol: each proves that nothing was added, and the store works after it. */
   @Test
   void serverErrorsRejectAdds() throws Exception {
     StandInValkey server = startServer();
@@ -239,7 +241,7 @@
     CounterStore store = connectedStore(server);
     add(store, "16:1", 3, 60_000);
     assertEquals("+OK", server.say("SCRIPT FLUSH"));
-    // A check of the watch may meet it first, and have it loaded again.
+    // A check of the watch may get the error first and reload the script.
     add(store, "16:1", 0, 60_000);
     awaitOk(store);
     assertEquals(3, add(store, "16:1", 0, 60_000).total());
@@ -258,7 +260,7 @@
     assertTrue(tookMs >= CALL_LIMIT_MS - 5 && tookMs < 3 * CALL_LIMIT_MS, tookMs + " ms");
     awaitOk(store);
     assertEquals(3, add(store, "16:1", 0, 60_000).total());
-    assertTrue(results.isEmpty(), "the late answer is told to nobody");
+    assertTrue(results.isEmpty(), "the late answer must not end the call again");
   }
 
   @Test
@@ -277,7 +279,7 @@
     awaitOk(store);
   }
 
-  /** At most once: what was out when the connection broke is not sent again. */
+  /** At most once: calls that were outstanding when the connection broke are not sent again. */
   @Test
   void callsAreNotResentAfterADisconnect() throws Exception {
     StandInValkey server = startServer();
@@ -297,9 +299,8 @@
       }
       awaitOk(store);
       double total = add(store, name, 0, 60_000).total();
-      assertTrue(total >= confirmed && total <= confirmed + undecided,
-          total + " of " + confirmed + " sure and " + undecided +
-          " open");
+      assertTrue(total >= confirmed && total <= confirmed + undecided, total + " of " + confirmed
+          + " confirmed and " + undecided + " undecided");
     }
   }
 
@@ -318,7 +319,7 @@
     for (int i = 0; i < calls; i++) {
       notSent += results.poll(WAIT_S, TimeUnit.SECONDS).status() == Status.NOT_SENT ? 1 : 0;
     }
-    assertTrue(notSent >= 100 && notSent <= 110, notSent + " turned away");
+    assertTrue(notSent >= 100 && notSent <= 110, notSent + " rejected as NOT_SENT");
     awaitOk(store);
     assertEquals(calls - notSent, add(store, "16:1", 0, 60_000).total());
   }
@@ -335,7 +336,7 @@
     assertFalse(new ValkeySettings("door", "secret", "test").toString().contains("secret"));
   }
 
-  /** What docs/operating/counter.md has operators allow, and nothing else. */
+  /** The rights that docs/operating/counter.md lists, and no others. */
   @Test
   void userWithTheDocumentedRightsSuffices() throws Exception {
     StandInValkey server = startServer();
