--- a/authz/src/main/java/willowdoor/extauthz/Answers.java
+++ b/authz/src/main/java/willowdoor/extauthz/Answers.java
@@ -19,40 +19,41 @@
 /**
  * Reads an authoriser's answer.
  *
- * <p>Its status decides: OK allows. PERMISSION_DENIED, UNAUTHENTICATED and all codes that say that the
- * request
- * is at fault deny; RESOURCE_EXHAUSTED denies with 429. Codes by which the authoriser says that it could not
- * decide (UNAVAILABLE, DEADLINE_EXCEEDED, CANCELLED, ABORTED, INTERNAL, UNKNOWN, DATA_LOSS, UNIMPLEMENTED)
- * are
- * no decision, unless a denied response with a status comes along.
+ * <p>The status code decides: OK allows. PERMISSION_DENIED, UNAUTHENTICATED and all codes that blame the
+ * request deny; RESOURCE_EXHAUSTED denies with 429. Codes that mean that the authoriser could not decide
+ * (UNAVAILABLE, DEADLINE_EXCEEDED, CANCELLED, ABORTED, INTERNAL, UNKNOWN, DATA_LOSS, UNIMPLEMENTED) are no
+ * decision, unless the answer holds a denied response with a status.
  *
- * <p>An allow must be done wholly or not at all: one that can't be read, such as one whose header holds a
- * line
- * end, is no decision. Headers that no authoriser may touch are left as they are ({@link HeaderRules}). A
- * denial stands whatever else is wrong with it; what of it can't be used is left out.
+ * <p>An allow is applied completely or not at all: an allow with an invalid part, such as a header with a
+ * line break, is no decision. Changes of protected headers are ignored ({@link HeaderRules}). A denial stands
+ * whatever else is wrong with the answer; its unusable parts are left out.
  */
 final class Answers {
 
-  /** What an answer comes to. */
+  /** The meaning of an answer. */
   sealed interface Reading { }
 
-  /** It allows, and may be used again for so long. */
+  /**
+   * The request is allowed.
+   *
+   * @param allowForMs how long the allow may be reused, in milliseconds; 0 for not at all
+   */
   record Allowed(Grant grant, double allowForMs) implements Reading { }
 
   record Denied(Denial denial) implements Reading { }
 
-  /** The authoriser tells that it could not decide. */
+  /** The authoriser reports that it could not decide. */
   record Undecided(String why) implements Reading { }
 
-  /** It breaks the protocol. */
+  /** The answer violates the protocol. */
   record Malformed(String why) implements Reading { }
 
-  /** The field of dynamic_metadata by which an authoriser permits to use its allow again, milliseconds. */
+  /** The field of dynamic_metadata by which an authoriser permits reuse of its allow, in milliseconds. */
   static final String ALLOW_FOR_MS = "allow_for_ms";
   private static final int MAX_METADATA_CHARS = 1_024;
   private static final int MIN_DENIAL_STATUS = 300;
   private static final int MAX_DENIAL_STATUS = 599;
-  /** Has no body (RFC 9110, 15.4.5): what follows would be read as another answer. */
+  /** Has no body (RFC 9110, 15.4.5): the client would read a denial's body as another response. */
   private static final int NOT_MODIFIED = 304;
 
   private final AnswerBounds bounds;
@@ -66,7 +67,7 @@
     String metadata = answer.hasDynamicMetadata() ? text(answer.getDynamicMetadata()) : null;
     if (code == Code.OK) {
       if (answer.hasDeniedResponse()) {
-        return new Malformed("status OK with a denied response");
+        return new Malformed("status OK together with a denied response");
       }
       return allowed(answer, metadata);
     }
@@ -99,7 +100,7 @@
     int bytes = 0;
     for (String name : ok.getHeadersToRemoveList()) {
       if (!HeaderRules.isName(name)) {
-        return new Malformed("removes what is no header: " + truncate(name));
+        return new Malformed("removes an invalid header name: " + truncate(name));
       }
       if (!HeaderRules.isProtected(name)) {
         changes.add(new Change(HeaderAction.REMOVE, name, null));
@@ -111,7 +112,7 @@
         String name = o.getHeader().getKey();
         String value = value(o.getHeader());
         if (!HeaderRules.isName(name) || !HeaderRules.isValue(value)) {
-          return new Malformed("sets what is no header: " + truncate(name));
+          return new Malformed("sets an invalid header: " + truncate(name));
         }
         if (!HeaderRules.isProtected(name)) {
           (client ? forClient : changes).add(new Change(client ? HeaderAction.APPEND : how(o), name, value));
@@ -120,8 +121,8 @@
       }
     }
     if (bytes > bounds.headerBytes()) {
-      return new Malformed("names headers of " + bytes + " bytes (expected: at most " + bounds.headerBytes()
-          + ")");
+      return new Malformed("names headers of " + bytes + " bytes (expected: at most "
+          + bounds.headerBytes() + ")");
     }
     return new Allowed(new Grant(List.copyOf(changes), List.copyOf(forClient), metadata),
         allowFor(answer.getDynamicMetadata()));
@@ -172,8 +173,7 @@
         : header.getRawValue().toString(StandardCharsets.ISO_8859_1);
   }
 
-  /** By the old flag where it is set; without either, a header is overwritten, as the protocol has it here.
-  */
+  /** Uses the deprecated flag if set; without flag and action, this protocol overwrites the header. */
   @SuppressWarnings("deprecation")
   private static HeaderAction how(HeaderValueOption option) {
     if (option.hasAppend()) {
--- a/authz/src/main/java/willowdoor/extauthz/AuthoriserLink.java
+++ b/authz/src/main/java/willowdoor/extauthz/AuthoriserLink.java
@@ -20,26 +20,26 @@
 import willowdoor.extauthz.ExtAuthzSettings.Link;
 
 /**
- * The channel to one authoriser, on the door's loop: no thread a call, and none beside the loop. A call's end
- * is told once, and with it whether the authoriser can have seen it.
+ * The gRPC channel to one authoriser, on the door's event loop: no other thread is used. The end of a call is
+ * reported once, together with whether the authoriser can have seen the call.
  *
- * <p>gRPC itself repeats a call only where HTTP/2 proves that it was not processed (REFUSED_STREAM, or a
- * GOAWAY that names an earlier stream); nothing else is repeated below {@link ExtAuthzGate}. Reconnects back
- * off from 1 s to 2 minutes with jitter (gRPC's connection backoff); a probe doesn't wait for that.
+ * <p>gRPC itself retries a call only if HTTP/2 proves that it was not processed (REFUSED_STREAM, or a GOAWAY
+ * that names an earlier stream); no other retry happens below {@link ExtAuthzGate}. Reconnects back off from
+ * 1 s to 2 minutes with jitter (gRPC's connection backoff); a probe doesn't wait for the backoff.
  */
 final class AuthoriserLink {
 
   private static final int MAX_METADATA_BYTES = 8 * 1024;
   private static final long IDLE_DAYS = 30;
 
-  /** A call's one end. */
+  /** Receives the end of a call. */
   interface Listener {
     /**
-     * Told once, on the loop.
+     * Called once, on the event loop.
      *
-     * @param status OK with exactly one answer, or why there is none
+     * @param status OK with exactly one answer, or the reason why there is none
      * @param answer null unless the status is OK
-     * @param reached false when the authoriser provably never saw the call
+     * @param reached false if the authoriser provably never saw the call
      */
     void ended(Status status, CheckResponse answer, boolean reached);
   }
@@ -50,7 +50,11 @@
   private final int maxAnswerBytes;
   private ManagedChannel channel;
 
-  /** Connects at once; for the loop, where the TLS context is null or made already. */
+  /**
+   * Starts connecting at once, without blocking: the caller has prepared the TLS context.
+   *
+   * @param tls the TLS context, or null for plaintext
+   */
   AuthoriserLink(Link link, EventLoopGroup group, Class<? extends Channel> channelType, int maxAnswerBytes,
       SslContext tls) {
     this.link = link;
@@ -79,7 +83,7 @@
     return opened;
   }
 
-  /** A connection that has ended is made anew at once, not with the next call, which would wait for it. */
+  /** Reconnects as soon as a connection has ended, instead of on the next call, which would have to wait. */
   private static void keepConnected(ManagedChannel channel) {
     ConnectivityState state = channel.getState(true);
     if (state != ConnectivityState.SHUTDOWN) {
@@ -91,25 +95,28 @@
     return link;
   }
 
-  /** Calls from here on go over a new connection by that context; those out end on the old one. */
+  /**
+   * Opens a new connection with the given TLS context for further calls; calls in flight finish on the old
+   * connection.
+   */
   void renew(SslContext tls) {
     ManagedChannel old = channel;
     channel = open(tls);
     old.shutdown();
   }
 
-  /** Ends the connection with all calls on it. */
+  /** Closes the connection and cancels all calls. */
   void close() {
     channel.shutdownNow();
   }
 
-  /** Sees whether a call's stream was written to a connection. */
+  /** Records whether a call's stream was written to a connection. */
   private static final class StreamWrittenTracer extends ClientStreamTracer.Factory {
     private boolean reached;
 
     @Override
     public ClientStreamTracer newClientStreamTracer(ClientStreamTracer.StreamInfo info, Metadata headers) {
-      // A further stream of the same call: HTTP/2 has proved that the one before was not processed.
+      // A transparent retry: HTTP/2 has proved that the previous stream was not processed.
       reached = false;
       return new ClientStreamTracer() {
         @Override
@@ -121,10 +128,11 @@
   }
 
   /**
-   * Asks, within the limit. The end may be told before this returns.
+   * Sends a check. The listener may be called before this method returns.
    *
-   * @param probe try to connect now, whatever the backoff says
-   * @return by which the call can be given up
+   * @param limitMs deadline of the call, from now
+   * @param probe connect now, regardless of the backoff
+   * @return the call, which can be cancelled
    */
   ClientCall<CheckRequest, CheckResponse> check(CheckRequest request, double limitMs, boolean probe,
       Listener listener) {
@@ -158,7 +166,7 @@
         listener.ended(end, end.isOk() ? answer : null, reach.reached);
       }
     }, new Metadata());
-    // Two, so that a second answer is seen for what it is.
+    // Requests two messages, so that a second answer is detected as a protocol violation.
     call.request(2);
     call.sendMessage(request);
     call.halfClose();
--- a/authz/src/main/java/willowdoor/extauthz/Checks.java
+++ b/authz/src/main/java/willowdoor/extauthz/Checks.java
@@ -21,10 +21,10 @@
 import willowdoor.net.RequestFilter.Origin;
 import willowdoor.policy.GatewayApi.Request;
 
-/** Writes what an authoriser is asked: the request's attributes, as far as its member's content goes. */
+/** Creates check requests: a request's attributes, as far as its member's {@link Content} includes them. */
 final class Checks {
 
-  /** As Envoy tells it, whether the body here is only a part. */
+  /** Envoy's header that tells whether the body is truncated. */
   static final String PARTIAL_BODY = "x-envoy-auth-partial-body";
   private static final int MAX_HEADER_CHARS = 4_096;
 
@@ -57,7 +57,7 @@
     return CheckRequest.newBuilder().setAttributes(attributes).build();
   }
 
-  /** A customer's number as its header has it. */
+  /** Formats a customer's number as in the customer header. */
   static String firm(Request request) {
     return HexFormat.of().toHexDigits(request.customer());
   }
@@ -73,13 +73,15 @@
     for (String name : content.headers()) {
       if (headers.contains(name)) {
         String value = String.join(",", headers.getAll(name));
-        http.putHeaders(name,
-            value.length() > MAX_HEADER_CHARS ? value.substring(0, MAX_HEADER_CHARS) : value);
+        http.putHeaders(name, value.length() > MAX_HEADER_CHARS
+            ? value.substring(0, MAX_HEADER_CHARS) : value);
       }
     }
   }
 
-  /** A body that is UTF-8 is text, as the protocol's field asks; any other is bytes. */
+  /**
+   * Adds the body: as text if it is valid UTF-8, as the protocol requires for that field, otherwise as bytes.
+   */
   private static void putBody(AttributeContext.HttpRequest.Builder http, Content content,
       FullHttpRequest message) {
     if (content.bodyBytes() == 0) {
@@ -97,7 +99,7 @@
     http.putHeaders(PARTIAL_BODY, Boolean.toString(part.length < all));
   }
 
-  /** A digest of all that the check says of the request but its id, its time and where it came from. */
+  /** Returns a digest of the check without the request's id, time and source address. */
   static String subject(CheckRequest check) {
     CheckRequest.Builder same = check.toBuilder();
     same.getAttributesBuilder().clearSource().getRequestBuilder().clearTime().getHttpBuilder().clearId();
@@ -118,7 +120,7 @@
     }
   }
 
-  /** Maps have no order on the wire: their entries are sorted here. */
+  /** Adds a map with its entries sorted, because maps have no order on the wire. */
   private static void add(MessageDigest digest, Map<String, String> map) {
     add(digest, ByteString.copyFromUtf8("" + map.size()));
     new TreeMap<>(map).forEach((name, value) -> {
@@ -127,7 +129,7 @@
     });
   }
 
-  /** With its length before it, so that no two lists of parts give the same bytes. */
+  /** Adds a part prefixed with its length, so that different lists of parts never yield the same bytes. */
   private static void add(MessageDigest digest, ByteString part) {
     digest.update((part.size() + ":").getBytes(StandardCharsets.US_ASCII));
     digest.update(part.asReadOnlyByteBuffer());
--- a/authz/src/main/java/willowdoor/extauthz/DecisionLog.java
+++ b/authz/src/main/java/willowdoor/extauthz/DecisionLog.java
@@ -16,26 +16,25 @@
 import willowdoor.extauthz.ExtAuthzSettings.Log;
 
 /**
- * One line of JSON for each request that was asked about, with its whole history at the gate. The loop only
- * hands records over, without a lock; another thread writes them. Bounded: with so many unwritten, further
- * ones are dropped, and the next line that is written tells how many. The file is opened for each batch, so
- * it may be moved away.
+ * Writes one line of JSON for each checked request, with its history at the gate. The event loop only queues
+ * entries, without a lock; another thread writes them. The queue is bounded: further entries are dropped, and
+ * the next written line tells how many. The file is opened for each batch, so that it may be rotated.
  */
 final class DecisionLog {
 
   private static final Logger LOG = Logger.getLogger(DecisionLog.class.getName());
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** One call of a request. */
+  /** One call to an authoriser. */
   record Call(String authoriser, boolean probe, double limitMs, double tookMs, String result, boolean reached,
       String note) { }
 
   /**
    * One request.
    *
-   * @param atMs when it came to the gate, Unix time
-   * @param decision what the gate decided and why, or "none" when it ended undecided
-   * @param end how it ended, as {@code willowdoor.net.Gate.End} names it
+   * @param atMs arrival at the gate, Unix time in milliseconds
+   * @param decision the gate's decision and its reason, or "none" if the request ended undecided
+   * @param end how the request ended, as named by {@code willowdoor.net.Gate.End}
    */
   record Entry(double atMs, String door, String id, String member, String firm, String plan, String className,
       List<Call> calls, String decision, double decidedMs, String end, double endedMs, String metadata) { }
@@ -50,7 +49,7 @@
     this.settings = settings;
   }
 
-  /** Hands one over; for the loop. */
+  /** Queues an entry, or drops and counts it if the queue is full. Must run on the event loop. */
   void add(Entry entry) {
     if (waiting.get() >= settings.records()) {
       dropped.incrementAndGet();
@@ -60,7 +59,7 @@
     }
   }
 
-  /** Writes what is there; for one thread that may wait. */
+  /** Writes the queued entries; for one thread that may block. */
   synchronized void write() {
     if (queue.isEmpty()) {
       return;
@@ -74,7 +73,7 @@
       }
       failing = false;
     } catch (IOException e) {
-      // What was taken is lost, as what comes later would be kept for it otherwise.
+      // The polled entries are lost, and the other queued ones are dropped to make room for new ones.
       for (; taken < waiting.get() && queue.poll() != null; taken++) {
         dropped.incrementAndGet();
       }
--- a/authz/src/main/java/willowdoor/extauthz/Denial.java
+++ b/authz/src/main/java/willowdoor/extauthz/Denial.java
@@ -7,7 +7,11 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
 
-/** What a denied request's client is told. */
+/**
+ * The response to a denied request.
+ *
+ * @param metadata for the log, or null
+ */
 record Denial(int status, List<Grant.Change> headers, byte[] body, String metadata) {
 
   FullHttpResponse answer() {
--- a/authz/src/main/java/willowdoor/extauthz/ExtAuthzGate.java
+++ b/authz/src/main/java/willowdoor/extauthz/ExtAuthzGate.java
@@ -48,9 +48,10 @@
 import willowdoor.policy.GatewayApi.Request;
 
 /**
- * The gate that has members' policy servers asked (envoy.service.auth.v3). Takes events to the
- * {@link AuthzEngine} and its actions to the authorisers' channels and the request's passage; it chooses
- * nothing. All on the door's loop, but for TLS files and the log, which one thread of its own sees to.
+ * The gate that asks members' policy servers for authorisation (envoy.service.auth.v3). Passes events to the
+ * {@link AuthzEngine}, and its actions to the authorisers' channels and the request's passage; all decisions
+ * are the {@link AuthzEngine}'s. Runs on the door's event loop, except for TLS files and the log, which use
+ * one thread of their own.
  */
 public final class ExtAuthzGate implements RequestFilter, AutoCloseable {
 
@@ -87,12 +88,12 @@
   }
 
   /**
-   * Reads the TLS files and begins to connect; not for the loop's thread.
+   * Reads the TLS files and starts connecting; must not run on the event loop.
    *
    * @param door this door's name in the log
-   * @param group whose one loop is the door's
-   * @param clock the door's
-   * @throws IOException in plain words, when TLS files can't be used
+   * @param group the group that holds the door's one event loop
+   * @param clock the door's clock
+   * @throws IOException if TLS files can't be used; the message is fit for operators
    */
   public static ExtAuthzGate open(ExtAuthzSettings settings, String door, EventLoopGroup group,
       DoubleSupplier clock, long seed) throws IOException {
@@ -100,9 +101,9 @@
   }
 
   /**
-   * Warms this process up for asking, within the limit; for a thread that may wait, not the loop.
+   * Warms up this process for checks, within the limit; for a thread that may block, not the event loop.
    *
-   * @return how many made-up requests went through
+   * @return approximate number of made-up requests that went through
    */
   public static int warmUp(long limitMs) {
     return GateWarmUp.run(limitMs);
@@ -120,9 +121,8 @@
       throw e;
     }
     if (gate.log != null) {
-      gate.backgroundExecutor
-          .scheduleWithFixedDelay(gate.log::write, LOG_WRITE_INTERVAL_MS, LOG_WRITE_INTERVAL_MS,
-          TimeUnit.MILLISECONDS);
+      gate.backgroundExecutor.scheduleWithFixedDelay(gate.log::write, LOG_WRITE_INTERVAL_MS,
+          LOG_WRITE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
     return gate;
   }
@@ -131,15 +131,15 @@
       throws IOException {
     TlsFiles files = link.tls() == null ? null : new TlsFiles(link.tls());
     SslContext tls = files == null ? null : files.read();
-    AuthoriserLink opened =
-        new AuthoriserLink(link, group, channelType, settings.bounds().answerBytes(), tls);
+    AuthoriserLink opened = new AuthoriserLink(link, group, channelType,
+        settings.bounds().answerBytes(), tls);
     links.add(opened);
     if (files != null) {
       watch(opened, files);
     }
   }
 
-  /** Takes changed TLS files; while they can't be used, the connection stays by the old ones. */
+  /** Reloads changed TLS files; while they can't be used, the connection keeps the previous ones. */
   private void watch(AuthoriserLink link, TlsFiles files) {
     long every = (long) link.link().tls().checkIntervalMs();
     backgroundExecutor.scheduleWithFixedDelay(() -> {
@@ -147,9 +147,9 @@
         try {
           SslContext tls = files.read();
           loop.execute(() -> link.renew(tls));
-          LOG.info(link.link().name() + ": connects by the changed TLS files");
+          LOG.info(link.link().name() + ": reconnecting with the changed TLS files");
         } catch (IOException | RuntimeException e) {
-          LOG.warning(link.link().name() + ": stays with the TLS files it has: " + e.getMessage());
+          LOG.warning(link.link().name() + ": keeping the previous TLS files: " + e.getMessage());
         }
       }
     }, every, every, TimeUnit.MILLISECONDS);
@@ -160,12 +160,12 @@
     return gatekeeper.memberOf(request.className(), request.planName(), request.customer()) != null;
   }
 
-  /** Requests without their decision. */
+  /** Returns the number of requests without a decision. */
   public int undecided() {
     return gatekeeper.undecidedCount();
   }
 
-  /** One request from its entering to its end. */
+  /** One request from its arrival at the gate to its end. */
   private final class PendingRequest implements FilteredRequest {
     private final Request request;
     private final FullHttpRequest message;
@@ -244,7 +244,7 @@
       passage.answer(refusal(refuse));
     }
 
-    /** The last that is heard of it. */
+    /** Called once, when the request has ended. */
     @Override
     public void onEnd(RequestEnd end) {
       boolean undecided = decision.equals("none");
@@ -328,11 +328,11 @@
     } else if (read instanceof Answers.Undecided u) {
       return u.why();
     }
-    return status.isOk() ? ""
-        : Answers.truncate(status.getCode() + " " + String.valueOf(status.getDescription()));
+    return status.isOk() ? "" : Answers.truncate(status.getCode() + " "
+        + String.valueOf(status.getDescription()));
   }
 
-  /** Nothing of the request has run: 503, and when asking again may help. */
+  /** Creates the answer to a request that was not started: 503, with a retry time if a retry may help. */
   private FullHttpResponse refusal(Refuse refuse) {
     ByteBuf text = Unpooled.copiedBuffer("no authorisation: " + refuse.cause().name().toLowerCase(Locale.ROOT)
         + '\n', StandardCharsets.US_ASCII);
@@ -345,7 +345,7 @@
     return answer;
   }
 
-  /** Ends all connections, and writes what the log still has; for a thread that may wait. */
+  /** Closes all connections and writes the remaining log entries; for a thread that may block. */
   @Override
   public void close() {
     backgroundExecutor.shutdownNow();
--- a/authz/src/main/java/willowdoor/extauthz/ExtAuthzSettings.java
+++ b/authz/src/main/java/willowdoor/extauthz/ExtAuthzSettings.java
@@ -6,61 +6,62 @@
 import willowdoor.authz.AuthzSettings;
 
 /**
- * What the gate goes by.
+ * Settings of the authorisation gate.
  *
- * @param decisions whom to ask, and what follows; members and authorisers are in the order of the lists here
- * @param links how each authoriser is reached
- * @param contents what a check of each member carries
- * @param bounds of what an authoriser may say
- * @param log the file of decisions, or null for none
- * @param maxRetryAfterMs refusals name a later moment than this never; 0 means that they give no advice
+ * @param decisions which authorisers to ask, and how their answers are used; its members and authorisers have
+ *     the order of the lists here
+ * @param links connection settings of each authoriser
+ * @param contents the content of checks, for each member
+ * @param bounds limits of an authoriser's answer
+ * @param log the decision log, or null for none
+ * @param maxRetryAfterMs upper limit of the retry time given with refusals; 0 for no retry time
  */
 public record ExtAuthzSettings(AuthzSettings decisions, List<Link> links, List<Content> contents,
     AnswerBounds bounds, Log log, double maxRetryAfterMs) {
 
   /**
-   * How one authoriser is reached.
+   * Connection settings of one authoriser.
    *
    * @param tls null for plaintext
-   * @param keepAliveMs a connection on which nothing came for so long is pinged
-   * @param keepAliveAnswerMs and closed when it doesn't answer for so long
+   * @param keepAliveMs a connection that received nothing for this long is pinged
+   * @param keepAliveAnswerMs a connection that doesn't answer the ping for this long is closed
    */
   public record Link(String name, SocketAddress address, Tls tls, double keepAliveMs,
       double keepAliveAnswerMs) { }
 
   /**
-   * TLS to an authoriser, by PEM files.
+   * TLS settings of an authoriser, with PEM files.
    *
-   * @param ca whose certificates are trusted
-   * @param certificate this door's own chain for mutual TLS, or null
-   * @param key its PKCS 8 key, or null
-   * @param serverName the name that the authoriser's certificate must bear
-   * @param checkIntervalMs how often the files are looked at for changes
+   * @param ca the trusted certificates
+   * @param certificate this door's certificate chain for mutual TLS, or null
+   * @param key the PKCS 8 key of the certificate, or null
+   * @param serverName the name that the authoriser's certificate must have
+   * @param checkIntervalMs interval at which the files are checked for changes
    */
   public record Tls(Path ca, Path certificate, Path key, String serverName, double checkIntervalMs) { }
 
   /**
-   * What a check carries of a request.
+   * What a check contains of a request.
    *
    * @param headers names of the headers, in lower case
-   * @param bodyBytes so much of the body at the most; 0 is none of it
+   * @param bodyBytes maximum number of bytes of the body; 0 for no body
    */
   public record Content(List<String> headers, int bodyBytes) { }
 
   /**
-   * What an authoriser's answer may hold.
+   * Limits of an authoriser's answer.
    *
-   * @param answerBytes of a whole answer; a larger one is a failed call
-   * @param headers that an answer names; with more it can't be read
-   * @param headerBytes of all their names and values
-   * @param deniedBodyBytes of a denial's body; the rest is cut off
+   * @param answerBytes size of the whole answer; a larger answer fails the call
+   * @param headers number of headers; an allow with more is malformed
+   * @param headerBytes total size of their names and values
+   * @param deniedBodyBytes size of a denial's body; a longer body is truncated
    */
   public record AnswerBounds(int answerBytes, int headers, int headerBytes, int deniedBodyBytes) { }
 
   /**
-   * The decisions' log.
+   * Settings of the decision log.
    *
-   * @param records kept for the writing thread at the most; further ones are dropped and counted
+   * @param records maximum number of unwritten records; further ones are dropped and counted
    */
   public record Log(Path file, int records) { }
 }
--- a/authz/src/main/java/willowdoor/extauthz/GateWarmUp.java
+++ b/authz/src/main/java/willowdoor/extauthz/GateWarmUp.java
@@ -45,15 +45,17 @@
 import willowdoor.policy.GatewayApi.Request;
 
 /**
- * Sends made-up requests through a gate of its own, whose authoriser answers on channels in memory. Guards
- * against the first real checks: cold, gRPC and protobuf take the door's loop for more than a second, in
- * which
- * no other request goes on either. On a loop of its own, bounded in time and number.
+ * Sends made-up requests through a gate of its own, whose authoriser answers on in-memory channels. Without
+ * the warm-up, the first real checks would load gRPC and protobuf and block the door's event loop for more
+ * than a second, with all other requests. Runs on an event loop of its own, limited in time and number.
  */
 final class GateWarmUp {
 
   private static final Logger LOG = Logger.getLogger(GateWarmUp.class.getName());
-  /** They tell that channels in memory know no TCP option, which gRPC sets on all; held for their levels. */
+  /**
+   * These loggers warn that in-memory channels lack the TCP options that gRPC sets on every channel. The list
+   * keeps the loggers, and so their levels, from garbage collection.
+   */
   private static final List<Logger> BOOTSTRAPS = List.of(Logger.getLogger("io.netty.bootstrap.Bootstrap"),
       Logger.getLogger("io.netty.bootstrap.ServerBootstrap"));
   private static final int MAX_CHECKS = 4_000;
@@ -70,14 +72,17 @@
     untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
   }
 
-  /** Takes so long at the most; for a thread that may wait. Returns how many requests went through. */
+  /**
+   * Runs the warm-up for {@code limitMs} at most, on a thread that may block. Returns the approximate number
+   * of requests that went through.
+   */
   static int run(long limitMs) {
     GateWarmUp warmUp = new GateWarmUp(limitMs);
     BOOTSTRAPS.forEach(l -> l.setLevel(Level.SEVERE));
     try {
       return warmUp.go(limitMs);
     } catch (IOException e) {
-      LOG.warning("authorisation is not warmed up: " + e.getMessage());
+      LOG.warning("the authorisation warm-up failed: " + e.getMessage());
       return 0;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -129,8 +134,8 @@
     HttpHeaders headers = new DefaultHttpHeaders().set("content-type", "text/plain");
     FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/made-up/1",
         Unpooled.wrappedBuffer(new byte[50]), headers, new DefaultHttpHeaders());
-    Request request =
-        new Request("made-up-" + number, "made-up", "made-up", number, 1, 1, now() + CHECK_TIMEOUT_MS);
+    Request request = new Request("made-up-" + number, "made-up", "made-up", number, 1, 1,
+        now() + CHECK_TIMEOUT_MS);
     RequestFilter.FilteredRequest[] entry = new RequestFilter.FilteredRequest[1];
     entry[0] = gate
         .filter(request, message, new RequestFilter.Origin(headers, null), new RequestFilter.Continuation() {
@@ -159,7 +164,7 @@
     });
   }
 
-  /** Allows most, denies some. */
+  /** An authoriser that allows most requests and denies every eighth. */
   private static final class LocalAuthoriser extends AuthorizationGrpc.AuthorizationImplBase {
     private int asked;
 
--- a/authz/src/main/java/willowdoor/extauthz/Grant.java
+++ b/authz/src/main/java/willowdoor/extauthz/Grant.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * What came with an allow: changes of the headers that go on to a backend, and headers for the client.
+ * The content of an allow: changes of the headers sent to the backend, and headers for the client.
  *
  * @param metadata for the log, or null
  */
 record Grant(List<Change> changes, List<Change> forClient, String metadata) {
 
-  /** What is done with a header. */
+  /** How a header is changed. */
   enum HeaderAction { OVERWRITE, APPEND, ADD_IF_ABSENT, OVERWRITE_IF_THERE, REMOVE }
 
-  /** One header's change; a removal has no value. */
+  /** A change of one header; {@code value} is null for a removal. */
   record Change(HeaderAction how, String name, String value) {
 
     void applyTo(HttpHeaders headers) {
@@ -41,7 +41,7 @@
     changes.forEach(c -> c.applyTo(onward));
   }
 
-  /** The client's headers, or null when there are none. */
+  /** Returns the headers for the client, or null if there are none. */
   HttpHeaders clientHeaders() {
     if (forClient.isEmpty()) {
       return null;
--- a/authz/src/main/java/willowdoor/extauthz/HeaderRules.java
+++ b/authz/src/main/java/willowdoor/extauthz/HeaderRules.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * Which headers an authoriser may set. Never those that frame a message (RFC 9112), belong to one connection
- * (RFC 9110, 7.6.1), or tell the door's own protocol who asks, for what, and which repeat it is: by them one
- * request could be made into another.
+ * Decides which headers an authoriser may set. Never allowed are headers that frame a message (RFC 9112) or
+ * belong to one connection (RFC 9110, 7.6.1), and those of the door's own protocol that tell the customer,
+ * the kind of request and the retry count: they could turn one request into another.
  */
 final class HeaderRules {
 
@@ -22,13 +22,13 @@
   private HeaderRules() {
   }
 
-  /** Whether no authoriser may touch it. */
+  /** Returns whether authorisers may not change this header. */
   static boolean isProtected(String name) {
     String lower = name.toLowerCase(Locale.ROOT);
     return FRAMING.contains(lower) || PROTOCOL.contains(lower);
   }
 
-  /** Whether it is a header's name (RFC 9110, 5.1). */
+  /** Returns whether this is a valid header name (RFC 9110, 5.1) of acceptable length. */
   static boolean isName(String name) {
     if (name.isEmpty() || name.length() > MAX_NAME_CHARS) {
       return false;
@@ -43,7 +43,10 @@
     return true;
   }
 
-  /** Whether it is a header's value of visible ASCII, blanks and tabs: no line ends, no other controls. */
+  /**
+   * Returns whether this is a valid header value: visible ASCII, blanks and tabs, without line breaks or
+   * other control characters.
+   */
   static boolean isValue(String value) {
     for (int i = 0; i < value.length(); i++) {
       char c = value.charAt(i);
--- a/authz/src/main/java/willowdoor/extauthz/TlsFiles.java
+++ b/authz/src/main/java/willowdoor/extauthz/TlsFiles.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import willowdoor.extauthz.ExtAuthzSettings.Tls;
 
-/** The TLS files of one link and when they last changed. Reads files: for a thread that may wait. */
+/** The TLS files of one link, and their state when last read. Reads files: for a thread that may block. */
 final class TlsFiles {
 
   private final Tls tls;
@@ -22,7 +22,7 @@
     this.tls = tls;
   }
 
-  /** The context by the files as they are now. */
+  /** Creates a TLS context from the current files. */
   SslContext read() throws IOException {
     lastState = state();
     try {
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Whether any file differs from when it was last read or looked at in vain. */
+  /** Returns whether any file differs from its state at the last read, successful or not. */
   boolean changed() {
     return !Objects.equals(lastState, state());
   }
--- a/authz/src/test/java/willowdoor/extauthz/AnswersTest.java
+++ b/authz/src/test/java/willowdoor/extauthz/AnswersTest.java
@@ -132,7 +132,7 @@
     assertEquals(403, assertInstanceOf(Denied.class, answers.read(CheckResponse.newBuilder()
         .setStatus(com.google.rpc.Status.newBuilder().setCode(7)).setDeniedResponse(
             DeniedHttpResponse.newBuilder().setStatus(HttpStatus.newBuilder().setCodeValue(204)))
-        .build())).denial().status(), "never the look of a served request");
+        .build())).denial().status(), "a denial must not look like a served request");
   }
 
   @ParameterizedTest
--- a/steward/src/main/java/willowdoor/steward/DiskStore.java
+++ b/steward/src/main/java/willowdoor/steward/DiskStore.java
@@ -27,46 +27,51 @@
 import java.util.Set;
 
 /**
- * A steward's disk: its votes, its log and its last snapshots, in one SQLite file that is synced before the
- * library answers anybody. The file is locked as long as it is open, so no two processes share it.
+ * A steward's storage: its votes, log and latest snapshots, in one SQLite file that is synced before
+ * MicroRaft answers any message. The file stays locked while open, so that two processes can't share it.
  */
 public final class DiskStore implements RaftStore, AutoCloseable {
 
   private static final DefaultRaftModelFactory FACTORY = new DefaultRaftModelFactory();
 
   /**
-   * How far a steward has come, by what it promised: a vote or entries.
+   * The progress that a steward has acknowledged, by a vote or by accepted log entries.
    *
-   * @param index of its last entry, as far as known of that term
+   * @param index of its last log entry, as far as known for that term
    */
   public record Progress(int term, long index) {
 
-    /** Whether this can't be the same disk at a later time: within a term no promised entry is dropped. */
+    /**
+     * Returns whether {@code other} can't be a later state of the same disk: within a term no acknowledged
+     * entry is dropped.
+     */
     boolean isAheadOf(Progress other) {
       return term > other.term || term == other.term && index > other.index;
     }
   }
 
   private static final String ACKNOWLEDGED = "heard:";
-  /** 1 GiB: the log is cut each 10,000 commands, which may have 1 MiB but have some 1 KiB. */
+  /** 1 GiB: the log is truncated every 10,000 commands, each of at most 1 MiB and typically 1 KiB. */
   private static final long MAX_PAGES = 262_144;
 
   private final Connection connection;
-  /** What others have promised to this one; kept with what is flushed next. */
+  /** Progress that other stewards acknowledged to this one; written with the next flush. */
   private final Map<StewardId, Progress> acknowledged = new HashMap<>();
   private final Set<StewardId> unsaved = new HashSet<>();
   private boolean failed;
 
-  /** Opens the file, or makes it. */
+  /** Opens the file, or creates it. */
   public DiskStore(Path path) throws IOException {
     this(path, true, MAX_PAGES);
   }
 
   /**
-   * The same.
+   * Opens the file, or creates it.
    *
-   * @param synced false where only a process may end, not its machine: nothing that was written is lost then
-   * @param maxPages of 4 KiB; one more is a full disk, and the steward ends
+   * @param synced false if only the process may crash, not the machine: written data survives that without a
+   *     sync
+   * @param maxPages limit of the file, in pages of 4 KiB; beyond it the disk counts as full and the steward
+   *     stops
    */
   public DiskStore(Path path, boolean synced, long maxPages) throws IOException {
     try {
@@ -96,7 +101,7 @@
     }
   }
 
-  /** Another steward has promised so much, to this one. */
+  /** Records progress that another steward has acknowledged to this one. */
   void acknowledged(StewardId who, int term, long index) {
     Progress now = new Progress(term, index);
     Progress before = acknowledged.get(who);
@@ -106,12 +111,12 @@
     }
   }
 
-  /** What another has promised at the least; null where nothing is known. */
+  /** Returns the minimum progress that another steward has acknowledged, or null if unknown. */
   Progress acknowledged(StewardId who) {
     return acknowledged.get(who);
   }
 
-  /** How far this disk has come. */
+  /** Returns the term and last log index on this disk. */
   Progress ownProgress() throws IOException {
     JsonNode term = readValue("term");
     SnapshotEntry snapshot = readSnapshot();
@@ -122,7 +127,7 @@
     return new Progress(term == null ? 0 : (int) RaftJson.number(term, "term"), index);
   }
 
-  /** What was kept; null where it is new. */
+  /** Returns the stored state, or null if the file is new. */
   public RestoredRaftState restoredState() throws IOException {
     JsonNode self = readValue("self");
     JsonNode members = readValue("members");
@@ -145,7 +150,7 @@
     return values.isEmpty() ? null : RaftJson.read(values.get(0));
   }
 
-  /** The last one of which every piece is there. */
+  /** Returns the latest snapshot that has all of its chunks, or null. */
   private SnapshotEntry readSnapshot() throws IOException {
     List<SnapshotChunk> pieces = new ArrayList<>();
     for (byte[] value : values("SELECT value FROM piece WHERE idx = (SELECT max(idx) FROM (SELECT idx FROM"
@@ -201,7 +206,7 @@
     return new IOException("the store failed: " + e.getMessage(), e);
   }
 
-  /** Whether anything could not be kept or read: what is promised from then on might not be kept. */
+  /** Returns whether a read or write has failed; the file may not store later votes and acknowledgements. */
   boolean failed() {
     return failed;
   }
@@ -276,19 +281,19 @@
     }
   }
 
-  /** What was not flushed is lost, as by a kill. */
+  /** Discards unflushed writes, as a crash would. */
   void rollback() throws IOException {
     try {
       connection.rollback();
     } catch (SQLException e) {
-      // A full disk has had it undone already.
+      // After a failed write (full disk), SQLite has rolled back already.
       if (!failed) {
         throw failed(e);
       }
     }
   }
 
-  /** What was not flushed is lost, as by a kill. */
+  /** Closes the file; unflushed writes are lost, as after a crash. */
   @Override
   public void close() throws IOException {
     rollback();
--- a/steward/src/main/java/willowdoor/steward/LeaderWatch.java
+++ b/steward/src/main/java/willowdoor/steward/LeaderWatch.java
@@ -1,37 +1,37 @@
 package willowdoor.steward;
 
 /**
- * Tells when a steward's node stands still behind a leader that says nothing. The library misses a leader
- * after five heartbeats, forgets its name, and asks for votes. It stays with the name, for good, where a word
- * of that leader comes in the middle of asking for votes; nobody is chosen if that leader dies later. Against
- * that the node is begun anew from its disk, which is what a kill and a start would do.
+ * Detects a node that keeps following a leader that no longer sends anything. MicroRaft clears the leader
+ * after five missed heartbeats and starts an election. If a message of that leader arrives during the
+ * election, the node keeps the leader's name for good, and no leader is elected if that leader dies later.
+ * The remedy is to recreate the node from its disk, as a restart of the process would.
  *
- * <p>Looks are counted, not time: a process that was stopped has had its leader's words held back as well as
- * its looks, and must not take its own silence for the leader's.
+ * <p>The class counts checks instead of time: while a process is suspended, its checks are held back as well
+ * as the leader's messages, so its own pause must not count as silence of the leader.
  */
 final class LeaderWatch {
 
-  /** Between two looks. */
+  /** Interval between checks. */
   static final double CHECK_INTERVAL_MS = 200;
-  /** So many looks, 2 s, are four times what the library takes to miss a leader. */
+  /** 10 checks, 2 s, are four times the leader timeout of the library. */
   static final int SILENT_CHECKS = 10;
-  /** Where beginning anew brought no word either: each time twice as many looks, up to some 64 s. */
+  /** Upper limit of the backoff: if a restart brings no message either, the limit doubles, up to 64 s. */
   static final int MAX_SILENT_CHECKS = 320;
 
   private int silentChecks;
   private int limit = SILENT_CHECKS;
 
-  /** A word of a leader of this term or a later one has come. */
+  /** Called on a message from a leader of the current or a later term. */
   void leaderHeard() {
     silentChecks = 0;
     limit = SILENT_CHECKS;
   }
 
   /**
-   * To be called each {@link #CHECK_INTERVAL_MS}.
+   * Counts one check; to be called every {@link #CHECK_INTERVAL_MS}.
    *
-   * @param hasOtherLeader whether the node names another as its leader
-   * @return whether to begin the node anew
+   * @param hasOtherLeader whether the node follows another steward as its leader
+   * @return whether to recreate the node
    */
   boolean check(boolean hasOtherLeader) {
     silentChecks = hasOtherLeader ? silentChecks + 1 : 0;
--- a/steward/src/main/java/willowdoor/steward/RaftJson.java
+++ b/steward/src/main/java/willowdoor/steward/RaftJson.java
@@ -30,7 +30,7 @@
 import java.util.Collection;
 import java.util.List;
 
-/** What stewards say to each other and keep on disk, as JSON: no Java object is deserialized. */
+/** Converts messages between stewards, and their stored state, to and from JSON; no Java deserialization. */
 final class RaftJson {
 
   static final String GROUP = "fleet";
@@ -92,7 +92,7 @@
     } else if (message instanceof TriggerLeaderElectionRequest m) {
       to.put("is", "Elect").put("lastTerm", m.getLastLogTerm()).put("last", m.getLastLogIndex());
     } else {
-      throw new IllegalArgumentException("no message of stewards: " + message);
+      throw new IllegalArgumentException("not a consensus message: " + message);
     }
   }
 
@@ -100,7 +100,11 @@
     to.put("query", query).put("flow", flow);
   }
 
-  /** Reads a message; what it is not, or lacks, is named. */
+  /**
+   * Decodes a message.
+   *
+   * @throws IllegalArgumentException naming a missing field or unknown kind
+   */
   static RaftMessage decode(byte[] bytes) {
     JsonNode of = read(bytes);
     RaftEndpoint from = endpoint(at(of, "from"));
@@ -163,8 +167,8 @@
             .setTerm(term).setLastLogTerm(at(of, "lastTerm").asInt()).setLastLogIndex(number(of, "last"))
             .build();
       default:
-        throw new IllegalArgumentException("a message of stewards that is \"" + is + "\" (expected: Append, "
-            + "Appended, NotAppended, Install, Installed, Vote, Voted, PreVote, PreVoted or Elect)");
+        throw new IllegalArgumentException("unknown kind of consensus message \"" + is + "\" (expected: "
+            + "Append, Appended, NotAppended, Install, Installed, Vote, Voted, PreVote, PreVoted or Elect)");
     }
   }
 
@@ -249,7 +253,7 @@
   private static JsonNode at(JsonNode of, String field) {
     JsonNode value = of.get(field);
     if (value == null) {
-      throw new IllegalArgumentException("a message of stewards lacks \"" + field + "\": "
+      throw new IllegalArgumentException("a consensus message lacks the field \"" + field + "\": "
           + of.toString().substring(0, Math.min(80, of.toString().length())));
     }
     return value;
@@ -263,7 +267,7 @@
     try {
       return at(of, field).binaryValue();
     } catch (IOException e) {
-      throw new IllegalArgumentException("\"" + field + "\" is no base64", e);
+      throw new IllegalArgumentException("\"" + field + "\" is not valid base64", e);
     }
   }
 
@@ -279,11 +283,11 @@
     try {
       JsonNode node = JSON.readTree(bytes);
       if (node == null || !node.isObject()) {
-        throw new IllegalArgumentException("no object is in these " + bytes.length + " bytes");
+        throw new IllegalArgumentException("not a JSON object, in " + bytes.length + " bytes");
       }
       return node;
     } catch (IOException e) {
-      throw new IllegalArgumentException("no object is in these " + bytes.length + " bytes: "
+      throw new IllegalArgumentException("not a JSON object, in " + bytes.length + " bytes: "
           + e.getMessage(), e);
     }
   }
--- a/steward/src/main/java/willowdoor/steward/RaftStateMachine.java
+++ b/steward/src/main/java/willowdoor/steward/RaftStateMachine.java
@@ -12,10 +12,13 @@
 import willowdoor.agreement.Outcome;
 import willowdoor.agreement.FleetSettings;
 
-/** The record as the library's state machine: bytes of commands in, outcomes out, snapshots in pieces. */
+/**
+ * The fleet record as MicroRaft's state machine: applies encoded commands, returns their outcomes, and reads
+ * and writes snapshots in chunks.
+ */
 final class RaftStateMachine implements StateMachine {
 
-  /** A piece of a snapshot has so many bytes at most, as one message carries it. */
+  /** Maximum size of a snapshot chunk; one message carries one chunk. */
   static final int CHUNK_BYTES = 256 << 10;
 
   private final DoubleSupplier now;
@@ -23,9 +26,10 @@
   private FleetStateMachine record = new FleetStateMachine(FleetSettings.UNCONFIGURED);
 
   /**
-   * For one steward.
+   * Creates an empty record.
    *
-   * @param onNewTerm run when a term's first entry has been agreed on, whoever leads
+   * @param now this steward's monotonic clock, in milliseconds
+   * @param onNewTerm run when a term's first entry was committed, whichever steward leads
    */
   RaftStateMachine(DoubleSupplier now, Runnable onNewTerm) {
     this.now = now;
@@ -61,7 +65,9 @@
     record = new FleetStateMachine(Codec.readState(all.toByteArray()));
   }
 
-  /** The first entry of each term: from here on this leader's clock counts, and every lease anew. */
+  /**
+   * The first entry of each term: from here on the new leader's clock counts, and every lease starts anew.
+   */
   @Override
   public Object getNewTermOperation() {
     return Codec.bytes(new LeaderElected(now.getAsDouble()));
--- a/steward/src/main/java/willowdoor/steward/ScaledClockExecutor.java
+++ b/steward/src/main/java/willowdoor/steward/ScaledClockExecutor.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The library's time: its heartbeats take whole seconds, one at least, which is too long to be without a
- * leader. So it is told that time goes faster, by the same factor at its clock and at its timers.
+ * Clock and timers for MicroRaft that run faster than real time by one common factor. The library takes its
+ * heartbeat period in whole seconds, at least 1 s, which would leave the group without a leader for too long.
  */
 final class ScaledClockExecutor extends Clock implements RaftNodeExecutor {
 
--- a/steward/src/main/java/willowdoor/steward/Steward.java
+++ b/steward/src/main/java/willowdoor/steward/Steward.java
@@ -29,22 +29,23 @@
 import willowdoor.agreement.FleetSettings;
 
 /**
- * One of those who keep the fleet's record: the consensus is MicroRaft's, the record {@link
- * FleetStateMachine}. It
- * has no thread, clock, link or chance of its own; everything runs on the thread of its surroundings.
+ * A replica of the fleet record ("steward" in settings and commands). MicroRaft provides the consensus, and
+ * {@link FleetStateMachine} is the replicated state machine. The class has no thread, clock, connection or
+ * random
+ * source of its own: all of it comes from the {@link StewardEnvironment}, on whose single thread it runs.
  */
 public final class Steward {
 
   private static final Logger LOG = Logger.getLogger(Steward.class.getName());
-  /** By this the library's seconds are shorter: heartbeats each 0.1 s, a leader missed after 0.5 s. */
+  /** Factor by which the library's time runs faster: heartbeats every 0.1 s, leader timeout after 0.5 s. */
   static final double TIME_SCALE = 10;
   private static final int HEARTBEAT_SECS = 1;
   private static final int LEADER_TIMEOUT_SECS = 5;
-  /** Of the library's time; votes are asked for again after this. */
+  /** In the library's time; a candidate repeats the election after this. */
   private static final int ELECTION_TIMEOUT_MS = 1_000;
-  /** Commands that wait for a majority; one more is refused by the library. */
+  /** Limit of uncommitted log entries; the library refuses further ones. */
   private static final int MAX_PENDING_COMMANDS = 1_000;
-  /** Of commands that one message carries: each may be as long as a command may be. */
+  /** Limit of log entries in one message; each may have the maximum length of a command. */
   private static final int MAX_COMMANDS_PER_MESSAGE = 8;
   private static final double CONFIGURE_RETRY_MS = 200;
 
@@ -59,26 +60,26 @@
   private final LeaderWatch leaderWatch = new LeaderWatch();
   private RaftStateMachine stateMachine;
   private RaftNode node;
-  /** While it is begun anew; then its node has ended, but it hasn't. */
+  /** Set while the node is being recreated: the node has terminated, but this steward has not. */
   private boolean restarting;
   private boolean failed;
   private boolean stopped;
 
   /**
-   * Begins with {@link #start}.
+   * Creates the replica; {@link #start} starts it.
    *
-   * @param members those who begin the record together, this one among them; for one that joins them later
-   *     the others, and it takes part once it was added ({@link #changeMembership})
-   * @param initialTerms the terms that it tells a record that has none, where it leads
-   * @param send to another, with no answer and no promise that it arrives
-   * @param reachable whether it may be worth sending to it
-   * @param snapshotAfter so many commands
-   * @param store its disk; what is on it goes before the members given here
-   * @throws IOException if the disk can't be read
+   * @param members the initial group, this steward included; for a steward that joins an existing group, the
+   *     others: it takes part once it is added ({@link #changeMembership})
+   * @param initialTerms the terms that this steward proposes as leader if the record has none
+   * @param send sends a message to another steward; delivery is not guaranteed
+   * @param reachable whether sending to that steward may succeed
+   * @param snapshotAfter number of committed commands between snapshots
+   * @param store this steward's storage; what is stored takes precedence over {@code members}
+   * @throws IOException if the storage can't be read
    */
   public Steward(StewardId self, Collection<StewardId> members, FleetSettings initialTerms,
-      StewardEnvironment environment,
-      BiConsumer<StewardId, byte[]> send, Predicate<StewardId> reachable, int snapshotAfter, DiskStore store)
+      StewardEnvironment environment, BiConsumer<StewardId, byte[]> send, Predicate<StewardId> reachable,
+      int snapshotAfter, DiskStore store)
       throws IOException {
     this.self = self;
     this.members = List.copyOf(members);
@@ -124,23 +125,24 @@
         }).build();
   }
 
-  /** What another steward has promised to this one at the least; null where nothing is known. */
+  /** Returns the minimum progress that another steward has acknowledged to this one, or null if unknown. */
   public DiskStore.Progress acknowledgedBy(StewardId who) {
     return store.acknowledged(who);
   }
 
   /**
-   * What this one's disk lacks of what it has promised by another's word; null where nothing. Guards against
-   * a disk that was put back from an older copy, or was lost: the steward would promise otherwise now.
+   * Describes what is missing on this disk of the progress that another steward reports as acknowledged by
+   * this one; null if nothing is. Guards against a disk that was lost or restored from an older copy: the
+   * steward could break its earlier votes and acknowledgements.
    */
   public String missingFromDisk(DiskStore.Progress promised) throws IOException {
     DiskStore.Progress own = store.ownProgress();
     return promised.isAheadOf(own) ? "entry " + promised.index() + " of term " + promised.term()
-        + " was promised, and"
-        + " the disk ends with entry " + own.index() + " of term " + own.term() : null;
+        + " was"
+        + " acknowledged, but the disk ends with entry " + own.index() + " of term " + own.term() : null;
   }
 
-  /** Takes part from here on. */
+  /** Starts taking part in the consensus. */
   public void start() {
     node.start();
     checkHealth();
@@ -151,8 +153,8 @@
       return;
     }
     if (store.failed()) {
-      // The library may go on leading with it, and nobody would agree on anything.
-      LOG.severe("the disk failed: this steward ends");
+      // The library may keep leading despite the failed disk, and nothing would be committed.
+      LOG.severe("the disk failed: this steward stops");
       failed = true;
       node.terminate();
       return;
@@ -163,10 +165,13 @@
     environment.schedule(LeaderWatch.CHECK_INTERVAL_MS, this::checkHealth);
   }
 
-  /** As a kill and a start would: what was not flushed is lost, what was proposed here has failed. */
+  /**
+   * Recreates the node from the storage, as after a crash: unflushed writes are lost, and pending proposals
+   * fail.
+   */
   private void restartNode() {
-    LOG.warning("nothing was heard of the leader " + leader().name() + ", and no vote was begun: the node is"
-        + " begun anew from its disk");
+    LOG.warning("no message from the leader " + leader().name() + " and no election started: restarting the"
+        + " node from its disk");
     restarting = true;
     node.terminate().whenComplete((done, failure) -> environment.schedule(0, () -> {
       if (stopped) {
@@ -177,7 +182,7 @@
         createNode();
         node.start();
       } catch (IOException e) {
-        LOG.log(Level.SEVERE, "the node can't be begun anew", e);
+        LOG.log(Level.SEVERE, "the node can't be restarted", e);
         failed = true;
       }
       restarting = false;
@@ -194,21 +199,22 @@
     }
   }
 
-  /** Whether it can't go on: its disk failed, or it was put out of the group. */
+  /** Returns whether this steward can't continue: its storage failed, or it was removed from the group. */
   public boolean hasEnded() {
     return failed || !restarting && RaftNodeStatus.isTerminal(node.getStatus());
   }
 
-  /** Takes part no longer. */
+  /** Stops taking part in the consensus. */
   public void stop() {
     stopped = true;
     node.terminate();
   }
 
   /**
-   * Takes what another steward sent.
+   * Handles a message of another steward.
    *
-   * @throws IllegalArgumentException naming what can't be read
+   * @throws IllegalArgumentException if the message can't be read; the message of the exception names the
+   *     cause
    */
   public void handle(byte[] message) {
     RaftMessage read = RaftJson.decode(message);
@@ -227,10 +233,11 @@
   }
 
   /**
-   * Has a command agreed on; fails where this steward doesn't lead, or no majority agrees before it stops
-   * leading. A failure doesn't tell that the command was not, or will not be, agreed on.
+   * Proposes a command. The future fails if this steward is not the leader, or loses leadership before a
+   * majority has accepted the command. After a failure the command may still be committed, now or later.
    *
-   * @param command made with the time of this steward's clock, which counts only if it leads
+   * @param command creates the command from this steward's clock, whose time counts only if this steward
+   *     leads
    */
   public CompletableFuture<Outcome> propose(DoubleFunction<Command> command) {
     if (!isLeader()) {
@@ -240,21 +247,21 @@
         .thenApply(x -> x.getResult());
   }
 
-  /** How a steward's part changes. */
+  /** A change of a steward's membership. */
   public enum MembershipChange {
-    /** It hears what is agreed on and has no vote: to catch up by. */
+    /** Receives the log without a vote, to catch up. */
     LISTEN,
-    /** It has a vote. */
+    /** Is a voting member. */
     VOTE,
-    /** It takes part no longer. */
+    /** Is no member any longer. */
     LEAVE
   }
 
   /**
-   * Has a steward's part changed, one at a time; fails as {@link #propose} does, and while another change is
-   * not over. One whose disk was lost takes part again under another disk's name only.
+   * Changes a steward's membership, one change at a time. Fails like {@link #propose}, and while another
+   * change is in progress. A steward whose disk was lost can take part again only under a new disk name.
    *
-   * @return those who vote then
+   * @return the voting members after the change
    */
   public CompletableFuture<List<StewardId>> changeMembership(StewardId who, MembershipChange change) {
     if (!isLeader()) {
@@ -269,7 +276,7 @@
         .thenApply(x -> votingMembers());
   }
 
-  /** Those who vote, as far as this one knows. */
+  /** Returns the voting members, as far as this steward knows. */
   public List<StewardId> votingMembers() {
     return node.getCommittedMembers().getVotingMembers().stream().map(StewardId.class::cast).toList();
   }
@@ -279,17 +286,17 @@
         node.getTerm().getLeaderEndpoint()));
   }
 
-  /** Whether it believes that it leads; what it proposes shows whether it does. */
+  /** Returns whether this steward believes that it is the leader; only a committed proposal proves it. */
   public boolean isLeader() {
     return node.getLocalEndpoint().equals(node.getTerm().getLeaderEndpoint());
   }
 
-  /** Whom it takes for the leader; null where it knows none. */
+  /** Returns the leader as known to this steward, or null if none is known. */
   public StewardId leader() {
     return (StewardId) node.getTerm().getLeaderEndpoint();
   }
 
-  /** What this steward has heard as agreed, which may be behind. For its own thread. */
+  /** Returns this replica's committed state, which may lag behind. Only for this steward's own thread. */
   public FleetStateMachine record() {
     return stateMachine.record();
   }
--- a/steward/src/main/java/willowdoor/steward/StewardEnvironment.java
+++ b/steward/src/main/java/willowdoor/steward/StewardEnvironment.java
@@ -1,14 +1,18 @@
 package willowdoor.steward;
 
-/** All that a steward takes from outside, so that the same one lives in a process and in simulated time. */
+/**
+ * Clock, timers and random source of a steward, so that the same code runs in a process and in a simulation.
+ */
 public interface StewardEnvironment {
 
-  /** Monotonic, in milliseconds. */
+  /** Returns the monotonic time in milliseconds. */
   double now();
 
-  /** Runs it on the steward's one thread, after a time in milliseconds; at once means soon. */
+  /**
+   * Runs a task on the steward's single thread after a delay in milliseconds; 0 means as soon as possible.
+   */
   void schedule(double delayMs, Runnable task);
 
-  /** Chance, for what must not happen to all at once. */
+  /** Returns the random source, which keeps stewards from acting at the same moment (election timeouts). */
   java.util.Random random();
 }
--- a/steward/src/main/java/willowdoor/steward/StewardId.java
+++ b/steward/src/main/java/willowdoor/steward/StewardId.java
@@ -4,11 +4,12 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A steward as the others know it.
+ * The identity of a steward in the group.
  *
- * @param name as its operator calls it
- * @param store which disk it keeps the record on, unlike any other: one whose disk is new is another steward,
- *     which the others don't count until it is added, as it has forgotten what it promised
+ * @param name the name given by the operator
+ * @param store unique name of the disk that holds the steward's record. A steward with a new disk is a
+ *     different member, which has no part until it is added: it no longer knows its votes and
+ *     acknowledgements
  */
 public record StewardId(String name, String store) implements RaftEndpoint {
 
--- a/steward/src/main/java/willowdoor/steward/link/Answer.java
+++ b/steward/src/main/java/willowdoor/steward/link/Answer.java
@@ -5,34 +5,34 @@
 import willowdoor.agreement.DoorView;
 import willowdoor.steward.StewardId;
 
-/** What a {@link Call} came to. */
+/** The answer to a {@link Call}. */
 public sealed interface Answer {
 
-  /** The command was agreed on, and came to this. */
+  /** The command was committed, with this outcome. */
   record Came(Outcome outcome) implements Answer { }
 
-  /** The heartbeat was agreed on. */
+  /** The heartbeat was committed. */
   record Seen(DoorView view) implements Answer { }
 
-  /** The part was changed; these vote now. */
+  /** The membership was changed; the voting members after the change. */
   record Votes(List<StewardId> voting) implements Answer {
 
-    /** Keeps a copy. */
+    /** Copies the list. */
     public Votes {
       voting = List.copyOf(voting);
     }
   }
 
-  /** So much was promised at the least; 0 and 0 where nothing is known. */
+  /** The minimum progress that was acknowledged; 0 and 0 if unknown. */
   record Recalled(int term, long index) implements Answer { }
 
-  /** How all stands. */
+  /** The state of the record. */
   record Stands(FleetStatus standing) implements Answer { }
 
   /**
-   * Nothing is known of what became of it: it may be agreed on yet.
+   * The call failed, with unknown effect: it may still be committed.
    *
-   * @param again whether the same, asked again, may come to something
+   * @param again whether a retry of the same call may succeed
    */
   record Failed(String why, boolean again) implements Answer { }
 }
--- a/steward/src/main/java/willowdoor/steward/link/Call.java
+++ b/steward/src/main/java/willowdoor/steward/link/Call.java
@@ -4,24 +4,24 @@
 import willowdoor.steward.Steward;
 import willowdoor.steward.StewardId;
 
-/** What is asked of the stewards, at any of them. */
+/** Calls to the stewards; any steward accepts them. */
 public sealed interface Call {
 
-  /** Have a command agreed on; its time is the leader's, whatever it says. */
+  /** Proposes a command; its time is replaced by the leader's clock. */
   record Put(Command command) implements Call { }
 
-  /** Take a heartbeat, and tell what the record knows for this door. */
+  /** Delivers a door's heartbeat; the answer is the door's view of the record. */
   record Beat(Command.Heartbeat beat) implements Call { }
 
-  /** Have a steward's part changed. */
+  /** Changes a steward's membership. */
   record Part(StewardId who, Steward.MembershipChange change) implements Call { }
 
-  /** Tell what that steward has promised to the one that is asked. */
+  /** Asks for the progress that the given steward has acknowledged to the called one. */
   record Recall(StewardId who) implements Call { }
 
-  /** Say that the link is there. */
+  /** Checks that the link is alive. */
   record Ping() implements Call { }
 
-  /** Tell how all stands, by a majority's word. */
+  /** Asks for the state of the record, confirmed by a majority. */
   record Look() implements Call { }
 }
--- a/steward/src/main/java/willowdoor/steward/link/DoorLink.java
+++ b/steward/src/main/java/willowdoor/steward/link/DoorLink.java
@@ -27,48 +27,52 @@
 import willowdoor.steward.link.LinkMessage.Role;
 
 /**
- * Drives one door's {@link DoorParticipant} over a link to the stewards, on a thread of its own: nothing of
- * it is on
- * the thread of requests. It decides nothing.
+ * Connects one door's {@link DoorParticipant} with the stewards, on a thread of its own, apart from the
+ * threads that
+ * serve requests. All decisions are made by the {@link DoorParticipant}.
  */
 public final class DoorLink implements AutoCloseable {
 
   /**
-   * Which process of which door this is.
+   * Identifies a process of a door.
    *
-   * @param version of the program, as releases name it
-   * @param successorOf the attempt of a release that this process was started for, or 0
+   * @param version program version, as named in releases
+   * @param successorOf the attempt of a release that started this process, or 0
    */
   public record Identity(String group, String door, String incarnation, String zone, double weight,
       String version, long successorOf) { }
 
-  /** What the record has a door do; called on this link's thread, which must not be held up. */
+  /**
+   * Actions that the fleet record demands of the door; called on this link's thread, which must not block.
+   */
   public interface DoorControl {
-    /** Send nothing more to the backend, and tell {@link #backendReleased} once no attempt is out at it. */
+    /**
+     * Sends no more attempts to the backend, and calls {@link #backendReleased} once none is in flight there.
+     */
     void takeOut(String backend);
 
-    /** The backend may be sent to again. */
+    /** Allows attempts to the backend again. */
     void putBack(String backend);
 
-    /** Have clients go elsewhere. */
+    /** Drains the door: clients are told to use other doors. */
     void drain();
 
-    /** Take clients again. */
+    /** Ends draining: the door accepts clients again. */
     void undrain();
 
     /**
-     * Start a process of that version in this one's place; tell {@link #replacementFailed} if it doesn't take
-     * it.
+     * Starts a process of the given version as this process's successor; calls {@link #replacementFailed} if
+     * the successor doesn't take over.
      */
     void replace(long attempt, String version);
   }
 
   private static final Logger LOG = Logger.getLogger(DoorLink.class.getName());
-  /** For the answer to anything; the door's own side answers an operator before that. */
+  /** Timeout of calls; {@link DoorParticipant} answers an operator within its own limit. */
   private static final long CALL_TIMEOUT_MS = 600;
-  /** A list that the stewards did not take is told again after this. */
+  /** Delay before retrying a call that the stewards did not take. */
   private static final long RETRY_MS = 500;
-  /** For an operator who is answered within the second, and may need two answers for it. */
+  /** Timeout for operators' calls: an operator is answered within one second, which may take two calls. */
   private static final long OPERATOR_TIMEOUT_MS = 400;
 
   private final Identity self;
@@ -80,28 +84,31 @@
   private final Map<String, CompletableFuture<Outcome>> pendingRequests = new HashMap<>();
   private final TakenOutFiles takenOutFiles;
   private final CompletableFuture<Void> takenOutKnown = new CompletableFuture<>();
-  /** What is yet to be kept; null where all is. Until then no backend is said to be let go. */
+  /**
+   * The set of backends out that is not stored yet; null if all is stored. Until then no backend is reported
+   * as released.
+   */
   private Map<String, Long> unsavedTakenOut;
   private final List<String> unreportedReleases = new ArrayList<>();
   private long generation;
-  /** The stewards have taken this process. */
+  /** Whether the stewards have registered this process. */
   private boolean registered;
   private boolean closed;
   private double wakeAt;
   private long backendsVersion;
-  /** Null where the stewards have it. */
+  /** The list of backends that the stewards have not received yet; null if there is none. */
   private List<Command.Backend> unsentBackends;
-  /** The last list, told or not. */
+  /** The latest list of backends, whether sent or not. */
   private List<Command.Backend> lastBackends;
   private boolean sendingBackends;
 
   /**
-   * Begins at once.
+   * Starts connecting at once.
    *
-   * @param drift the most that a clock runs wrong, as a part of the time that passes
-   * @param files where processes of this door keep which backends are out: the beginning of the files' names
-   * @param generation of its holding what only one process of the door can hold; 0 while another holds it.
-   *     Only a holder goes by what was kept: another process that lives may have agreed to more since
+   * @param drift maximum clock drift, as a fraction of elapsed time
+   * @param files path prefix of the files in which the processes of this door store which backends are out
+   * @param generation number of this process's exclusive hold on the door, or 0 while another process has it.
+   *     Only the holder uses the stored files: another running process may have agreed to more since
    */
   public DoorLink(Identity self, List<InetSocketAddress> stewards, double drift, Path files, long generation,
       DoorControl control) {
@@ -131,12 +138,12 @@
     });
   }
 
-  /** What the instance does from here on. */
+  /** Reports the state of this process. */
   public void reportState(Activity doing) {
     loop.execute(() -> handle(new DoorEvent.ActivityChanged(doing)));
   }
 
-  /** No attempt is out at the backend any more. */
+  /** Reports that no attempt to the backend is in flight any more. */
   public void backendReleased(String backend) {
     loop.execute(() -> {
       if (unsavedTakenOut == null) {
@@ -147,17 +154,17 @@
     });
   }
 
-  /** So the instance has answered since it began. */
+  /** Reports the counts of this process's answers since it started. */
   public void reportTally(Tally tally) {
     loop.execute(() -> handle(new DoorEvent.TallyUpdated(tally)));
   }
 
-  /** What was started for an attempt has ended, and this process serves on. */
+  /** Reports that the successor started for this attempt has ended, and that this process keeps serving. */
   public void replacementFailed(long attempt) {
     loop.execute(() -> handle(new DoorEvent.SuccessorFailed(attempt)));
   }
 
-  /** This process holds what only one process of the door can hold, by this number. */
+  /** Reports that this process now has the exclusive hold on the door, under the given generation number. */
   public void lockAcquired(long newGeneration) {
     loop.execute(() -> {
       generation = newGeneration;
@@ -167,19 +174,19 @@
   }
 
   /**
-   * Another process of this door has ended, and may not have said so itself; said until it is answered, and
-   * not before the stewards know of this one: a door of which they know no process that lives sends nothing,
-   * as far as they are concerned, and this one may send already.
+   * Reports that another process of this door has ended, in case that process could not report its end
+   * itself; retried until answered. The report waits until the stewards know this process: a door without a
+   * known live process counts as sending nothing, but this process may be sending already.
    *
-   * @param onAcknowledged run once the stewards know
+   * @param onAcknowledged run once the stewards have the report
    */
   public void reportEnded(String incarnation, Runnable onAcknowledged) {
     loop.execute(() -> {
       if (!closed && !registered) {
         loop.schedule(() -> reportEnded(incarnation, onAcknowledged), RETRY_MS, TimeUnit.MILLISECONDS);
       } else if (!closed) {
-        link.call(new Call.Put(new Command.Leave(0, self.door(), incarnation)), false, CALL_TIMEOUT_MS,
-            answer -> {
+        link.call(new Call.Put(new Command.Leave(0, self.door(), incarnation)), false,
+            CALL_TIMEOUT_MS, answer -> {
           if (answer instanceof Came) {
             onAcknowledged.run();
           } else {
@@ -190,7 +197,7 @@
     });
   }
 
-  /** The list of backends, whole, as this door has heard it. */
+  /** Reports the full list of backends, as this door received it. */
   public void reportBackends(long version, List<Command.Backend> backends) {
     loop.execute(() -> {
       backendsVersion = version;
@@ -201,7 +208,7 @@
     });
   }
 
-  /** An operator asks here; answered within the second. */
+  /** Requests a permit for an operator; answered within one second. */
   public CompletableFuture<Outcome> requestPermit(String request, Subject subject, String by, String reason,
       boolean force) {
     CompletableFuture<Outcome> answer = new CompletableFuture<>();
@@ -215,7 +222,7 @@
     return answer;
   }
 
-  /** How all stands, by a majority's word; null where nobody says so in time. */
+  /** Returns the state of the record, confirmed by a majority; null if there is no answer in time. */
   public CompletableFuture<FleetStatus> status() {
     CompletableFuture<FleetStatus> answer = new CompletableFuture<>();
     loop.execute(() -> link.call(new Call.Look(), false, OPERATOR_TIMEOUT_MS,
@@ -223,7 +230,7 @@
     return answer;
   }
 
-  /** Gives a permit back; null where nobody says what came of it in time. */
+  /** Returns a permit; the result is null if there is no answer in time. */
   public CompletableFuture<Outcome> returnPermit(Subject subject, long permit, String by) {
     CompletableFuture<Outcome> answer = new CompletableFuture<>();
     loop.execute(() -> link.call(new Call.Put(new Command.ReturnPermit(0, subject, permit, by)), false,
@@ -233,21 +240,22 @@
   }
 
   /**
-   * Completed when it is known which backends are out, by the stewards or by what one before this one kept.
-   * A door that serves earlier may send to one that an operator was told is out.
+   * Completes when this door knows which backends are out, from the stewards or from the stored files of an
+   * earlier process. A door that serves sooner may send to a backend that an operator was told is out.
    */
   public CompletableFuture<Void> takenOutKnown() {
     return takenOutKnown;
   }
 
-  /** Whether what needs agreement may begin now. */
+  /** Returns whether actions that need agreement may start now. */
   public boolean isInContact() throws InterruptedException {
     return loop.submit(() -> side.hasLease(now())).sync().getNow();
   }
 
   /**
-   * Says that this process has ended, if that can be said within the time, and is there no more. A process
-   * that can't say so stays known, and holds up what waits for its word, until another follows it.
+   * Reports the end of this process, if that succeeds in time, and closes the link. A process that can't
+   * report its end stays registered, and delays whatever waits for its confirmation, until a successor
+   * replaces it.
    */
   @Override
   public void close() {
@@ -262,7 +270,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
-      LOG.warning("the stewards were not told of the end: " + e);
+      LOG.warning("could not report the end of this process to the stewards: " + e);
     }
     loop.execute(link::close);
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
@@ -331,21 +339,22 @@
       unreportedReleases.clear();
       ready.forEach(x -> handle(new DoorEvent.BackendVacated(x)));
     } catch (IOException e) {
-      LOG.warning("what is out can't be kept, so no backend is said to be let go: " + e.getMessage());
+      LOG.warning("can't store which backends are out, so none is reported as released: " + e.getMessage());
       loop.schedule(this::save, RETRY_MS, TimeUnit.MILLISECONDS);
     }
   }
 
   /**
-   * Until it is answered: a process that died before this one, and could say no word, holds up what it might
-   * still send to until the stewards hear that this one alone is left.
+   * Registers this process; retried until answered. A process that died without reporting its end delays
+   * taking out the backends that it might still send to, until the stewards hear that only this process is
+   * left.
    */
   private void join() {
     long sentGeneration = generation;
     link.call(new Call.Put(new Command.Join(0, self.door(), self.incarnation(), self.zone(), self.weight(),
         sentGeneration, self.version())), false, CALL_TIMEOUT_MS, answer -> {
           if (answer instanceof Came came && came.outcome() instanceof Outcome.Refused no) {
-            LOG.warning("the stewards don't take this door: " + no.why());
+            LOG.warning("the stewards refused this door: " + no.why());
           } else if (answer instanceof Came) {
             registered = true;
           } else if (sentGeneration == generation && !closed) {
@@ -360,9 +369,10 @@
 
   private void requestPermit(DoorEvent.PermitRequested e) {
     link.call(new Call
-        .Put(new Command.RequestPermit(0, e.request(), e.subject(), e.by(), e.reason(), e.force())), false,
+        .Put(new Command.RequestPermit(0, e.request(), e.subject(), e.by(), e.reason(), e.force())),
+        false,
         CALL_TIMEOUT_MS, answer -> {
-          // Another answer leaves open what became of it: the door's side says so in its time.
+          // Any other answer leaves the outcome unknown; the door side reports that after its own limit.
           if (answer instanceof Came came) {
             handle(new DoorEvent.PermitAnswered(e.request(), came.outcome()));
           } else if (answer instanceof Failed failed) {
--- a/steward/src/main/java/willowdoor/steward/link/FleetStatus.java
+++ b/steward/src/main/java/willowdoor/steward/link/FleetStatus.java
@@ -8,18 +8,19 @@
 import willowdoor.rollout.Release;
 
 /**
- * How the record stands.
+ * The state of the fleet record.
  *
- * @param leader the steward that says so
- * @param index how many commands the record had taken
- * @param doors how many doors are known
- * @param doorsOut how many of them are out, on purpose or by themselves
- * @param backends how many backends are listed
- * @param backendsOut how many of them are out
- * @param lives the processes of doors
- * @param held who holds up a backend's going out, for each permit as listed; none where nobody does
- * @param notes what was written down, the oldest first
- * @param releases the last ones, the one under way last
+ * @param leader the steward that answered
+ * @param index number of commands applied
+ * @param doors number of known doors
+ * @param doorsOut number of doors out of service, whether planned or not
+ * @param backends number of listed backends
+ * @param backendsOut number of backends out of service
+ * @param lives the doors' processes
+ * @param held for each of {@code permits}, in the same order, the processes (door/incarnation) that delay
+ *     taking the backend out; empty if there are none
+ * @param notes the recorded notes, oldest first
+ * @param releases the latest releases, the one in progress last
  */
 public record FleetStatus(String leader, long index, FleetSettings terms, int doors, int doorsOut,
     int backends,
@@ -27,7 +28,7 @@
     List<Note> notes,
     List<Release> releases) {
 
-  /** Keeps copies. */
+  /** Copies the lists. */
   public FleetStatus {
     lives = List.copyOf(lives);
     permits = List.copyOf(permits);
--- a/steward/src/main/java/willowdoor/steward/link/FrameCodec.java
+++ b/steward/src/main/java/willowdoor/steward/link/FrameCodec.java
@@ -14,16 +14,16 @@
 import willowdoor.steward.Codec;
 
 /**
- * The link's frames: four bytes of length, one that tells the kind, and a message. A message of the link is
- * JSON; one between stewards is passed as it is, as bytes.
+ * Encodes frames: four bytes of length, one byte of kind, and the message. Link messages are JSON; consensus
+ * messages between stewards are passed through as bytes.
  */
 final class FrameCodec extends MessageToMessageCodec<ByteBuf, Object> {
 
-  /** Before anybody has said who they are. */
+  /** Limit before the hello was accepted. */
   static final int MAX_HELLO_BYTES = 4 << 10;
-  /** A list of 10,000 backends, or how all stands. */
+  /** Limit of a call or answer: a list of 10,000 backends, or the state of the record. */
   static final int MAX_CALL_BYTES = 2 << 20;
-  /** Eight commands of the longest kind, as text. */
+  /** Limit between stewards: eight commands of maximum length, as text. */
   static final int MAX_STEWARD_BYTES = 16 << 20;
 
   private static final String LENGTH_DECODER = "lengths";
@@ -31,13 +31,13 @@
   private static final byte STEWARD_MESSAGE = 1;
   private static final ObjectMapper JSON = Codec.mapperFor(LinkMessage.class, Call.class, Answer.class);
 
-  /** Puts them at the end of a pipeline. */
+  /** Adds the frame handlers at the end of a pipeline. */
   static void addTo(ChannelPipeline pipeline) {
     pipeline.addLast(LENGTH_DECODER, lengthDecoder(MAX_HELLO_BYTES));
     pipeline.addLast(new LengthFieldPrepender(4), new FrameCodec());
   }
 
-  /** Allows longer ones from here on. */
+  /** Changes the limit for the frames that follow. */
   static void setMaxLength(ChannelPipeline pipeline, int maxBytes) {
     pipeline.replace(LENGTH_DECODER, LENGTH_DECODER, lengthDecoder(maxBytes));
   }
--- a/steward/src/main/java/willowdoor/steward/link/LinkClient.java
+++ b/steward/src/main/java/willowdoor/steward/link/LinkClient.java
@@ -28,17 +28,18 @@
 import willowdoor.steward.link.LinkMessage.Welcome;
 
 /**
- * The side of a link that begins it: a connection to one of some stewards, which is begun again until it is
- * closed. All on one loop.
+ * The client side of a link: keeps a connection to one of several stewards, reconnecting until closed. Runs
+ * on one event loop only.
  *
- * <p>A connection that tells nothing is no better than none: where a call has no answer in its time, another
- * steward is turned to. Each call has exactly one answer, of a steward or that it failed here. At most
- * {@value #MAX_PENDING_CALLS} wait; what doesn't fit the connection is not sent.
+ * <p>A connection that stays silent is as useless as none: if a call gets no answer in time, the client
+ * closes the connection and turns to the next steward. Each call gets exactly one answer, from a steward or a
+ * local failure. At most {@value #MAX_PENDING_CALLS} calls are pending; a message that doesn't fit the
+ * connection's write buffer is not sent.
  */
 final class LinkClient {
 
   static final int MAX_PENDING_CALLS = 1_000;
-  /** So many bytes may wait for a peer that reads nothing. */
+  /** Limits, in bytes, of the data queued for a peer that does not read. */
   static final WriteBufferWaterMark WRITE_BUFFER_LIMITS = new WriteBufferWaterMark(1 << 20, 4 << 20);
   private static final Logger LOG = Logger.getLogger(LinkClient.class.getName());
   private static final int CONNECT_TIMEOUT_MS = 500;
@@ -57,7 +58,7 @@
   private int stewardIndex;
   private double backoffMs = MIN_BACKOFF_MS;
   private long lastId;
-  /** Null while there is none that may be used. */
+  /** The connection that a steward has accepted; null while there is none. */
   private Channel channel;
   private Channel connecting;
   private boolean closed;
@@ -84,7 +85,7 @@
         });
   }
 
-  /** Runs it on each new connection that may be used. */
+  /** Sets what to run each time a steward has accepted a connection. */
   void whenConnected(Runnable callback) {
     onConnected = callback;
   }
@@ -97,21 +98,24 @@
     return channel != null;
   }
 
-  /** Why the last connection was refused; empty where it was not. */
+  /** Returns why a steward last refused the connection; empty since one accepted it. */
   String refusal() {
     return refusal;
   }
 
-  /** Ends the connection; what waits fails. */
+  /** Closes the connection and fails the pending calls. */
   void close() {
     closed = true;
     if (connecting != null) {
       connecting.close();
     }
-    failAll("this process ends");
+    failAll("this process is stopping");
   }
 
-  /** Passes on a message between stewards, or drops it: they are made for that. */
+  /**
+   * Sends a consensus message, or drops it if the connection is not writable; the consensus tolerates lost
+   * messages.
+   */
   void sendToSteward(byte[] message) {
     if (channel != null && channel.isWritable()) {
       channel.writeAndFlush(message);
@@ -119,14 +123,15 @@
   }
 
   /**
-   * Asks.
+   * Calls a steward.
    *
-   * @param timeoutMs with no answer until then it has failed, and another steward is turned to
+   * @param passedOn whether this forwards a call of another process
+   * @param timeoutMs without an answer by then the call fails, and the client turns to another steward
    */
   void call(Call call, boolean passedOn, long timeoutMs, Consumer<Answer> callback) {
     if (channel == null || !channel.isWritable() || pendingCalls.size() >= MAX_PENDING_CALLS) {
-      callback.accept(new Failed(channel == null ? "no steward of " + stewards + " is reached"
-          + (refusal.isEmpty() ? "" : ": " + refusal) : "the link is full", true));
+      callback.accept(new Failed(channel == null ? "none of the stewards " + stewards + " is reachable"
+          + (refusal.isEmpty() ? "" : ": " + refusal) : "the link is overloaded", true));
       return;
     }
     long id = ++lastId;
@@ -205,18 +210,19 @@
         }
       } else if (message instanceof Refused e) {
         if (!refusal.equals(e.why())) {
-          LOG.warning("the steward at " + ctx.channel().remoteAddress() + " says: " + e.why());
+          LOG.warning("the steward at " + ctx.channel().remoteAddress() + " refused the connection: "
+              + e.why());
         }
         refusal = e.why();
         ctx.close();
       } else {
-        throw new IllegalArgumentException("not understood from a steward: " + message);
+        throw new IllegalArgumentException("unexpected message from a steward: " + message);
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.log(Level.FINE, "a link ended", cause);
+      LOG.log(Level.FINE, "a link failed", cause);
       ctx.close();
     }
   }
--- a/steward/src/main/java/willowdoor/steward/link/OperatorClient.java
+++ b/steward/src/main/java/willowdoor/steward/link/OperatorClient.java
@@ -15,7 +15,7 @@
 import willowdoor.steward.link.LinkMessage.Hello;
 import willowdoor.steward.link.LinkMessage.Role;
 
-/** An operator's command at the stewards: asks until one answers, or the time is up. */
+/** An operator's client of the stewards: retries a call until a steward answers or the time is up. */
 public final class OperatorClient implements AutoCloseable {
 
   private static final long CALL_TIMEOUT_MS = 1_000;
@@ -25,25 +25,25 @@
   private final EventLoop loop = group.next();
   private final LinkClient link;
 
-  /** One who is called by that name, at any of these stewards. */
+  /** Connects to any of these stewards under the operator's name. */
   public OperatorClient(String group, String by, List<InetSocketAddress> stewards) {
     link = new LinkClient(loop, stewards, new Hello(LinkMessage.OLDEST, LinkMessage.VERSION, group,
         Role.OPERATOR, by, ""));
     loop.execute(link::start);
   }
 
-  /** Has a command agreed on. A request asked for again is the same request. */
+  /** Proposes a command. Repeating a request with the same identifier has no further effect. */
   public Answer put(Command command, long limitMs) throws InterruptedException {
     return call(new Call.Put(command), limitMs);
   }
 
-  /** Has a steward's part changed. */
-  public Answer changeMembership(StewardId who, Steward.MembershipChange change,
-      long limitMs) throws InterruptedException {
+  /** Changes a steward's membership. */
+  public Answer changeMembership(StewardId who, Steward.MembershipChange change, long limitMs)
+      throws InterruptedException {
     return call(new Call.Part(who, change), limitMs);
   }
 
-  /** How all stands, by a majority's word. */
+  /** Returns the state of the record, confirmed by a majority. */
   public Answer status(long limitMs) throws InterruptedException {
     return call(new Call.Look(), limitMs);
   }
--- a/steward/src/main/java/willowdoor/steward/link/SingleThreadLoop.java
+++ b/steward/src/main/java/willowdoor/steward/link/SingleThreadLoop.java
@@ -5,7 +5,7 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.util.concurrent.DefaultThreadFactory;
 
-/** Loops of one thread that doesn't keep a process alive. */
+/** Creates event loop groups with a single daemon thread. */
 final class SingleThreadLoop {
 
   private SingleThreadLoop() {
--- a/steward/src/main/java/willowdoor/steward/link/StewardProcess.java
+++ b/steward/src/main/java/willowdoor/steward/link/StewardProcess.java
@@ -40,53 +40,53 @@
 import willowdoor.steward.link.LinkMessage.Role;
 
 /**
- * A steward with its disk, its links to the others, and the address at which they, doors and operators call.
- * All on one thread of its own, so that a slow disk holds up nothing but this.
+ * Runs a steward: its storage, its links to other stewards, and the address for stewards, doors and
+ * operators. All of it runs on one thread of its own, so that a slow disk delays nothing else.
  *
- * <p>Whoever asks may ask any steward: one that doesn't lead passes the call on to the one that does, once.
- * Heartbeats that come close together are agreed on together.
+ * <p>Any steward accepts a call; a steward that is not the leader forwards the call to the leader, once.
+ * Heartbeats that arrive close together are proposed as one command.
  */
 public final class StewardProcess implements AutoCloseable, StewardServer.Handler {
 
   /**
-   * What an operator says of a steward.
+   * Configuration of a steward.
    *
-   * @param group the fleet's name, the same at all of its stewards and doors
-   * @param members those who begin the record together, with their addresses, this one among them
-   * @param initialTerms the terms of a record that was told none yet
-   * @param start what is known of its disk
+   * @param group name of the fleet, the same at all of its stewards and doors
+   * @param members the initial group with addresses, this steward included
+   * @param initialTerms the terms proposed for a record without any
+   * @param start what is known about the disk
    */
   public record Settings(String group, StewardId self, InetSocketAddress listen, Path store,
       Map<StewardId, InetSocketAddress> members, FleetSettings initialTerms, Start start) {
 
-    /** Keeps a copy. */
+    /** Copies the map. */
     public Settings {
       members = Map.copyOf(members);
     }
   }
 
-  /** What is known of a steward's disk as it starts. */
+  /** What is known about a steward's disk at the start. */
   public enum Start {
-    /** It holds the record. */
+    /** The disk holds the record. */
     GO_ON,
-    /** It may be new: this one begins the record, with the others. */
+    /** The disk may be new: this steward creates the record together with the initial group. */
     BEGIN,
-    /** It may be new: this one joins those who have the record, and is added by them. */
+    /** The disk may be new: this steward joins a group that has the record, and is added by the group. */
     JOIN
   }
 
   private static final Logger LOG = Logger.getLogger(StewardProcess.class.getName());
-  /** Heartbeats wait so long for others. */
+  /** Time for which heartbeats are collected into one batch. */
   private static final long BATCH_DELAY_MS = 20;
   private static final int MAX_BATCH_HEARTBEATS = 100;
-  /** Of heartbeats that wait; one more has failed. */
+  /** Limit of waiting heartbeats; further ones fail. */
   private static final int MAX_PENDING_HEARTBEATS = 2_000;
   private static final long FORWARD_TIMEOUT_MS = 800;
   private static final int SNAPSHOT_AFTER_COMMANDS = 10_000;
   private static final long HEALTH_CHECK_MS = 100;
   private static final long PING_MS = 500;
   private static final long PING_TIMEOUT_MS = 2_000;
-  /** The others are asked for so long what this one has promised them, before it takes part. */
+  /** Before taking part, a steward asks the others for its acknowledged progress, for this long at most. */
   private static final long RECALL_TIMEOUT_MS = 2_000;
   private static final long RECALL_RETRY_MS = 50;
 
@@ -106,17 +106,17 @@
   private boolean participating;
 
   /**
-   * Takes part from here on.
+   * Opens the storage and starts the steward.
    *
-   * @throws IOException in plain words, where its disk or its address can't be had
+   * @throws IOException if the storage or the address can't be opened; the message is fit for operators
    */
   public StewardProcess(Settings settings) throws IOException, InterruptedException {
     this.settings = settings;
     if (settings.start() == Start.GO_ON && !Files.exists(settings.store())) {
       group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-      throw new IOException("there is no record at " + settings.store() + " (expected: the one that this"
-          + " steward kept; --begin makes a new one, of a steward that has promised nothing yet. If the disk"
-          + " was lost, count its disk number up, --join with that, and have the others add it)");
+      throw new IOException("there is no record at " + settings.store() + " (expected: the record that this"
+          + " steward stored; --begin creates a new one, for a steward that never took part. If the disk"
+          + " was lost, increase its disk number, --join with that, and have the others add it)");
     }
     store = new DiskStore(settings.store());
     try {
@@ -170,7 +170,10 @@
     loop.scheduleWithFixedDelay(this::ping, PING_MS, PING_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Asks until it is answered, or this one takes part without the answer. */
+  /**
+   * Asks another steward for this steward's acknowledged progress; retried until answered, or until this
+   * steward takes part without the answer.
+   */
   private void recall(StewardId other) {
     links.get(other).call(new Call.Recall(settings.self()), false, PING_TIMEOUT_MS, answer -> {
       if (participating || ended.isDone()) {
@@ -183,9 +186,9 @@
       unansweredRecalls.remove(other);
       String lacks = missingFromDisk(new DiskStore.Progress(e.term(), e.index()));
       if (lacks != null) {
-        LOG.severe("steward " + settings.self().name() + " can't take part: by steward " + other.name() + ", "
-            + lacks + ". It is an older copy, or new; if it is all there is, count its disk number up, --join"
-            + " with that, and have the others add it");
+        LOG.severe("steward " + settings.self().name() + " can't take part: according to steward "
+            + other.name() + ", " + lacks + ". The disk is new or an older copy; if there is no other,"
+            + " increase its disk number, --join with that, and have the others add it");
         ended.complete(1);
       } else if (unansweredRecalls.isEmpty()) {
         participate();
@@ -207,8 +210,8 @@
     }
     participating = true;
     if (!unansweredRecalls.isEmpty()) {
-      LOG.warning("takes part without the word of " + unansweredRecalls
-          + ", whether its disk is the last one");
+      LOG.warning("takes part although " + unansweredRecalls + " did not confirm that its disk is"
+          + " up to date");
     }
     steward.start();
   }
@@ -229,8 +232,8 @@
   }
 
   /**
-   * Takes further stewards, and other addresses of those it knows, from a configuration that was replaced.
-   * Who votes is not changed by that, but by {@link Call.Part}.
+   * Adds stewards, and changed addresses of known stewards, from a reloaded configuration. The voting members
+   * are not changed by that, but by {@link Call.Part}.
    */
   public void reload(Map<StewardId, InetSocketAddress> members) {
     loop.execute(() -> members.forEach((other, address) -> {
@@ -244,8 +247,9 @@
   }
 
   /**
-   * What goes between stewards is answered over another link, so one whose other end is gone without a word
-   * would be written into for minutes. A link that doesn't answer in time is begun again.
+   * Pings the other stewards. Answers to consensus messages arrive over another link, so writing to a peer
+   * that vanished silently would go on for minutes; a link that doesn't answer the ping in time is
+   * reconnected.
    */
   private void ping() {
     links.values().stream().filter(LinkClient::isUsable)
@@ -254,23 +258,23 @@
 
   private void checkHealth() {
     if (steward.hasEnded() && !ended.isDone()) {
-      LOG.severe("steward " + settings.self().name() + " can't go on: its disk failed, or the others have put"
-          + " it out");
+      LOG.severe("steward " + settings.self().name() + " can't continue: its disk failed, or the others"
+          + " have removed it");
       ended.complete(1);
     }
   }
 
-  /** Where it listens. */
+  /** Returns the listening address. */
   public InetSocketAddress address() {
     return server.address();
   }
 
-  /** Completed with the exit code where it can't go on, or was told to end. */
+  /** Completes with the exit code when the steward can't continue, or was told to stop. */
   public CompletableFuture<Integer> ended() {
     return ended;
   }
 
-  /** Ends in order. */
+  /** Stops the steward in order. */
   public void end() {
     ended.complete(0);
   }
@@ -313,7 +317,7 @@
     try {
       steward.handle(message);
     } catch (IllegalArgumentException e) {
-      LOG.log(Level.WARNING, "passed over: {0}", e.getMessage());
+      LOG.log(Level.WARNING, "ignoring an unreadable message: {0}", e.getMessage());
     }
   }
 
@@ -335,13 +339,16 @@
     }
   }
 
-  /** A door speaks for itself only; an operator for no door; what leaders say nobody else does. */
+  /**
+   * Returns why a call is not allowed, or null. A door may act only for itself, an operator for no door, and
+   * nobody may send the commands that only leaders create.
+   */
   private static String denialReason(Hello by, Ask ask) {
     if (by.role() == Role.STEWARD) {
-      return ask.passedOn() ? null : "a steward only passes on";
+      return ask.passedOn() ? null : "a steward may only forward calls";
     }
     if (ask.passedOn()) {
-      return "only stewards pass on";
+      return "only stewards may forward calls";
     }
     boolean door = by.role() == Role.DOOR;
     if (ask.call() instanceof Call.Beat e) {
@@ -379,8 +386,8 @@
     } else if (call instanceof Call.Put e) {
       propose(e.command()::withLeaderTime, outcome -> answer.accept(new Came(outcome)), answer);
     } else if (call instanceof Call.Part e) {
-      whenAgreed(steward.changeMembership(e.who(), e.change()), voting -> answer.accept(new Votes(voting)),
-          answer);
+      whenAgreed(steward.changeMembership(e.who(), e.change()),
+          voting -> answer.accept(new Votes(voting)), answer);
     } else {
       propose(Command.Tick::new, outcome -> answer.accept(new Stands(status())), answer);
     }
@@ -403,7 +410,7 @@
       if (failure == null) {
         then.accept(outcome);
       } else {
-        failed.accept(new Failed("steward " + settings.self().name() + " could not have it agreed on: "
+        failed.accept(new Failed("steward " + settings.self().name() + " could not commit the command: "
             + failure, true));
       }
     });
@@ -411,7 +418,7 @@
 
   private void enqueueHeartbeat(PendingHeartbeat beat) {
     if (pendingHeartbeats.size() >= MAX_PENDING_HEARTBEATS) {
-      beat.callback().accept(new Failed(MAX_PENDING_HEARTBEATS + " heartbeats wait already", true));
+      beat.callback().accept(new Failed(MAX_PENDING_HEARTBEATS + " heartbeats are already waiting", true));
       return;
     }
     pendingHeartbeats.add(beat);
@@ -422,15 +429,14 @@
 
   private void proposeHeartbeats() {
     for (int from = 0; from < pendingHeartbeats.size(); from += MAX_BATCH_HEARTBEATS) {
-      List<PendingHeartbeat> some = List
-          .copyOf(pendingHeartbeats.subList(from, Math.min(pendingHeartbeats.size(), from
-          + MAX_BATCH_HEARTBEATS)));
+      List<PendingHeartbeat> some = List.copyOf(pendingHeartbeats.subList(from,
+          Math.min(pendingHeartbeats.size(), from + MAX_BATCH_HEARTBEATS)));
       List<Command.Heartbeat> beats = some.stream().map(PendingHeartbeat::heartbeat).toList();
       propose(at -> new Command.Heartbeats(at, beats), outcome -> {
         double leaseMs = outcome instanceof Outcome.HeartbeatsRecorded e ? e.leaseMs() : 0;
         for (PendingHeartbeat g : some) {
-          g.callback().accept(
-              new Seen(steward.record().view(g.heartbeat().door(), g.heartbeat().incarnation(),
+          g.callback().accept(new Seen(steward.record().view(g.heartbeat().door(),
+              g.heartbeat().incarnation(),
               leaseMs)));
         }
       }, failed -> some.forEach(g -> g.callback().accept(failed)));
--- a/steward/src/main/java/willowdoor/steward/link/StewardServer.java
+++ b/steward/src/main/java/willowdoor/steward/link/StewardServer.java
@@ -26,28 +26,27 @@
 import willowdoor.steward.link.LinkMessage.Welcome;
 
 /**
- * The side of links that takes them. Guards against what is no link, or one of another fleet or version: it
- * is told so and ended. Bounds: {@value #MAX_CONNECTIONS} connections; a hello within {@value
- * #HELLO_TIMEOUT_MS} ms;
- * who doesn't read the answers is ended.
+ * The server side of links. Refuses, with a reason, connections that don't speak the link protocol or belong
+ * to another fleet or version. Bounds: {@value #MAX_CONNECTIONS} connections; a hello within {@value
+ * #HELLO_TIMEOUT_MS} ms; a client that doesn't read its answers is disconnected.
  */
 final class StewardServer {
 
   static final int MAX_CONNECTIONS = 2_000;
   static final int HELLO_TIMEOUT_MS = 2_000;
-  /** Doors beat several times in each lease; one that says nothing for so long is gone. */
+  /** Doors send several heartbeats per lease; a connection without data for this long is closed. */
   private static final int IDLE_TIMEOUT_S = 30;
   private static final Logger LOG = Logger.getLogger(StewardServer.class.getName());
 
-  /** Who works on what comes. */
+  /** Handles what the connections receive. */
   interface Handler {
-    /** Why this one may not, or null. */
+    /** Returns why the connection is refused, or null if it is accepted. */
     String refusalReason(Hello hello);
 
-    /** What another steward sent. */
+    /** Handles a consensus message from another steward. */
     void onStewardMessage(byte[] message);
 
-    /** A call; its answer is given once, on the loop. */
+    /** Handles a call; the answer is given exactly once, on the event loop. */
     void onCall(Hello by, Ask ask, java.util.function.Consumer<Answer> answer);
   }
 
@@ -56,7 +55,7 @@
   private final Handler handler;
   private final Channel serverChannel;
   private int connections;
-  /** By steward: a new connection of it is the one it uses. */
+  /** The current connection of each steward, by name; a new connection replaces the old one. */
   private final Map<String, Channel> stewardChannels = new HashMap<>();
 
   StewardServer(EventLoop loop, InetSocketAddress listen, String group, String name, Handler handler)
@@ -155,7 +154,8 @@
     }
 
     private void refuse(ChannelHandlerContext ctx, String why) {
-      LOG.log(Level.INFO, "a link from {0} ended: {1}", new Object[] {ctx.channel().remoteAddress(), why});
+      LOG.log(Level.INFO, "closing the link from {0}: {1}",
+          new Object[] {ctx.channel().remoteAddress(), why});
       ctx.writeAndFlush(new Refused(why)).addListener(ChannelFutureListener.CLOSE);
     }
 
@@ -173,7 +173,7 @@
       }
     }
 
-    /** Junk, or a connection that broke. */
+    /** Handles invalid input, which is refused, and a broken connection, which is closed. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (cause instanceof IOException && !(cause instanceof com.fasterxml.jackson.core.JacksonException)) {
--- a/steward/src/main/java/willowdoor/steward/link/TakenOutFiles.java
+++ b/steward/src/main/java/willowdoor/steward/link/TakenOutFiles.java
@@ -16,9 +16,9 @@
 import willowdoor.steward.Codec;
 
 /**
- * Which backends are out, by what processes of a door were told last: a file of each process beside the
- * others, so that two that live at a time don't write over each other. A process that begins takes all of
- * them together, which is too many out, if anything, until the stewards have told.
+ * Stores which backends are out of service, as the stewards last told this door. Each process of the door has
+ * its own file, so that two processes running at the same time don't overwrite each other. A new process
+ * merges all files; until the stewards have answered, it may treat too many backends as out, never too few.
  */
 final class TakenOutFiles {
 
@@ -28,7 +28,7 @@
   private final Path prefix;
   private final Path ownFile;
 
-  /** By this prefix of the files' names, and this process's own part. */
+  /** Uses this prefix of the file names, and a suffix for this process. */
   TakenOutFiles(Path prefix, String incarnation) {
     this.prefix = prefix.toAbsolutePath();
     ownFile = Path.of(this.prefix + "." + incarnation);
@@ -44,7 +44,7 @@
     return all;
   }
 
-  /** What all of them say; null where there are none. One that can't be read is named, and says nothing. */
+  /** Merges the contents of all files; null if there are none. An unreadable file is logged and ignored. */
   Map<String, Long> read() {
     Map<String, Long> all = null;
     try {
@@ -60,16 +60,16 @@
             all.merge(e.getKey(), e.getValue(), Math::max);
           }
         } catch (IOException e) {
-          LOG.warning(file + " can't be read, and is passed over: " + e.getMessage());
+          LOG.warning(file + " can't be read and is ignored: " + e.getMessage());
         }
       }
     } catch (IOException e) {
-      LOG.warning("what processes before this one remembered can't be found: " + e.getMessage());
+      LOG.warning("the files of earlier processes can't be listed: " + e.getMessage());
     }
     return all;
   }
 
-  /** Keeps this, and has it on the disk before it returns. */
+  /** Replaces this process's file; the content is on disk when the method returns. */
   void write(Map<String, Long> out) throws IOException {
     Path fresh = Path.of(ownFile + ".new");
     try (FileChannel file = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
@@ -80,7 +80,7 @@
     Files.move(fresh, ownFile, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** Removes those of other processes, which have ended; this one's own is there. */
+  /** Deletes the files of other processes, which have ended, once this process has its own file. */
   void deleteOthers() {
     try {
       for (Path file : files()) {
@@ -89,7 +89,7 @@
         }
       }
     } catch (IOException e) {
-      LOG.warning("what processes before this one remembered stays: " + e.getMessage());
+      LOG.warning("the files of earlier processes can't be deleted: " + e.getMessage());
     }
   }
 }
--- a/steward/src/test/java/willowdoor/steward/FromOutsideTest.java
+++ b/steward/src/test/java/willowdoor/steward/FromOutsideTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import willowdoor.agreement.Command;
 
-/** What comes from outside: bytes that are no message, a disk that is none. The rest is in the emulator's. */
+/** Invalid messages and storage files. The emulator's tests cover the consensus itself. */
 class FromOutsideTest {
 
   @TempDir
   private Path folder;
 
-  /** A second process on the same disk would vote twice. */
+  /** A second process on the same disk could vote twice in a term. */
   @Test
   void diskIsOpenInOneProcessOnly() throws Exception {
     Path path = folder.resolve("one.db");
--- a/steward/src/test/java/willowdoor/steward/LeaderWatchTest.java
+++ b/steward/src/test/java/willowdoor/steward/LeaderWatchTest.java
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Who leads, or knows that there is no leader, goes on by the library's own votes. */
+  /** A leader, or a node without a known leader, relies on the library's own elections. */
   @Test
   void noRestartWithoutKnownLeader() {
     for (int i = 0; i < 1_000; i++) {
@@ -41,7 +41,7 @@
     }
   }
 
-  /** One that no leader ever tells anything, as it was put out, must not read its disk each 2 s. */
+  /** A removed steward, which no leader contacts, must not reread its disk every 2 s. */
   @Test
   void fruitlessRestartsBackOff() {
     assertEquals(10, checksUntilRestart());
--- a/steward/src/test/java/willowdoor/steward/link/LinkTest.java
+++ b/steward/src/test/java/willowdoor/steward/link/LinkTest.java
@@ -35,7 +35,7 @@
 import willowdoor.agreement.FleetSettings;
 import willowdoor.steward.StewardId;
 
-/** One steward, and what comes to its address. */
+/** A single steward, and connections to its address. */
 @Timeout(60)
 class LinkTest {
 
@@ -66,7 +66,7 @@
     return new OperatorClient(fleet, "ana", List.of(steward.address()));
   }
 
-  /** What it says to these frames, until it ends the connection. */
+  /** Sends frames and returns what the steward answers until it closes the connection. */
   private String exchange(byte[]... frames) throws IOException {
     try (Socket s = new Socket(steward.address().getAddress(), steward.address().getPort())) {
       s.setSoTimeout((int) LIMIT_MS);
@@ -114,7 +114,7 @@
     assertTrue(exchange().contains("no hello within"));
   }
 
-  /** A peer that is gone without a word: what is written to it goes nowhere, and nothing ends. */
+  /** A peer that vanished silently: written data is lost, and the connection isn't closed. */
   @Test
   void silentStewardLinkIsReconnected() throws Exception {
     try (ServerSocket mute = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
@@ -137,7 +137,7 @@
     }
   }
 
-  /** Each speaks for itself. */
+  /** Operators may not send a door's or a leader's commands. */
   @Test
   void callsOnBehalfOfOthersAreRefused() throws Exception {
     try (OperatorClient ana = operator("f")) {
@@ -151,7 +151,10 @@
     }
   }
 
-  /** What was agreed on is on its disk; without it, it doesn't begin as one that has promised nothing. */
+  /**
+   * The committed record survives a restart with the disk; without the disk a steward refuses to start as one
+   * that never acknowledged anything.
+   */
   @Test
   void restartsWithDiskAndRefusesWithout() throws Exception {
     long before;
@@ -171,7 +174,7 @@
     steward = new StewardProcess(settings(true));
   }
 
-  /** A door's whole way: joins, is told to go, says that it is empty, comes back, and leaves. */
+  /** A door joins, is drained, reports that it is empty, returns to service, and leaves. */
   @Test
   void doorDrainsAndReturns() throws Exception {
     CompletableFuture<Void> drained = new CompletableFuture<>();
