--- a/daemon/src/main/java/willowdoor/daemon/Cli.java
+++ b/daemon/src/main/java/willowdoor/daemon/Cli.java
@@ -27,7 +27,7 @@
 import willowdoor.net.Signals;
 import willowdoor.rollout.Plan;
 
-/** The product's command line. */
+/** The command line of the product, with its subcommands. */
 @Command(name = "willowdoor", mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
     description = "A front door that keeps each customer's quota over all front doors together.",
     subcommands = {Cli.Run.class, Cli.Check.class, DemoCommand.class, FleetCommand.class,
@@ -41,7 +41,7 @@
         + "clients did not read"})
 public final class Cli {
 
-  /** Bad command line or configuration. */
+  /** Exit code for an invalid command line or configuration. */
   static final int EXIT_USAGE = 2;
 
   private Cli() {
@@ -55,7 +55,7 @@
     return new CommandLine(new Cli());
   }
 
-  /** The version that the jar's manifest names. */
+  /** Provides the version from the manifest of the jar. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -71,11 +71,11 @@
         "The configuration, in TOML.")
     private Path config;
     @Option(names = "--take-over", description =
-        "Take the listening socket over from the instance that runs, "
+        "Take the listening socket over from the running instance, "
         + "if there is one.")
     private boolean takeOver;
     @Option(names = "--release", paramLabel = "VERSION", description = {
-        "What releases call this version of the program, where a fleet agrees on them.",
+        "The name of this version of the program in releases, if the fleet uses the agreement.",
         "Default: the version of the package."})
     private String release;
     @Spec
@@ -118,7 +118,7 @@
     }
   }
 
-  @Command(name = "check-config", description = "Checks a configuration and tells all errors in it.",
+  @Command(name = "check-config", description = "Checks a configuration and prints all errors in it.",
       mixinStandardHelpOptions = true)
   static final class Check implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
--- a/daemon/src/main/java/willowdoor/daemon/agreement/PermitsCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/agreement/PermitsCommand.java
@@ -29,13 +29,15 @@
 import willowdoor.steward.link.OperatorClient;
 import willowdoor.steward.link.FleetStatus;
 
-/** What operators ask of the stewards. */
+/**
+ * The operators' commands to the stewards: permits to take doors and backends out, and the stewards' roles.
+ */
 @Command(name = "permits", mixinStandardHelpOptions = true, description =
-    "Takes doors and backends out of the fleet, never too many at once, and back.",
+    "Takes doors and backends out of the fleet within a budget, and puts them back.",
     subcommands = {PermitsCommand.Ask.class, PermitsCommand.Return.class, PermitsCommand.Forget.class,
         PermitsCommand.ChangeSteward.class, PermitsCommand.Status.class},
-    footer = {"", "Exit codes: 0 yes; 1 no answer from the stewards, nothing is known of what became of it; "
-        + "2 bad command line; 3 no; 4 it waits for its turn"})
+    footer = {"", "Exit codes: 0 yes; 1 no answer from the stewards, so the outcome is unknown; "
+        + "2 bad command line; 3 no; 4 the request waits for its turn"})
 public final class PermitsCommand {
 
   static final int NO_ANSWER = 1;
@@ -45,18 +47,18 @@
   private PermitsCommand() {
   }
 
-  /** Whom to ask. */
+  /** The options of all commands that call the stewards. */
   static final class StewardOptions {
     @Option(names = "--stewards", required = true, split = ",", paramLabel = "ADDRESS", description =
-        "Where stewards are, such as 127.0.0.1:7101; one that answers is enough.")
+        "Addresses of stewards, such as 127.0.0.1:7101; one that answers is enough.")
     private List<String> stewards;
     @Option(names = "--fleet", defaultValue = "fleet", description = "Default: ${DEFAULT-VALUE}.")
     private String fleet;
     @Option(names = "--by", defaultValue = "${sys:user.name}", description =
-        "Who asks, as it is written down. Default: ${DEFAULT-VALUE}.")
+        "Who asks, as recorded by the stewards. Default: ${DEFAULT-VALUE}.")
     String by;
     @Option(names = "--limit-ms", defaultValue = "5000", description =
-        "An answer is waited for so long. Default: ${DEFAULT-VALUE}.")
+        "Timeout for an answer, in ms. Default: ${DEFAULT-VALUE}.")
     long limitMs;
     @Spec(Spec.Target.MIXEE)
     private CommandSpec spec;
@@ -97,7 +99,7 @@
     }
   }
 
-  /** Which door or backend; a backend is told by the name that discovery lists. */
+  /** The parameters that name a door, or a backend by its name in discovery. */
   static final class SubjectParameters {
     @Parameters(index = "0", paramLabel = "KIND", description = "door or backend")
     private String kind;
@@ -116,18 +118,19 @@
     }
   }
 
-  @Command(name = "ask", mixinStandardHelpOptions = true, description = "Has a door or a backend go out.")
+  @Command(name = "ask", mixinStandardHelpOptions = true, description =
+      "Asks to take a door or a backend out.")
   static final class Ask implements Callable<Integer> {
     @Mixin
     private SubjectParameters what;
     @Mixin
     private StewardOptions at;
-    @Option(names = "--reason", required = true, description = "Why, as it is written down.")
+    @Option(names = "--reason", required = true, description = "The reason, as recorded by the stewards.")
     private String reason;
     @Option(names = "--request", description =
-        "The request's name: asked again under the same name it is the same request. Default: a new one.")
+        "The name of the request; repeating a name repeats the same request. Default: a new name.")
     private String request = UUID.randomUUID().toString();
-    @Option(names = "--force", description = "Over the budget; written down.")
+    @Option(names = "--force", description = "Exceed the budget; this is recorded.")
     private boolean force;
 
     @Override
@@ -138,7 +141,7 @@
   }
 
   @Command(name = "return", mixinStandardHelpOptions = true, description =
-      "Has it come back, or not go out any more.")
+      "Puts a door or a backend back, or withdraws the request to take it out.")
   static final class Return implements Callable<Integer> {
     @Mixin
     private SubjectParameters what;
@@ -158,16 +161,15 @@
         if (permit.isEmpty()) {
           return at.printAnswer(new Answer.Came(new Outcome.Refused(subject + " is not out on purpose")));
         }
-        return at.printAnswer(operator
-            .put(new willowdoor.agreement.Command.ReturnPermit(0, subject, permit.get().id(),
-            at.by), at.limitMs));
+        return at.printAnswer(operator.put(new willowdoor.agreement.Command.ReturnPermit(0, subject,
+            permit.get().id(), at.by), at.limitMs));
       }
     }
   }
 
   @Command(name = "forget", mixinStandardHelpOptions = true, description =
-      "Vouches that a door's machine is no more, so that nothing waits for its word; or, as backend/NAME,"
-      + " that a backend that went out and is listed no more is not expected back.")
+      "Confirms that a door's machine is gone, so that nothing waits for its reports; or, as backend/NAME,"
+      + " that a backend that was taken out and is no longer listed is not expected back.")
   static final class Forget implements Callable<Integer> {
     @Parameters(paramLabel = "DOOR")
     private String door;
@@ -181,8 +183,8 @@
   }
 
   @Command(name = "steward", mixinStandardHelpOptions = true, description = {
-      "Changes a steward's part. One that is new first listens, then votes; one that is gone leaves.",
-      "Its address is in the others' files before."})
+      "Changes the role of a steward. A new one first listens, then votes; a removed one leaves.",
+      "Its address must be in the configuration files of the other stewards before."})
   static final class ChangeSteward implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "NAME")
     private String name;
@@ -208,11 +210,11 @@
   }
 
   @Command(name = "status", mixinStandardHelpOptions = true, description =
-      "How all stands, by a majority's word.")
+      "Prints the state of the fleet, as confirmed by a majority of the stewards.")
   static final class Status implements Callable<Integer> {
     @Mixin
     private StewardOptions at;
-    @Option(names = "--json", description = "For programs.")
+    @Option(names = "--json", description = "Print JSON, for programs.")
     private boolean json;
     @Spec
     private CommandSpec spec;
--- a/daemon/src/main/java/willowdoor/daemon/agreement/ReleaseCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/agreement/ReleaseCommand.java
@@ -26,13 +26,13 @@
 import willowdoor.steward.link.Answer;
 import willowdoor.steward.link.OperatorClient;
 
-/** What operators do with releases. */
+/** The operators' commands for releases. */
 @Command(name = "release", mixinStandardHelpOptions = true, description = {
-    "Has all doors replaced by another version, a few at a time, with a halt and a way back.",
-    "The release is carried on by the stewards: this command may end, or die, once it was told yes."},
+    "Replaces all doors by another version, a few at a time; a release can be halted and rolled back.",
+    "The stewards carry out the release: this command may end, or die, once it was answered yes."},
     subcommands = {ReleaseCommand.Start.class, ReleaseCommand.Status.class, ReleaseCommand.Pause.class,
         ReleaseCommand.Resume.class, ReleaseCommand.Halt.class, ReleaseCommand.Back.class},
-    footer = {"", "Exit codes: 0 yes; 1 no answer from the stewards, nothing is known of what became of it; "
+    footer = {"", "Exit codes: 0 yes; 1 no answer from the stewards, so the outcome is unknown; "
         + "2 bad command line or plan; 3 no; 4 not yet"})
 public final class ReleaseCommand {
 
@@ -41,14 +41,14 @@
   private ReleaseCommand() {
   }
 
-  @Command(name = "start", mixinStandardHelpOptions = true, description = "Begins a release.")
+  @Command(name = "start", mixinStandardHelpOptions = true, description = "Starts a release.")
   static final class Start implements Callable<Integer> {
     @Mixin
     private PermitsCommand.StewardOptions at;
     @Option(names = "--plan", required = true, paramLabel = "FILE", description = "The plan, in TOML.")
     private Path plan;
     @Option(names = "--request", description =
-        "The request's name: asked again under the same name it is the same request. Default: a new one.")
+        "The name of the request; repeating a name repeats the same request. Default: a new name.")
     private String request = UUID.randomUUID().toString();
     @Spec
     private CommandSpec spec;
@@ -66,12 +66,12 @@
     }
   }
 
-  /** What all that steer have. */
+  /** Base of the commands that steer the current release. */
   abstract static class Steer implements Callable<Integer> {
     @Mixin
     private PermitsCommand.StewardOptions at;
     @Option(names = "--wait-ms", defaultValue = "0", description = {
-        "Waits so long until nothing is under way any more; 4 if something still is.",
+        "Wait at most this long, in ms, until no step is under way; exit code 4 if one still is.",
         "Default: ${DEFAULT-VALUE}."})
     private long waitMs;
     @Spec
@@ -103,12 +103,12 @@
 
     private int await(OperatorClient operator, long id) throws InterruptedException {
       long deadlineNanos = System.nanoTime() + waitMs * 1_000_000;
-      String remaining = "nobody says how it stands";
+      String remaining = "no steward reported the state of the release";
       while (System.nanoTime() < deadlineNanos) {
         if (operator.status(at.limitMs) instanceof Answer.Stands e) {
           Release now = last(e.standing().releases());
           if (now.id() != id || now.hasStopped()) {
-            spec.commandLine().getOut().println("nothing of it is under way any more");
+            spec.commandLine().getOut().println("no step of the release is under way any more");
             return 0;
           }
           remaining = "under way: " + String.join(", ", now.steps().stream().map(Step::door).toList());
@@ -121,7 +121,7 @@
   }
 
   @Command(name = "pause", mixinStandardHelpOptions = true, description =
-      "No further door's step begins until it is resumed; what is under way goes on.")
+      "Starts no further steps until the release is resumed; steps under way continue.")
   static final class Pause extends Steer {
     Pause() {
       super(Steering.PAUSE);
@@ -129,7 +129,8 @@
   }
 
   @Command(name = "resume", mixinStandardHelpOptions = true, description = {
-      "Has it go on in the way that it went.", "What was held against the version so far is forgotten."})
+      "Continues the release in its current direction.",
+      "The evidence against the version collected so far is discarded."})
   static final class Resume extends Steer {
     Resume() {
       super(Steering.RESUME);
@@ -137,8 +138,8 @@
   }
 
   @Command(name = "halt", mixinStandardHelpOptions = true, description = {
-      "No further door's step begins, and what hasn't begun at its door is taken back.",
-      "A door whose step is under way ends with one of both versions."})
+      "Starts no further steps, and withdraws steps that have not begun at their door.",
+      "A door whose step is under way ends with one of the two versions."})
   static final class Halt extends Steer {
     Halt() {
       super(Steering.HALT);
@@ -146,7 +147,7 @@
   }
 
   @Command(name = "back", mixinStandardHelpOptions = true, description =
-      "Gives every door the version back that it had, within the same budgets.")
+      "Rolls every door back to its previous version, within the same budgets.")
   static final class Back extends Steer {
     Back() {
       super(Steering.BACK);
@@ -158,11 +159,11 @@
   }
 
   @Command(name = "status", mixinStandardHelpOptions = true, description =
-      "How releases stand, by a majority's word.")
+      "Prints the state of releases, as confirmed by a majority of the stewards.")
   static final class Status implements Callable<Integer> {
     @Mixin
     private PermitsCommand.StewardOptions at;
-    @Option(names = "--json", description = "For programs.")
+    @Option(names = "--json", description = "Print JSON, for programs.")
     private boolean json;
     @Spec
     private CommandSpec spec;
--- a/daemon/src/main/java/willowdoor/daemon/agreement/StewardCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/agreement/StewardCommand.java
@@ -14,9 +14,9 @@
 import willowdoor.net.Signals;
 import willowdoor.steward.link.StewardProcess;
 
-/** Runs one of those who keep what the fleet agrees on. */
+/** Runs a steward, one of the replicas that keep the agreement of the fleet. */
 @Command(name = "steward", mixinStandardHelpOptions = true, description =
-    "Runs one of the few processes that keep the fleet's record of drains, until it is told to end.")
+    "Runs one of the few processes that keep the fleet's record of drains, until a signal ends it.")
 public final class StewardCommand implements Callable<Integer> {
 
   @Option(names = "--config", required = true, paramLabel = "FILE", description =
@@ -24,13 +24,13 @@
   private Path config;
 
   @Option(names = "--begin", description = {
-      "The record's file may be new: this steward has promised nothing yet.",
+      "The record's file may be new: this steward has made no promises yet.",
       "Never for one whose disk was lost: it would forget its votes."})
   private boolean begin;
 
   @Option(names = "--join", description = {
-      "The record's file may be new: this steward joins those who have the record, under a name or disk",
-      "number that was never theirs, and takes part once it was added (permits steward)."})
+      "The record's file may be new: this steward joins those that have the record, under a name or disk",
+      "number that was never used before, and takes part once it was added (permits steward)."})
   private boolean join;
 
   @Spec
@@ -60,7 +60,7 @@
     return begin ? StewardProcess.Start.BEGIN : join ? StewardProcess.Start.JOIN : StewardProcess.Start.GO_ON;
   }
 
-  /** Members and their addresses, nothing else; a bad file changes nothing. */
+  /** Applies changed members and addresses only; an invalid file changes nothing. */
   private void reload(StewardProcess steward) {
     try {
       steward.reload(StewardConfig.read(config, StewardProcess.Start.GO_ON).members());
--- a/daemon/src/main/java/willowdoor/daemon/config/AuthorisationReader.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/AuthorisationReader.java
@@ -25,7 +25,7 @@
 import willowdoor.policy.GatewayApi.RequestClass;
 import willowdoor.policy.GatewayApi.Settings;
 
-/** Reads who is asked about requests: [authorisation], [[authoriser]] and [[member]]. */
+/** Reads the settings of external authorisation: [authorisation], [[authoriser]] and [[member]]. */
 final class AuthorisationReader {
 
   private static final int MAX_TABLES = 256;
@@ -41,7 +41,7 @@
     this.settings = settings;
   }
 
-  /** Null when there is no member. */
+  /** Reads the tables; returns null if no usable member is configured. */
   ExtAuthzSettings read() {
     Section a = root.table("authorisation");
     String log = a.text("log", "");
@@ -54,8 +54,8 @@
     if (maxEject < eject) {
       a.addProblem("most_eject_ms", maxEject, "at least eject_ms, " + eject);
     }
-    Health health =
-        new Health(a.wholeNumber("eject_after", 5, 1, 1_000), a.number("eject_share", 0.5, 0.01, 1),
+    Health health = new Health(a.wholeNumber("eject_after", 5, 1, 1_000),
+        a.number("eject_share", 0.5, 0.01, 1),
         eject, Math.max(eject, maxEject), a.number("eject_spread", 0.2, 0, 1));
     a.reportUnknownKeys();
     List<Authoriser> authorisers = new ArrayList<>();
@@ -189,7 +189,7 @@
         return first >= 0 && last >= first ? new FirmRange(first, last) : null;
       }
     } catch (NumberFormatException e) {
-      // Falls through: the caller tells what was expected.
+      // Falls through: the caller reports what was expected.
     }
     return null;
   }
--- a/daemon/src/main/java/willowdoor/daemon/config/ConfigException.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/ConfigException.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A configuration that can't be used, with all that is wrong with it at once. */
+/** Thrown for an invalid configuration; contains all problems of the file. */
 public final class ConfigException extends Exception {
 
   private static final long serialVersionUID = 1;
@@ -17,7 +17,7 @@
     this.problems = List.copyOf(problems);
   }
 
-  /** In the order of their lines. */
+  /** The problems in the order of their lines. */
   public List<Problem> problems() {
     return problems;
   }
--- a/daemon/src/main/java/willowdoor/daemon/config/DaemonConfig.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/DaemonConfig.java
@@ -32,78 +32,81 @@
 
 /**
  * The daemon's configuration, read from TOML. {@code deploy/willowdoor.toml} documents every key. All errors
- * of a file are told at once ({@link ConfigException}).
+ * of a file are reported together ({@link ConfigException}).
  *
- * @param authorisation whom members have asked, or null when no member is named
- * @param fair how requests wait their turn, or null when none does
- * @param agreement with whom drains are agreed on, or null where this door is alone
- * @param effective every key with the value in force, defaults included
+ * @param authorisation the settings of external authorisation, or null if no member is configured
+ * @param fair the settings of the fair queue, or null if it is off
+ * @param agreement the settings of the agreement with the fleet's stewards, or null if it is off
+ * @param effective every key with its effective value, including defaults
  */
 public record DaemonConfig(Instance instance, InetSocketAddress discovery, Counter counter, Limits limits,
     InstanceLifecycle.ShutdownLimits end, TakeOver takeOver, Backends backends, Settings settings,
     ExtAuthzSettings authorisation, Fair fair, Agreement agreement, Map<String, Object> effective) {
 
-  /** Who this instance is in its fleet; zone may be empty. */
+  /** The identity of this instance in its fleet; the zone may be empty. */
   public record Instance(String name, InetSocketAddress listen, int doors, int index, String zone) { }
 
-  /** What the shared counter speaks: lines of the platform's protocol, or what Valkey and Redis do. */
+  /** The protocol of the shared counter: the platform's line protocol, or that of Valkey and Redis. */
   enum Store { LINES, VALKEY }
 
   /**
-   * The shared counter: where, and for how long a call is waited for.
+   * The address of the shared counter, and the timeout of a call.
    *
-   * @param valkey how to use the Valkey or Redis server there, or null where it is a counter of lines
+   * @param valkey the settings for a Valkey or Redis server, or null for the line protocol
    */
   public record Counter(InetSocketAddress address, double callLimitMs, ValkeySettings valkey) { }
 
-  /** How requests wait their turn, and what tells a firm's clients apart. */
+  /** The settings of the fair queue, and how the clients of a firm are distinguished. */
   public record Fair(FairSettings settings, FairGate.ClientBy clientBy, String header) { }
 
   /**
-   * Where the fleet agrees on drains.
+   * The settings of the agreement on drains and releases.
    *
-   * @param fleet the fleet's name, as its stewards know it
-   * @param drift the most that a clock runs wrong, as a part of the time that passes
-   * @param weight this door's part of the traffic, beside the other doors'
-   * @param lockFile held by one process of this door at a time
-   * @param steward the configuration of a steward inside this daemon, or empty for none
-   * @param successor the words of the command that starts another version in this one's place; none where no
-   *     release may
-   * @param management where operators call, or null where they don't
+   * @param fleet the name of the fleet, as its stewards know it
+   * @param drift the greatest rate error of a clock, as a fraction of the elapsed time
+   * @param weight the share of this door in the traffic, relative to the weights of the other doors
+   * @param lockFile a file that is locked by one process of this door at a time
+   * @param steward the configuration file of a steward inside this daemon, or empty for none
+   * @param successor the words of the command that starts another version as the successor of this process;
+   *     empty if releases may not replace this door
+   * @param management the address for operators' calls, or null for none
    */
   public record Agreement(String fleet, List<InetSocketAddress> stewards, double drift, double weight,
       String lockFile, String steward, List<String> successor, InetSocketAddress management) { }
 
-  /** What the process may hold. */
+  /** The resource limits of the process: file descriptors, and memory in MB. */
   public record Limits(int descriptors, int memoryMb) { }
 
-  /** Handing the listening socket over; an empty path means that it is never handed over. */
+  /** The handover of the listening socket; an empty path means that it is never handed over. */
   public record TakeOver(String controlSocket, int readyLimitMs) { }
 
-  /** How backends are reached, and those known before discovery has told any. */
+  /** The connection limits of backends, and the backends to use before discovery has listed any. */
   public record Backends(double connectLimitMs, double idleLimitMs, EndpointUpdate configured) { }
 
-  /** Keys that a reload takes; any other that has changed needs a restart. */
+  /** The keys that a reload applies; a change of any other key needs a restart. */
   public static final Set<String> RELOADABLE = Set.of("discovery.address", "counter.address");
 
   private static final int MAX_TABLES = 256;
   private static final int MAX_BACKENDS = 10_000;
   private static final double MAX_DURATION_MS = 3_600_000;
   private static final double MAX_UNITS = 1e9;
-  /** A unix socket's path may be so long, with an ending for the one that is about to take its place. */
+  /**
+   * Limit of the control socket's path. The kernel limits the path of a unix socket, and the temporary name
+   * of a new socket adds a suffix.
+   */
   private static final int MAX_SOCKET_PATH_LENGTH = 100;
 
-  /** Reads a file. */
+  /** Reads and checks a file. */
   public static DaemonConfig read(Path file) throws IOException, ConfigException {
     return parse(file, TomlFile.readText(file));
   }
 
-  /** Reads a text; the file is named in errors only. */
+  /** Reads and checks a text; the file is only named in errors. */
   public static DaemonConfig parse(Path file, String text) throws ConfigException {
     return TomlFile.parse(file, text, (root, effective) -> new Reader(root, effective).read());
   }
 
-  /** Keys whose values differ, with those that are in one of both only. */
+  /** The keys whose values differ, including keys that exist in only one of the configurations. */
   public Set<String> changedKeys(DaemonConfig other) {
     Set<String> keys = new TreeSet<>(effective.keySet());
     keys.addAll(other.effective.keySet());
@@ -111,21 +114,21 @@
     return keys;
   }
 
-  /** As the door takes it, with a seed for its random choices. */
+  /** The configuration of the front door, with a seed for its random choices. */
   public Config doorConfig(long seed) {
     return new Config(instance.listen(), discovery, counter.address(), seed, settings,
         ResourceLimits.of(limits.descriptors() - authoriserConnections(), limits.memoryMb()),
-        backends.connectLimitMs(),
+            backends.connectLimitMs(),
             backends.idleLimitMs(),
         backends.configured(), true, null);
   }
 
-  /** A connection to each authoriser, and a second one while its TLS files have changed. */
+  /** Two connections to each authoriser: a second one replaces the first when the TLS files change. */
   private int authoriserConnections() {
     return authorisation == null ? 0 : 2 * authorisation.links().size();
   }
 
-  /** Reads one file's tables in the order of the records. */
+  /** Reads the tables of one file. */
   static final class Reader {
     private final Map<String, Object> effective;
     private final Section root;
@@ -174,7 +177,7 @@
           authorisation, fair, agreement, Map.copyOf(effective));
     }
 
-    /** Null where it is off. */
+    /** Returns null if the agreement is off. */
     private Agreement agreement(TakeOver takeOver) {
       Section a = root.table("agreement");
       boolean on = a.flag("enabled", false);
@@ -243,7 +246,10 @@
       return value;
     }
 
-    /** Keys of the other kind of store are unknown here, so that none is thought to be in use. */
+    /**
+     * Reads the keys of a Valkey store. With the line protocol these keys are reported as unknown, so that no
+     * unused key looks as if it had an effect.
+     */
     private static ValkeySettings valkey(Section c) {
       if (c.choice("store", Store.class, Store.LINES) == Store.LINES) {
         return null;
@@ -272,8 +278,8 @@
       double mostAdvice = a.number("most_retry_after_ms", 2_000, 0, MAX_DURATION_MS);
       double slack = a.number("slack_ms", 8, 0, 1_000);
       a.reportUnknownKeys();
-      Capabilities allowed =
-          new Capabilities(true, counter.callLimitMs(), true, false, b.wholeNumber("attempts", 6, 1, 20),
+      Capabilities allowed = new Capabilities(true, counter.callLimitMs(), true, false,
+          b.wholeNumber("attempts", 6, 1, 20),
           b.wholeNumber("open_attempts", 20_000, 1, 1_000_000), advise, mostAdvice, false);
       Rules rules = new Rules(slack, b.number("cold_share", 0.21, 0.01, 1), b.number("cold_ms", 18_000, 0,
           MAX_DURATION_MS),
@@ -291,8 +297,8 @@
             s.number("late_worth", 0, 0, 1e6), s.number("aim_ms", Double.NaN, 1, MAX_DURATION_MS),
             s.number("deadline_ms", Double.NaN, 1, MAX_DURATION_MS), repeat, s.choice("group", Group.class,
                 Group.ALL),
-            s.number("repeat_window_ms", repeat == Repeat.KEYED ? Double.NaN : 0, 0, MAX_DURATION_MS),
-            false));
+            s.number("repeat_window_ms", repeat == Repeat.KEYED ? Double.NaN : 0, 0,
+                MAX_DURATION_MS), false));
         s.reportUnknownKeys();
       }
       return classes;
--- a/daemon/src/main/java/willowdoor/daemon/config/FairReader.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/FairReader.java
@@ -14,7 +14,7 @@
 import willowdoor.policy.GatewayApi.Plan;
 import willowdoor.policy.GatewayApi.Settings;
 
-/** Reads who waits for whom: [fair] and [[fair_plan]]. */
+/** Reads the settings of the fair queue: [fair] and [[fair_plan]]. */
 final class FairReader {
 
   private static final int MAX_TABLES = 256;
@@ -28,7 +28,7 @@
     this.settings = settings;
   }
 
-  /** Null when it is off. */
+  /** Reads and checks the tables; returns null if the fair queue is off. */
   DaemonConfig.Fair read() {
     Section f = root.table("fair");
     boolean on = f.flag("enabled", false);
@@ -72,7 +72,10 @@
         settings.gateways(), cost, bounds, limit, new ComeBack(share, Math.max(1, reach))), clientBy, header);
   }
 
-  /** Each plan's quota is the settings' own; a table of its name adds the weights. */
+  /**
+   * The quota of each plan comes from its [[plan]] table; a [[fair_plan]] table of the same name adds the
+   * weights.
+   */
   private Map<String, PlanSettings> plans() {
     Map<String, Section> tables = new HashMap<>();
     Set<String> names = new HashSet<>();
--- a/daemon/src/main/java/willowdoor/daemon/config/PlanFile.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/PlanFile.java
@@ -5,7 +5,7 @@
 import willowdoor.rollout.Comparison;
 import willowdoor.rollout.Plan;
 
-/** A release's plan, read from TOML; {@code deploy/release.toml} documents every key. */
+/** Reads the plan of a release from TOML; {@code deploy/release.toml} documents every key. */
 public final class PlanFile {
 
   private static final double MAX_DURATION_MS = 7 * 24 * 3_600_000.0;
@@ -13,12 +13,12 @@
   private PlanFile() {
   }
 
-  /** Reads a file. */
+  /** Reads and checks a file. */
   public static Plan read(Path file) throws IOException, ConfigException {
     return parse(file, TomlFile.readText(file));
   }
 
-  /** Reads a text; the file is named in errors only. */
+  /** Reads and checks a text; the file is only named in errors. */
   static Plan parse(Path file, String text) throws ConfigException {
     return TomlFile.parse(file, text, (root, effective) -> read(root));
   }
--- a/daemon/src/main/java/willowdoor/daemon/config/Problem.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/Problem.java
@@ -1,8 +1,8 @@
 package willowdoor.daemon.config;
 
 /**
- * One thing wrong with a configuration file: the key, the line (0 where there is none), the value found and
- * what was expected.
+ * A problem in a configuration file: the key, the line (0 if there is none), the value found and the value
+ * expected.
  */
 public record Problem(String key, int line, String found, String expected) implements Comparable<Problem> {
 
--- a/daemon/src/main/java/willowdoor/daemon/config/Section.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/Section.java
@@ -15,12 +15,13 @@
 import willowdoor.net.EndpointUpdate;
 
 /**
- * One table of the file. Each look for a key checks its value, notes a problem instead of failing, and notes
- * the effective value under its full name; whatever was never looked for is unknown.
+ * A table of a configuration file. Each lookup of a key checks its value, records a problem instead of
+ * failing, and records the effective value under the full name of the key. Keys that were never looked up
+ * are reported as unknown.
  */
 final class Section {
 
-  /** So many edits away a key is likely a slip; more, and another was meant. */
+  /** Greatest edit distance at which an unknown key is taken for a misspelling of a known one. */
   private static final int MAX_TYPO_EDITS = 3;
 
   private final String path;
@@ -64,7 +65,7 @@
     return value;
   }
 
-  /** A text; without a default it must be there. */
+  /** A text; required if the default is null. */
   String text(String key, String defaultValue) {
     Object found = lookUp(key);
     if (found instanceof String s) {
@@ -76,7 +77,7 @@
     return recordEffective(key, defaultValue == null ? "" : defaultValue);
   }
 
-  /** A number between both bounds; without a default (NaN) it must be there. */
+  /** A number from {@code min} to {@code max}; required if the default is NaN. */
   double number(String key, double defaultValue, double min, double max) {
     Object found = lookUp(key);
     if (found == null && !Double.isNaN(defaultValue)) {
@@ -90,7 +91,7 @@
     return recordEffective(key, min);
   }
 
-  /** A whole number between both bounds; without a default (null) it must be there. */
+  /** A whole number from {@code min} to {@code max}; required if the default is null. */
   int wholeNumber(String key, Integer defaultValue, int min, int max) {
     Object found = lookUp(key);
     if (found == null && defaultValue != null) {
@@ -111,7 +112,7 @@
     return recordEffective(key, found instanceof Boolean b ? b : defaultValue);
   }
 
-  /** Texts, without a default one at least. */
+  /** A list of texts; at least one is required if the default is null. */
   List<String> texts(String key, List<String> defaultValue) {
     Object found = lookUp(key);
     if (found instanceof TomlArray array && array.toList().stream().allMatch(String.class::isInstance)
@@ -126,7 +127,7 @@
     return recordEffective(key, defaultValue == null ? List.of() : defaultValue);
   }
 
-  /** Numbers, each more than nought. */
+  /** A list of numbers greater than 0; empty if the key is missing. */
   List<Double> positiveNumbers(String key) {
     Object found = lookUp(key);
     if (found instanceof TomlArray array && array.toList().stream().allMatch(
@@ -139,7 +140,7 @@
     return recordEffective(key, List.of());
   }
 
-  /** One of an enum's names, in lower case. */
+  /** The name of an enum constant in lower case; required if the default is null. */
   <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
     Object found = lookUp(key);
     List<String> names = new ArrayList<>();
@@ -155,7 +156,7 @@
     return recordEffective(key, defaultValue == null ? type.getEnumConstants()[0] : defaultValue);
   }
 
-  /** A numeric address and port; names are not looked up. */
+  /** A numeric address and port, required; host names are not resolved. */
   InetSocketAddress address(String key) {
     Object found = lookUp(key);
     InetSocketAddress address = found instanceof String s ? EndpointUpdate.parseAddress(s) : null;
@@ -165,7 +166,7 @@
     return recordEffective(key, address);
   }
 
-  /** Numeric addresses and ports; none where the key is missing. */
+  /** A list of numeric addresses and ports; empty if the key is missing. */
   List<InetSocketAddress> addresses(String key) {
     List<String> texts = texts(key, List.of());
     List<InetSocketAddress> all = texts.stream().map(EndpointUpdate::parseAddress).toList();
@@ -176,7 +177,7 @@
     return all;
   }
 
-  /** How many: a whole number, or a share such as "10%". */
+  /** A count, or a share such as "10%"; required if the default is null. */
   OutageLimit countOrShare(String key, OutageLimit defaultValue) {
     Object found = lookUp(key);
     if (found instanceof Long l && l >= 0 && l <= 1_000_000) {
@@ -193,7 +194,7 @@
     return recordEffective(key, defaultValue == null ? OutageLimit.of(0) : defaultValue);
   }
 
-  /** A table in this one; one that is missing gives its defaults. */
+  /** A table within this one; a missing table behaves as an empty one. */
   Section table(String key) {
     Object found = lookUp(key);
     if (found != null && !(found instanceof TomlTable)) {
@@ -202,7 +203,7 @@
     return new Section(fullKey(key), found instanceof TomlTable t ? t : null, line(key), problems, effective);
   }
 
-  /** The tables of an array of tables, at most so many. */
+  /** The tables of an array of tables; their number must be from {@code min} to {@code max}. */
   List<Section> tables(String key, int min, int max) {
     Object found = lookUp(key);
     List<Section> sections = new ArrayList<>();
@@ -228,24 +229,24 @@
     return !array.isEmpty() && array.toList().stream().allMatch(TomlTable.class::isInstance);
   }
 
-  /** Notes every key of this table that was never looked for. */
+  /** Records a problem for every key of this table that was never looked up. */
   void reportUnknownKeys() {
     if (table == null) {
       return;
     }
     for (String key : table.keySet()) {
       if (!knownKeys.contains(key)) {
-        String nearest = knownKeys.stream()
-            .min((a, b) -> Integer.compare(editDistance(a, key), editDistance(b, key)))
+        String nearest = knownKeys.stream().min(
+            (a, b) -> Integer.compare(editDistance(a, key), editDistance(b, key)))
             .orElse("");
-        problems.add(
-            new Problem(fullKey(key), line(key), "unknown key", editDistance(nearest, key) <= MAX_TYPO_EDITS
+        problems.add(new Problem(fullKey(key), line(key), "unknown key",
+            editDistance(nearest, key) <= MAX_TYPO_EDITS
             ? "did you mean " + fullKey(nearest) + "?" : "one of " + knownKeys));
       }
     }
   }
 
-  /** Levenshtein's distance, by rows (Wagner and Fischer, 1974). */
+  /** Levenshtein distance, computed row by row (Wagner and Fischer, 1974). */
   static int editDistance(String a, String b) {
     int[] row = new int[b.length() + 1];
     for (int j = 0; j <= b.length(); j++) {
--- a/daemon/src/main/java/willowdoor/daemon/config/StewardConfig.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/StewardConfig.java
@@ -13,7 +13,7 @@
 import willowdoor.steward.StewardId;
 import willowdoor.steward.link.StewardProcess;
 
-/** A steward's configuration, read from TOML; {@code deploy/steward.toml} documents every key. */
+/** Reads the configuration of a steward from TOML; {@code deploy/steward.toml} documents every key. */
 public final class StewardConfig {
 
   private static final int MAX_STEWARDS = 7;
@@ -23,9 +23,9 @@
   }
 
   /**
-   * Reads a file.
+   * Reads and checks a file.
    *
-   * @param start what is known of the steward's disk
+   * @param start whether the record on the steward's disk exists or is new
    */
   public static StewardProcess.Settings read(Path file, StewardProcess.Start start)
       throws IOException, ConfigException {
--- a/daemon/src/main/java/willowdoor/daemon/config/TomlFile.java
+++ b/daemon/src/main/java/willowdoor/daemon/config/TomlFile.java
@@ -12,7 +12,7 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 
-/** Reads a configuration's file: all that is wrong with it is told at once. */
+/** Reads a TOML file; all problems of a file are reported together. */
 final class TomlFile {
 
   private static final int MAX_FILE_BYTES = 1 << 20;
@@ -20,13 +20,12 @@
   private TomlFile() {
   }
 
-  /** The text of a file of {@value #MAX_FILE_BYTES} bytes at most. */
+  /** Reads the text of a file of at most {@value #MAX_FILE_BYTES} bytes. */
   static String readText(Path file) throws IOException {
     try {
       if (Files.size(file) > MAX_FILE_BYTES) {
         throw new IOException(file + " has " + Files.size(file) + " bytes (expected: at most "
-            + MAX_FILE_BYTES
-            + ")");
+            + MAX_FILE_BYTES + ")");
       }
       return Files.readString(file);
     } catch (NoSuchFileException e) {
@@ -37,10 +36,10 @@
   }
 
   /**
-   * What a reader makes of a text; it looks for all that it knows, and notes what is wrong.
+   * Parses a text and passes it to a reader, which looks up all keys that it knows and records problems.
    *
-   * @param file named in errors only
-   * @param reader given the whole file as a section, and where each effective value is noted
+   * @param file only named in errors
+   * @param reader receives the whole file as a section, and the map into which effective values are recorded
    */
   static <T> T parse(Path file, String text, BiFunction<Section, Map<String, Object>, T> reader)
       throws ConfigException {
--- a/daemon/src/main/java/willowdoor/daemon/life/Agreement.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Agreement.java
@@ -31,16 +31,16 @@
 import willowdoor.steward.link.DoorLink;
 
 /**
- * A daemon's part in what the fleet agrees on: tells the stewards what this instance does and which backends
- * it hears of, and has the door do what was agreed on. What it says of the door it reads on the door's loop;
- * the link has a thread of its own.
+ * Connects a daemon to the agreement of its fleet: reports the state of this instance and its known backends
+ * to the stewards, and makes the door carry out what was agreed. The state of the door is read on the door's
+ * event loop; the link to the stewards runs on its own thread.
  */
 final class Agreement implements AutoCloseable, DoorLink.DoorControl {
 
   private static final Logger LOG = Logger.getLogger(Agreement.class.getName());
-  /** How often it looks at what is told by no event: attempts that end, backends that are warm by now. */
+  /** Interval of the check for changes without an event: finished attempts, backends that are warm by now. */
   private static final long POLL_INTERVAL_MS = 50;
-  /** Between two looks whether another process of this door has ended. */
+  /** Interval of the check whether other processes of this door have ended. */
   private static final long ENDED_PROCESS_CHECK_MS = 500;
   private static final long WAIT_LOG_INTERVAL_MS = 5_000;
 
@@ -49,7 +49,7 @@
   private final Instance instance;
   private final DaemonConfig config;
   private final DoorLink link;
-  /** Backends that go out, until no attempt is out at them. */
+  /** Backends that are being taken out, until the door has no attempt open at them. */
   private final Map<Long, String> drainingBackends = new HashMap<>();
   private final Map<Long, BackendEntry> roster = new HashMap<>();
   private final Set<Long> coldBackends = new HashSet<>();
@@ -58,22 +58,22 @@
   private Phase phase = Phase.STARTING;
   private final FileChannel lockFile;
   private final ProcessLocks processLocks;
-  /** Processes whose end has been, or is being, told; of the lock's thread. */
+  /** Processes whose end has been, or is being, reported; used by the lock's thread only. */
   private final Set<String> reportedEnded = new HashSet<>();
   private Set<String> endedAtLastCheck = Set.of();
-  /** Whether this process holds the door's lock. */
+  /** Whether this process holds the door's lock, so that the process before it has ended. */
   private volatile boolean holdsDoorLock;
   private final RequestTally requestTally;
   private final SuccessorLauncher successors;
   private Tally reportedTally = Tally.NONE;
-  /** Null where operators don't call here. */
+  /** Null if no management address is configured. */
   private final Management management;
 
   /**
-   * Begins at once; on no loop.
+   * Starts at once. Must not be called on an event loop.
    *
-   * @param incarnation which process this is, unlike any other of this door
-   * @param version of the program, as releases name it
+   * @param incarnation the identifier of this process, unique among the processes of this door
+   * @param version the version of the program, as releases name it
    */
   Agreement(FrontDoor door, Instance instance, DaemonConfig config, String incarnation, String version)
       throws IOException, InterruptedException {
@@ -85,14 +85,13 @@
     requestTally = new RequestTally(config.settings().classes());
     successors = new SuccessorLauncher(loop, instance, settings.successor(), config.takeOver().readyLimitMs(),
         this::reportFailedAttempt);
-    lockFile = FileChannel
-        .open(Path.of(settings.lockFile()), StandardOpenOption.CREATE, StandardOpenOption.READ,
-        StandardOpenOption.WRITE);
+    lockFile = FileChannel.open(Path.of(settings.lockFile()), StandardOpenOption.CREATE,
+        StandardOpenOption.READ, StandardOpenOption.WRITE);
     processLocks = new ProcessLocks(Path.of(settings.lockFile()), incarnation);
     long generation = tryLock();
     link = new DoorLink(new DoorLink.Identity(settings.fleet(), config.instance().name(), incarnation,
-        config.instance().zone(), settings.weight(), version, startedForAttempt()), settings.stewards(),
-        settings.drift(),
+        config.instance().zone(), settings.weight(), version, startedForAttempt()),
+        settings.stewards(), settings.drift(),
         Path.of(settings.lockFile() + ".out"), generation, this);
     management = settings.management() == null ? null : new Management(door, settings.management(),
         config.instance().name(),
@@ -112,7 +111,7 @@
     link.replacementFailed(attempt);
   }
 
-  /** Which attempt of a release this process was started for; 0 for none. */
+  /** The attempt of a release for which this process was started; 0 for none. */
   private static long startedForAttempt() {
     String variable = System.getenv(SuccessorLauncher.ATTEMPT_VARIABLE);
     try {
@@ -124,13 +123,14 @@
   }
 
   /**
-   * Waits until it is known which backends are out; not for a loop. A door that has a file of it goes on by
-   * that. One that was never told has sent nothing yet that anybody would
-   * miss, and would send to what an operator was told is out.
+   * Waits until this process knows which backends are out. Must not be called on an event loop. A door that
+   * has stored this state in its file uses the file. A door without it must not serve yet: it could send
+   * requests to a backend of which an operator was told that it is out, while nobody misses a door that has
+   * not served before.
    *
-   * <p>A process that was started for an attempt, whose starter has died, ends after the limit for
-   * successors: an attempt that was halted meanwhile is never said to stand, and nobody would be left who
-   * starts the door anew with the version that it had.
+   * <p>A process that was started for an attempt ends itself after the time limit for successors if the
+   * process that started it has died: an attempt that was halted in the meantime is never confirmed, and no
+   * process would be left to start the door again with its previous version.
    */
   void awaitOutStatus() {
     long startNanos = System.nanoTime();
@@ -141,16 +141,15 @@
       } catch (TimeoutException e) {
         long waitedMs = (System.nanoTime() - startNanos) / 1_000_000;
         if (startedForAttempt() > 0 && holdsDoorLock && waitedMs > config.takeOver().readyLimitMs()) {
-          instance.post(
-              new FatalError("nobody says that attempt " + startedForAttempt()
-              + " stands, for which this process"
-              + " was started, and the process that started it is gone: the door is to be started anew"));
+          instance.post(new FatalError("no steward confirms attempt " + startedForAttempt()
+              + ", for which this process was started, and the process that started it is gone;"
+              + " the door must be started again"));
           return;
         }
-        LOG.warning("not ready: no steward of " + config.agreement().stewards() + " has told yet which"
-            + " backends are out"
-            + (startedForAttempt() > 0 ? ", or that attempt " + startedForAttempt() + " stands" : "")
-            + ", and no process of this door before this one has kept it");
+        LOG.warning("not ready: no steward of " + config.agreement().stewards()
+            + " has reported yet which backends are out"
+            + (startedForAttempt() > 0 ? ", or that attempt " + startedForAttempt() + " is confirmed" : "")
+            + ", and no earlier process of this door has stored it");
       } catch (ExecutionException e) {
         throw new IllegalStateException(e);
       } catch (InterruptedException e) {
@@ -161,8 +160,8 @@
   }
 
   /**
-   * Tries until the process that holds the lock has ended, and then vouches for others that end; on a thread
-   * of its own, as it is file work.
+   * Waits for the door's lock, which is free once the process that holds it has ended, and then reports other
+   * processes that end. Runs on its own thread, because file access blocks.
    */
   private void watchProcessLocks(long initialGeneration) {
     try {
@@ -184,7 +183,10 @@
     }
   }
 
-  /** Of those that had ended at the look before as well: what they had written is there by now. */
+  /**
+   * Reports processes that had already ended at the previous check, so that everything that they had written
+   * has arrived by now.
+   */
   private void reportEndedProcesses() {
     try {
       List<String> endedNow = processLocks.ended();
@@ -196,7 +198,7 @@
       endedAtLastCheck = Set.copyOf(endedNow);
       reportedEnded.retainAll(endedNow);
     } catch (IOException e) {
-      LOG.warning("which processes of this door have ended can't be seen: " + e);
+      LOG.warning("cannot determine which processes of this door have ended: " + e);
     }
   }
 
@@ -204,11 +206,11 @@
     try {
       processLocks.forget(incarnation);
     } catch (IOException e) {
-      LOG.warning("the file of process " + incarnation + ", which has ended, stays: " + e);
+      LOG.warning("cannot remove the file of process " + incarnation + ", which has ended: " + e);
     }
   }
 
-  /** What the instance has come to; on the door's loop. */
+  /** The phase of the instance has changed; called on the door's event loop. */
   void phaseChanged(Phase newPhase) {
     phase = newPhase;
     link.reportState(doing());
@@ -249,7 +251,12 @@
     loop.schedule(this::poll, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** The lock is held by one process of this door at a time, until that has ended; 0 while by another. */
+  /**
+   * Tries to take the door's lock, which one process of this door holds at a time until it ends.
+   *
+   * @return the generation of the lock, greater by 1 for each holder; 0 while another process holds the lock,
+   *     and after an error
+   */
   private long tryLock() {
     try {
       if (lockFile.tryLock() == null) {
@@ -303,7 +310,7 @@
   @Override
   public void takeOut(String backend) {
     onDoorLoop(backend, id -> {
-      LOG.info("backend " + backend + " goes out, as agreed");
+      LOG.info("backend " + backend + " is taken out, as agreed");
       door.setAgreedOut(id, true);
       drainingBackends.put(id, backend);
     });
@@ -312,7 +319,7 @@
   @Override
   public void putBack(String backend) {
     onDoorLoop(backend, id -> {
-      LOG.info("backend " + backend + " is back, as agreed");
+      LOG.info("backend " + backend + " is put back, as agreed");
       drainingBackends.remove(id);
       door.setAgreedOut(id, false);
     });
@@ -323,7 +330,7 @@
       try {
         action.accept(Long.parseLong(backend, 16));
       } catch (NumberFormatException e) {
-        LOG.warning("\"" + backend + "\" is no backend that a door can know");
+        LOG.warning("\"" + backend + "\" is not a valid backend number");
       }
     });
   }
@@ -340,11 +347,12 @@
 
   @Override
   public void replace(long attempt, String version) {
-    LOG.info("attempt " + attempt + " of a release: version " + version + " is to take this one's place");
+    LOG.info("attempt " + attempt + " of a release: version " + version
+        + " is to replace this instance");
     successors.start(attempt, version);
   }
 
-  /** Says that this process has ended; not for the door's loop. */
+  /** Tells the stewards that this process ends. Must not be called on the door's event loop. */
   @Override
   public void close() {
     if (management != null) {
--- a/daemon/src/main/java/willowdoor/daemon/life/ControlSocket.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/ControlSocket.java
@@ -24,12 +24,13 @@
 import willowdoor.net.FrontDoor;
 
 /**
- * The holder's side of a handover: hands the listening socket to one successor at a time, and tells the
- * instance's life what becomes of that one. The socket's file is for this user only; it takes its place by a
- * rename, so that there is never a moment without one, and a file left by a killed process is no obstacle.
+ * The holder's side of a handover: passes the listening socket to one successor at a time, and reports the
+ * outcome to the life cycle of the instance. Only the current user may open the file of the control socket.
+ * The file is put into place by an atomic rename, so that the path always exists, and a file that a killed
+ * process left behind is replaced.
  *
- * <p>Guards against a successor that stalls between taking the socket and being ready: after the limit it is
- * told to give up. Bound: {@value #MAX_CONNECTIONS} connections, more are refused.
+ * <p>A successor that stalls after its request is refused when the limit for readiness has passed.
+ * Bound: at most {@value #MAX_CONNECTIONS} connections; further ones are refused.
  */
 final class ControlSocket {
 
@@ -42,7 +43,7 @@
   private final long readyLimitMs;
   private Channel serverChannel;
   private int connections;
-  /** The one connection over which the listening socket was handed on, or null. */
+  /** The connection of the successor that currently takes over, or null. */
   private SuccessorConnection successor;
 
   ControlSocket(FrontDoor door, Instance instance, Path path, long readyLimitMs) {
@@ -52,7 +53,7 @@
     this.readyLimitMs = readyLimitMs;
   }
 
-  /** Listens in the file's place; not for the loop's thread. */
+  /** Listens on the path. Blocks, so it must not be called on an event loop. */
   void open() throws IOException {
     Path temporary = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
     Files.deleteIfExists(temporary);
@@ -80,7 +81,7 @@
     return Daemon.formatAddress((InetSocketAddress) door.address());
   }
 
-  /** Takes the file's place again, after a successor that had taken it is gone. */
+  /** Replaces the file at the path again, after a successor that had replaced it is gone. */
   void reopen() {
     Channel previous = serverChannel;
     Thread opening = new Thread(() -> {
@@ -88,14 +89,14 @@
         open();
         previous.close();
       } catch (IOException e) {
-        LOG.warning("no successor can take over: " + e.getMessage());
+        LOG.warning("cannot open the control socket, so no successor can take over: " + e.getMessage());
       }
     }, "control-socket");
     opening.setDaemon(true);
     opening.start();
   }
 
-  /** One process that asks to take over; on the door's loop. */
+  /** The connection of a process that asks to take over; runs on the event loop. */
   private final class SuccessorConnection extends SimpleChannelInboundHandler<String> {
     private String pid = "?";
     private boolean counted;
@@ -118,9 +119,8 @@
       } else if (line.equals(HandoverProtocol.SEND) && successor == this && !descriptorSent) {
         descriptorSent = true;
         ctx.writeAndFlush(new FileDescriptor(door.descriptor()));
-      } else if (
-          (line.equals(HandoverProtocol.READY) || line.equals(HandoverProtocol.READY_FOR_LEARNED_STATE))
-          && descriptorSent && !ready) {
+      } else if ((line.equals(HandoverProtocol.READY)
+          || line.equals(HandoverProtocol.READY_FOR_LEARNED_STATE)) && descriptorSent && !ready) {
         ready = true;
         LOG.info("process " + pid + " has taken over " + listenAddress());
         instance.post(new SuccessorReady());
@@ -138,8 +138,8 @@
       if (!words[1].equals(HandoverProtocol.VERSION)) {
         refuse(ctx, "handover version " + words[1] + " (expected: " + HandoverProtocol.VERSION + ")");
       } else if (!words[3].equals(listenAddress())) {
-        refuse(ctx,
-            "process " + ProcessHandle.current().pid() + " listens on " + listenAddress() + ", not on "
+        refuse(ctx, "process " + ProcessHandle.current().pid() + " listens on " + listenAddress()
+            + ", not on "
             + words[3]);
       } else if (successor != null) {
         refuse(ctx, "process " + successor.pid + " is taking over already");
@@ -152,9 +152,7 @@
             refuse(ctx, "not ready within " + readyLimitMs + " ms");
           }
         }, readyLimitMs, TimeUnit.MILLISECONDS);
-        HandoverProtocol
-            .writeLine(ctx,
-            HandoverProtocol.HANDING + " " + ProcessHandle.current().pid() + " "
+        HandoverProtocol.writeLine(ctx, HandoverProtocol.HANDING + " " + ProcessHandle.current().pid() + " "
             + LearnedStateLines.LINE_PREFIX);
       }
     }
@@ -177,7 +175,7 @@
         if (ready) {
           instance.post(new SuccessorLost());
         } else {
-          LOG.warning("process " + pid + " did not become ready; serving on");
+          LOG.warning("process " + pid + " did not become ready; this instance continues to serve");
         }
       }
     }
@@ -188,7 +186,7 @@
     }
   }
 
-  /** Whether this machine can hand a socket over at all. */
+  /** Whether this machine can pass a socket to another process (epoll is available). */
   static boolean isAvailable() {
     return Epoll.isAvailable();
   }
--- a/daemon/src/main/java/willowdoor/daemon/life/Daemon.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Daemon.java
@@ -28,14 +28,14 @@
 import willowdoor.valkey.ValkeyStore;
 
 /**
- * One instance of the daemon: a door by a checked configuration, its life, its control socket and what
- * signals mean to it.
+ * One instance of the daemon: a front door with a validated configuration, its life cycle, its control socket
+ * and its reactions to signals.
  */
 public final class Daemon {
 
   private static final Logger LOG = Logger.getLogger(Daemon.class.getName());
 
-  /** Longest warm-up of what asks authorisers, beside the door's own. */
+  /** Limit of the warm-up of the authorisation client, which follows the door's own warm-up. */
   private static final long AUTHORISATION_WARM_UP_MS = 3_000;
 
   private final DaemonConfig config;
@@ -46,7 +46,7 @@
   private HandoverClient handoverClient;
   private ExtAuthzGate authorisationGate;
   private FairGate fairGate;
-  /** Null where the fleet agrees on nothing. */
+  /** Null if the agreement is not configured. */
   private volatile Agreement agreement;
   private EmbeddedSteward embeddedSteward;
   private final String version;
@@ -56,7 +56,7 @@
     this.configFile = configFile;
     this.version = version;
     Config doorConfig = config.doorConfig(new SecureRandom().nextLong());
-    // Without such a store none of its classes is loaded.
+    // The classes of the Valkey store are loaded only if it is configured.
     door = FrontDoor.create(doorConfig, config.counter().valkey() == null ? null
         : ValkeyStore.maker(config.counter().valkey()));
     instance = new Instance(door, new InstanceLifecycle(config.end()), new Instance.Listener() {
@@ -67,7 +67,8 @@
           agreement.awaitOutStatus();
         }
         if (config.authorisation() != null) {
-          LOG.info("warmed up by " + ExtAuthzGate.warmUp(AUTHORISATION_WARM_UP_MS) + " made-up checks");
+          LOG.info("warmed up with " + ExtAuthzGate.warmUp(AUTHORISATION_WARM_UP_MS)
+              + " synthetic authorisation checks");
         }
       }
 
@@ -98,21 +99,22 @@
   }
 
   /**
-   * An instance that holds nothing yet but its connections to discovery and counter. Signals may be told to
-   * it from here on; one that comes now ends it as soon as it has its socket.
+   * Creates an instance that has no listening socket yet, only its connections to discovery and the counter.
+   * It accepts signals from now on; a signal that arrives before the socket is bound ends the instance as
+   * soon as it has its socket.
    *
-   * @param file where a reload reads the configuration again
-   * @param version of the program, as releases name it
+   * @param file the configuration file, which a reload reads again
+   * @param version the version of the program, as releases name it
    */
   public static Daemon create(DaemonConfig config, Path file, String version) throws InterruptedException {
     return new Daemon(config, file, version);
   }
 
   /**
-   * Has it listen, warm up and serve.
+   * Starts the instance: it listens, warms up and then serves.
    *
-   * @param mayTakeOver take the listening socket over from an instance that runs, if there is one
-   * @throws IOException in plain words, when it can't have its address
+   * @param mayTakeOver whether to take the listening socket over from a running instance, if there is one
+   * @throws IOException if the instance cannot listen on its address; the message is meant for the operator
    */
   public Daemon start(boolean mayTakeOver) throws IOException, InterruptedException {
     try {
@@ -127,11 +129,14 @@
     return this;
   }
 
-  /** Without members that have authorisers, no class of that is loaded; nor of queues where none is on. */
+  /**
+   * Opens the configured gates. The classes of external authorisation and of the fair queue are loaded only
+   * if the configuration enables them.
+   */
   private void openGates() throws IOException, InterruptedException {
     if (config.authorisation() != null) {
-      authorisationGate = ExtAuthzGate
-          .open(config.authorisation(), config.instance().name(), door.group(), door::now,
+      authorisationGate = ExtAuthzGate.open(config.authorisation(), config.instance().name(), door.group(),
+          door::now,
           new SecureRandom().nextLong());
       ExtAuthzGate opened = authorisationGate;
       door.loop().submit(() -> door.setFilter(opened)).sync();
@@ -145,7 +150,7 @@
     }
   }
 
-  /** Without agreement none of its classes is loaded. */
+  /** Starts the agreement if it is configured; its classes are loaded only then. */
   private void startAgreement() throws IOException, InterruptedException {
     if (config.agreement() != null) {
       if (!config.agreement().steward().isEmpty()) {
@@ -157,8 +162,9 @@
   }
 
   /**
-   * A lone steward may begin on an empty disk, as there is nobody to whom it could have promised anything.
-   * One of several has to be begun by {@code willowdoor steward --begin}.
+   * Reads the configuration of the embedded steward. A single steward may start on an empty disk, because
+   * there is no other steward to which it could have made a promise before. A steward of a larger group must
+   * be started for the first time by {@code willowdoor steward --begin}.
    */
   private static StewardProcess.Settings readStewardSettings(Path file) throws IOException {
     try {
@@ -169,7 +175,7 @@
     }
   }
 
-  /** Waits for the end, and tells the fleet of it; the exit code. */
+  /** Waits for the end of the instance, reports it to the fleet, and returns the exit code. */
   public int awaitEnd() {
     int code = ended().join();
     if (agreement != null) {
@@ -181,7 +187,7 @@
     return code;
   }
 
-  /** What waits and has waited for its turn; null where nothing does. */
+  /** Counts of the fair queue; null if the fair queue is off. */
   public FairCounts fairness() throws InterruptedException {
     if (fairGate == null) {
       return null;
@@ -196,9 +202,10 @@
         throw new IOException(
             "cannot take over: take_over.control_socket is not set, or this machine has no epoll");
       }
-      handoverClient = HandoverClient
-          .connect(door.group(), Path.of(config.takeOver().controlSocket()), formatAddress(address),
-          () -> instance.post(new FatalError("the running instance took its word back")),
+      handoverClient = HandoverClient.connect(door.group(), Path.of(config.takeOver().controlSocket()),
+          formatAddress(address),
+          () -> instance
+          .post(new FatalError("the running instance refused after it had handed over its socket")),
           this::inheritLearnedState);
     }
     if (handoverClient != null) {
@@ -220,24 +227,31 @@
   private void inheritLearnedState(LearnedState learned) {
     door.loop().execute(() -> {
       door.restoreLearned(learned, 0);
-      LOG.info("goes on from what the instance before it had learned: " + learned.backends().size()
-          + " backends, " + learned.serviceTimes().size() + " classes, " + learned.pendingAdds().size()
-          + " counts owed to");
+      LOG.info("adopted the learned state of the previous instance: " + learned.backends().size()
+          + " backends, " + learned.serviceTimes().size() + " request classes, "
+          + learned.pendingAdds().size()
+          + " counts still to be added to shared counts");
     });
   }
 
-  /** What this instance would tell its successor now; then it owes nothing to shared counts. */
+  /**
+   * The state that this instance would send to its successor now. The amounts still to be added to shared
+   * counts pass to the caller with it.
+   */
   LearnedState learned() {
     return door.loop().submit(door::learnedState).syncUninterruptibly().getNow();
   }
 
-  /** The control socket's file is this instance's from when it serves: a successor asks whoever serves. */
+  /**
+   * Opens the control socket. The file of the socket belongs to this instance only once it serves, because a
+   * successor asks the instance that serves.
+   */
   private void openControl() {
     if (controlSocket != null) {
       try {
         controlSocket.open();
       } catch (IOException e) {
-        LOG.warning("no successor can take over: " + e.getMessage());
+        LOG.warning("cannot open the control socket, so no successor can take over: " + e.getMessage());
       }
     }
     if (handoverClient != null) {
@@ -249,22 +263,22 @@
     return address.getAddress().getHostAddress() + ':' + address.getPort();
   }
 
-  /** Where it listens. */
+  /** The address on which the instance listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) door.address();
   }
 
-  /** A signal to end: the first drains, a second one shortens the bound. */
+  /** Handles a signal to end: the first starts the drain, the second shortens its deadline. */
   public void requestEnd() {
     instance.post(new EndSignal());
   }
 
-  /** Completed with the exit code when the instance has ended. */
+  /** A future that completes with the exit code when the instance has ended. */
   public CompletableFuture<Integer> ended() {
     return instance.ended();
   }
 
-  /** Ends the loop, with all that is left. */
+  /** Stops the event loop, and closes everything that is still open. */
   public void close() {
     if (authorisationGate != null) {
       authorisationGate.close();
@@ -276,10 +290,11 @@
   }
 
   /**
-   * Reads the file again and takes what may change while serving. A bad file changes nothing, and neither
-   * does one in which a key has changed that needs a restart, but for the keys that need none.
+   * Reads the configuration file again, and applies the keys that may change without a restart
+   * ({@link DaemonConfig#RELOADABLE}). Changes of other keys are reported and not applied. An invalid file
+   * changes nothing.
    *
-   * @return what was done, in words; also logged
+   * @return a message about the result, which is also logged
    */
   public String reload() {
     String result;
@@ -289,8 +304,8 @@
       Set<String> needsRestart = new TreeSet<>(changed);
       needsRestart.removeAll(DaemonConfig.RELOADABLE);
       door.loop().execute(() -> door.moveTo(fresh.discovery(), fresh.counter().address()));
-      result = "reloaded " + configFile
-          + (needsRestart.isEmpty() ? "" : "; these keys need a restart: " + needsRestart);
+      result = "reloaded " + configFile + (needsRestart.isEmpty() ? "" : "; these keys need a restart: "
+          + needsRestart);
     } catch (IOException | ConfigException e) {
       result = "nothing is reloaded: " + e.getMessage();
     }
--- a/daemon/src/main/java/willowdoor/daemon/life/EmbeddedSteward.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/EmbeddedSteward.java
@@ -5,9 +5,9 @@
 import willowdoor.steward.link.StewardProcess;
 
 /**
- * A steward inside a daemon, on threads of its own: for a fleet that has no machine to spare for one. A
- * daemon that takes over from another has the same steward; its disk and address are free when the other has
- * ended, so it is begun again and again until then.
+ * A steward that runs inside a daemon on its own threads, for a fleet without a separate machine for
+ * stewards. A daemon that takes over from another runs the same steward. The disk and the address of the
+ * steward are free only when the other daemon has ended, so the start is retried until then.
  */
 final class EmbeddedSteward implements AutoCloseable {
 
@@ -20,7 +20,7 @@
   private boolean closed;
   private String lastError = "";
 
-  /** Begins at once, and doesn't wait for it. */
+  /** Starts the steward in the background. */
   EmbeddedSteward(StewardProcess.Settings settings) {
     this.settings = settings;
     startThread.setDaemon(true);
@@ -43,13 +43,14 @@
     }
     try {
       process = new StewardProcess(settings);
-      LOG.info("steward " + settings.self().name() + " takes part, at " + process.address());
-      process.ended().thenAccept(code -> LOG.severe("the steward inside has ended; the door serves on"));
+      LOG.info("steward " + settings.self().name() + " (embedded) listens at " + process.address());
+      process.ended()
+          .thenAccept(code -> LOG.severe("the embedded steward has ended; the door continues to serve"));
       return true;
     } catch (IOException e) {
       if (!e.getMessage().equals(lastError)) {
         lastError = e.getMessage();
-        LOG.info("the steward inside can't begin yet: " + lastError);
+        LOG.info("the embedded steward cannot start yet: " + lastError);
       }
       return false;
     }
@@ -66,7 +67,7 @@
     try {
       process.close();
     } catch (IOException e) {
-      LOG.warning("the steward inside: " + e.getMessage());
+      LOG.warning("cannot close the embedded steward: " + e.getMessage());
     }
   }
 }
--- a/daemon/src/main/java/willowdoor/daemon/life/HandoverClient.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/HandoverClient.java
@@ -22,9 +22,9 @@
 import willowdoor.policy.LearnedState;
 
 /**
- * The successor's side of a handover: asks the running instance for its listening socket, and says when this
- * one takes connections. If the holder dies meanwhile, this process has the socket and goes on; if the holder
- * says no, it must not.
+ * The successor's side of a handover: asks the running instance (the holder) for its listening socket, and
+ * reports when this process accepts connections. If the holder dies after it has passed the socket on, this
+ * process owns the socket and continues its start; if the holder refuses, this process must not continue.
  */
 final class HandoverClient {
 
@@ -46,10 +46,11 @@
   }
 
   /**
-   * Asks at the path; null when nobody answers there, so that there is nothing to take over.
+   * Connects to the control socket and requests the handover. Returns null if there is no file at the path or
+   * no process listens there, so that there is nothing to take over.
    *
-   * @param onLateRefusal called when the holder says no after it has handed the socket over
-   * @param onLearned called with what the holder has learned, where it tells and its word is whole
+   * @param onLateRefusal called if the holder refuses after it has handed the socket over
+   * @param onLearned called with the learned state of the holder, once it has been received completely
    */
   static HandoverClient connect(EventLoopGroup group, Path path, String listenAddress, Runnable onLateRefusal,
       Consumer<LearnedState> onLearned) throws IOException, InterruptedException {
@@ -69,15 +70,14 @@
       return null;
     }
     client.channel = connected.channel();
-    client.channel
-        .writeAndFlush(HandoverProtocol.TAKE_OVER + " " + HandoverProtocol.VERSION + " "
+    client.channel.writeAndFlush(HandoverProtocol.TAKE_OVER + " " + HandoverProtocol.VERSION + " "
         + ProcessHandle.current()
         .pid()
         + " " + listenAddress + "\n");
     return client;
   }
 
-  /** The listening socket's descriptor in this process. */
+  /** The descriptor of the listening socket in this process; waits for it up to the answer timeout. */
   int descriptor() throws IOException, InterruptedException {
     try {
       return descriptor.get(ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -85,19 +85,19 @@
       throw new IOException(e.getCause().getMessage(), e);
     } catch (TimeoutException e) {
       channel.close();
-      throw new IOException("the running instance did not hand over its socket in " + ANSWER_TIMEOUT_MS
+      throw new IOException("the running instance did not hand over its socket within " + ANSWER_TIMEOUT_MS
           + " ms",
           e);
     }
   }
 
-  /** Says that this instance takes connections. */
+  /** Tells the holder that this instance accepts connections from now on. */
   void announceReady() {
-    channel.writeAndFlush(
-        (holderSendsLearnedState ? HandoverProtocol.READY_FOR_LEARNED_STATE : HandoverProtocol.READY) + "\n");
+    channel.writeAndFlush((holderSendsLearnedState ? HandoverProtocol.READY_FOR_LEARNED_STATE
+        : HandoverProtocol.READY) + "\n");
   }
 
-  /** What the running instance says. */
+  /** Handles the messages of the running instance. */
   private final class HolderHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -118,7 +118,8 @@
         confirmed.complete(null);
       } else if (line.startsWith(LearnedStateLines.LINE_PREFIX + " ")) {
         handleLearnedLine(line);
-      } else if (!descriptor.completeExceptionally(new IOException("the running instance says: " + line))) {
+      } else if (!descriptor.completeExceptionally(
+          new IOException("the running instance refused the handover: " + line))) {
         onLateRefusal.run();
       }
     }
@@ -131,11 +132,14 @@
         }
       } catch (IOException e) {
         acceptsLearnedState = false;
-        LOG.warning("what the running instance has learned is left aside: " + e.getMessage());
+        LOG.warning("the learned state of the running instance is ignored: " + e.getMessage());
       }
     }
 
-    /** The end before the socket has come is a failure; after that the holder is dead and the socket ours. */
+    /**
+     * A connection that ends before the descriptor has been received is a failure. After that it means that
+     * the holder has ended, and this process owns the socket.
+     */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       descriptor.completeExceptionally(new IOException("the running instance ended before it handed over"));
--- a/daemon/src/main/java/willowdoor/daemon/life/HandoverProtocol.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/HandoverProtocol.java
@@ -10,23 +10,24 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What both sides of a handover speak, over a unix socket. Lines end in LF; the listening socket itself goes
- * along as a descriptor (SCM_RIGHTS), once both sides have said that it comes next:
+ * The line protocol of a handover, over a unix socket. Lines end in LF. The listening socket is passed as a
+ * descriptor (SCM_RIGHTS), after both sides have announced that the descriptor comes next:
  *
  * <pre>
  *   successor -> holder   takeover 1 PID ADDRESS
- *   holder -> successor   handing PID learned      or  refused REASON, and the end
+ *   holder -> successor   handing PID learned      or  refused REASON, then close
  *   successor -> holder   send
  *   holder -> successor   (the descriptor)
- *   successor -> holder   ready learned            it takes connections from here on
+ *   successor -> holder   ready learned            it accepts connections from now on
  *   holder -> successor   yours                    the holder drains
- *   holder -> successor   learned ...              what it has learned, in lines ({@link LearnedStateLines})
+ *   holder -> successor   learned ...              its learned state, in lines ({@link LearnedStateLines})
  * </pre>
  *
- * <p>The word {@code learned} is said by who knows of such lines, and they come only where both have said it;
- * an older process on either side says {@code handing PID} or {@code ready} and hears no more than it knows.
+ * <p>Each side adds the word {@code learned} if it supports the lines of learned state, which are sent
+ * only if both sides have added it. An older process sends {@code handing PID} or {@code ready}, and
+ * receives only lines that it understands.
  *
- * <p>The connection stays open while the holder drains: its end tells each side of the other's death.
+ * <p>The connection stays open while the holder drains, so that each side notices if the other one dies.
  */
 final class HandoverProtocol {
 
@@ -43,14 +44,14 @@
   private HandoverProtocol() {
   }
 
-  /** Sets a connection up for lines. */
+  /** Adds the codecs for lines to the pipeline of a connection. */
   static void addLineCodec(ChannelPipeline pipeline) {
     pipeline.addLast("frames", new LineBasedFrameDecoder(MAX_LINE_BYTES));
     pipeline.addLast("reader", new StringDecoder(StandardCharsets.UTF_8));
     pipeline.addLast("writer", new StringEncoder(StandardCharsets.UTF_8));
   }
 
-  /** The next thing to come is a descriptor, or a line again. */
+  /** Switches the connection to receive a descriptor next, or lines again. */
   static void setDescriptorMode(ChannelHandlerContext ctx, boolean on) {
     ((EpollDomainSocketChannel) ctx.channel()).config()
         .setReadMode(on ? DomainSocketReadMode.FILE_DESCRIPTORS : DomainSocketReadMode.BYTES);
--- a/daemon/src/main/java/willowdoor/daemon/life/Instance.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Instance.java
@@ -25,28 +25,28 @@
 import willowdoor.net.FrontDoor;
 
 /**
- * Drives one door by its {@link InstanceLifecycle}: takes events to it and does what it says, all on the
- * door's
- * loop. It chooses nothing.
+ * Connects a front door to its {@link InstanceLifecycle}: passes events to the life cycle and executes the
+ * actions
+ * that it returns, all on the door's event loop. All decisions are made by {@link InstanceLifecycle}.
  */
 final class Instance {
 
   private static final Logger LOG = Logger.getLogger(Instance.class.getName());
-  /** How often it looks whether all that was taken is answered, once connections are no longer taken. */
+  /** Interval of the check for unanswered requests, once the door no longer accepts connections. */
   private static final long IDLE_CHECK_INTERVAL_MS = 10;
 
-  /** What an instance has done beside its door. */
+  /** Callbacks of an instance, for the work that is not the door's. */
   interface Listener {
-    /** Warms the process up; on a thread of its own. */
+    /** Warms the process up; called on a separate thread. */
     void warmUp();
 
-    /** The instance serves. */
+    /** The instance has started to serve. */
     void onServing();
 
-    /** It has come to another phase; on the door's loop. */
+    /** The phase of the instance has changed; called on the door's event loop. */
     void onPhaseChanged(Phase phase);
 
-    /** The instance serves again after it had been left for a successor. */
+    /** The instance serves again, after it had left its connections to a successor that was lost. */
     void onResumed();
   }
 
@@ -64,17 +64,17 @@
     this.listener = listener;
   }
 
-  /** Completed with the exit code. */
+  /** A future that completes with the exit code. */
   CompletableFuture<Integer> ended() {
     return ended;
   }
 
-  /** Tells an event, from any thread. */
+  /** Queues an event for the life cycle; may be called from any thread. */
   void post(LifecycleEvent event) {
     loop.execute(() -> handle(event));
   }
 
-  /** Where it is in its life; on the loop only. */
+  /** The current phase; to be called on the event loop only. */
   Phase phase() {
     return lifecycle.phase();
   }
@@ -133,7 +133,7 @@
     }, (long) Math.ceil(Math.max(0, atMs - door.now()) * 1000) + 1, TimeUnit.MICROSECONDS);
   }
 
-  /** Looks until all that was taken is answered, and no earlier than it can be. */
+  /** Repeats the check until every accepted request is answered or the instance has stopped. */
   private void checkAllAnswered() {
     if (door.hasNoConnections()) {
       handle(new AllAnswered());
--- a/daemon/src/main/java/willowdoor/daemon/life/LearnedStateLines.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/LearnedStateLines.java
@@ -12,9 +12,12 @@
 import willowdoor.policy.LearnedState.ClassServiceTime;
 
 /**
- * What a successor is told of what was learned, as lines of a handover: a word, a kind, and figures; the last
- * line says how many there were. Nothing of it counts unless it is whole: a holder may die in the middle.
- * Bounds: those of {@link LearnedState}, and a line is no longer than a handover's.
+ * Encodes and decodes the learned state of a process as lines of a handover: a prefix, a kind, and figures.
+ * The last line contains the number of lines before it. The state is used only if it was received
+ * completely, because the holder may die while it sends. Bounds: those of {@link LearnedState}, and the
+ * length of
+ * names is limited to {@value #MAX_NAME_LENGTH} characters so that a line fits into the limit of the
+ * handover protocol.
  */
 final class LearnedStateLines {
 
@@ -30,21 +33,21 @@
   private final List<PendingAdd> owed = new ArrayList<>();
   private int lineCount;
 
-  /** As lines without their ends. */
+  /** Encodes the state as lines, without line terminators. */
   static List<String> encode(LearnedState learned) {
     List<String> lines = new ArrayList<>();
     lines.add(formatLine("all", learned.serviceMs(), learned.slowness(), learned.knee()));
     learned.serviceTimes().stream().limit(LearnedState.MAX_CLASSES)
         .filter(x -> encodeName(x.className()).length() <= MAX_NAME_LENGTH)
-        .forEach(x ->
-        lines.add(formatLine("class", encodeName(x.className()), x.answers(), x.meanUnits(), x.meanMs(),
+        .forEach(x -> lines.add(formatLine("class", encodeName(x.className()), x.answers(), x.meanUnits(),
+        x.meanMs(),
             x.meanSquaredUnits(), x.meanUnitsTimesMs())));
-    learned.backends()
-        .forEach(x -> lines.add(formatLine("backend", Long.toHexString(x.id()), x.slowness(), x.failureRate(),
+    learned.backends().forEach(x -> lines.add(formatLine("backend", Long.toHexString(x.id()), x.slowness(),
+        x.failureRate(),
         x.lastAnswerAgoMs(), x.backoffMs(), x.backoffCount(), x.needsTrial(), x.coldTokens())));
     learned.pendingAdds().stream().filter(x -> encodeName(x.plan()).length() <= MAX_NAME_LENGTH)
-        .forEach(x ->
-        lines.add(formatLine("owed", x.customer(), encodeName(x.plan()), x.entryPoints(), x.window(),
+        .forEach(x -> lines.add(formatLine("owed", x.customer(), encodeName(x.plan()), x.entryPoints(),
+        x.window(),
             x.units())));
     lines.add(formatLine("end", lines.size()));
     return lines;
@@ -63,20 +66,20 @@
   }
 
   /**
-   * Takes the next line.
+   * Reads the next line.
    *
-   * @return all of it once it is whole; null before
-   * @throws IOException naming a line that can't be, or that there are too many
+   * @return the state after its last line; null before
+   * @throws IOException if the line is malformed, if lines are missing, or if there are too many lines
    */
   LearnedState read(String line) throws IOException {
     String[] words = line.split(" ");
     if (++lineCount > MAX_LINES) {
-      throw new IOException("more than " + MAX_LINES + " lines of what was learned");
+      throw new IOException("more than " + MAX_LINES + " lines of learned state");
     }
     try {
       switch (words[1]) {
-        case "all" ->
-            overall = new double[] {parseFigure(words[2]), parseFigure(words[3]), parseFigure(words[4])};
+        case "all" -> overall = new double[] {parseFigure(words[2]), parseFigure(words[3]),
+            parseFigure(words[4])};
         case "class" -> taken.add(new ClassServiceTime(URLDecoder.decode(words[2], StandardCharsets.UTF_8),
             parseFigure(words[3]), parseFigure(words[4]), parseFigure(words[5]), parseFigure(words[6]),
             parseFigure(words[7])));
@@ -90,23 +93,22 @@
             Long.parseLong(words[5]), Double.parseDouble(words[6])));
         case "end" -> {
           if (overall == null || Integer.parseInt(words[2]) != lineCount - 1) {
-            throw new IOException("what was learned is not whole: " + (lineCount - 1) + " of " + words[2]
-                + " lines came");
+            throw new IOException("the learned state is not whole: " + (lineCount - 1) + " of " + words[2]
+                + " lines were received");
           }
           return new LearnedState(overall[0], overall[1], overall[2], taken, backends, owed);
         }
         default -> {
-          // A newer process may tell more.
+          // A newer process may send further kinds of lines.
         }
       }
     } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-      throw new IOException("line " + lineCount + " of what was learned is not understood: '" + line + "'",
-          e);
+      throw new IOException("line " + lineCount + " of the learned state is malformed: '" + line + "'", e);
     }
     return null;
   }
 
-  /** None of these figures is below 0 or without bound. */
+  /** Parses a figure from 0 to {@link #MAX_FIGURE}. */
   private static double parseFigure(String word) {
     double value = Double.parseDouble(word);
     if (!(value >= 0 && value <= MAX_FIGURE)) {
--- a/daemon/src/main/java/willowdoor/daemon/life/ListenerLookup.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/ListenerLookup.java
@@ -10,15 +10,18 @@
 import java.util.Locale;
 
 /**
- * Tells who listens on an address, for the message to a second process that wants it: the kernel's table of
- * TCP sockets names the socket's inode, and the descriptors of processes name whose it is. Only processes of
- * the same user can be looked into; of another one the user's number is told. Without procfs it tells
- * nothing.
+ * Finds the process that listens on an address, for the error message of a second process that cannot bind
+ * it. The kernel's tables of TCP sockets give the inode of the socket, and the descriptors of each process
+ * show which one owns it. Only processes of the same user can be inspected; for others the number of the
+ * user is given. Without procfs the owner is reported as unknown.
  */
 final class ListenerLookup {
 
   private static final String LISTEN_STATE = "0A";
-  /** A socket of the sixth family that is bound to an address of the fourth. */
+  /**
+   * Prefix of an IPv4 address to which an IPv6 socket is bound (IPv4-mapped address), in the kernel's
+   * notation.
+   */
   private static final String IPV4_MAPPED_PREFIX = "0000000000000000FFFF0000";
   private static final int LOCAL_ADDRESS_COLUMN = 1;
   private static final int STATE_COLUMN = 3;
@@ -29,7 +32,7 @@
   private ListenerLookup() {
   }
 
-  /** In words, such as "process 4711 (java -jar ...)". */
+  /** Describes the owner, such as "process 4711 (java -jar ...)". */
   static String describe(InetSocketAddress address) {
     try {
       for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
@@ -43,7 +46,7 @@
         }
       }
     } catch (IOException e) {
-      // Falls through: no procfs, or it changed under the reading.
+      // Falls through: there is no procfs, or a file in it disappeared while it was read.
     }
     return "an unknown process";
   }
@@ -57,7 +60,7 @@
         || ip.equals(IPV4_MAPPED_PREFIX + kernelHex(wanted.getAddress())));
   }
 
-  /** As the kernel prints it: words of four bytes, each in the machine's (little-endian) order. */
+  /** The address as the kernel prints it: words of four bytes, each in little-endian order. */
   private static String kernelHex(InetAddress address) {
     byte[] b = address.getAddress();
     StringBuilder text = new StringBuilder();
@@ -90,7 +93,7 @@
         }
       }
     } catch (IOException | java.nio.file.DirectoryIteratorException e) {
-      // Another user's process, or one that has just ended.
+      // The process belongs to another user or has just ended.
     }
     return false;
   }
--- a/daemon/src/main/java/willowdoor/daemon/life/Management.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/Management.java
@@ -26,13 +26,14 @@
 import willowdoor.steward.link.FleetStatus;
 
 /**
- * What operators call at a daemon that agrees with its fleet: each order asks for a permit or gives one back,
- * and is answered within the second. Yes is said of a backend only once nobody sends there; who is told 503
- * asks again by the same call, and it is the same request.
+ * The operators' management address of a daemon that takes part in the agreement of its fleet. Each order
+ * asks for a permit or returns one, and is answered within a second. An order to take out a backend succeeds
+ * only once no door sends requests to that backend. After status 503 the operator repeats the call, which
+ * continues the same request.
  *
- * <p>Guards against two processes of one door, of which one can have the address: the second tries until it
- * is free. Bound: {@value #MAX_REQUESTS} requests are remembered; the oldest goes first, and would be a new
- * one.
+ * <p>Two processes of one door cannot listen on the same address, so the second retries until it is free.
+ * Bound: at most {@value #MAX_REQUESTS} requests are remembered. The oldest is dropped first, and a repeated
+ * call for it would be a new request.
  */
 final class Management implements Operations, AutoCloseable {
 
@@ -52,7 +53,7 @@
   private final Map<Subject, String> requestIds = new LinkedHashMap<>();
   private volatile boolean closed;
 
-  /** Listens as soon as the address is free. */
+  /** Listens on the address as soon as it is free, on a separate thread. */
   Management(FrontDoor frontDoor, InetSocketAddress address, String door, DoorLink link,
       BooleanSupplier ready) {
     loop = frontDoor.loop();
@@ -74,7 +75,7 @@
         } catch (IOException e) {
           if (!e.getMessage().equals(lastError)) {
             lastError = e.getMessage();
-            LOG.info(lastError + "; tried again until it is free");
+            LOG.info(lastError + "; retrying until the address is free");
           }
           Thread.sleep(BIND_RETRY_MS);
         }
@@ -121,7 +122,7 @@
     return "an operator at " + door;
   }
 
-  /** On the door's loop. */
+  /** Asks for a permit. To be called on the door's event loop. */
   private void ask(Subject subject, double untilMs, boolean mayRetry, Consumer<Reply> onReply) {
     String request = requestIds.computeIfAbsent(subject, x -> door + "-" + UUID.randomUUID());
     if (requestIds.size() > MAX_REQUESTS) {
@@ -134,12 +135,12 @@
       } else if (outcome instanceof Outcome.Waiting e) {
         onReply.accept(new Reply(UNAVAILABLE_STATUS, "waits as number " + e.place() + ": " + e.why()));
       } else if (outcome instanceof Outcome.Refused e && e.why().endsWith(" is over") && mayRetry) {
-        // What was asked for by an earlier call has come back since.
+        // The permit of an earlier call has been returned since; this call is a new request.
         requestIds.remove(subject);
         ask(subject, untilMs, false, onReply);
       } else {
-        onReply.accept(
-            new Reply(CONFLICT_STATUS, outcome instanceof Outcome.Refused e ? e.why() : outcome.toString()));
+        onReply.accept(new Reply(CONFLICT_STATUS, outcome instanceof Outcome.Refused e ? e.why()
+            : outcome.toString()));
       }
     }));
   }
@@ -170,7 +171,7 @@
       }
     }
     return new Reply(UNAVAILABLE_STATUS, "goes out by permit " + permit
-        + "; the stewards don't say how far it has come");
+        + "; the stewards did not report its progress");
   }
 
   private void giveBack(Subject subject, Consumer<Reply> onReply) {
@@ -185,7 +186,7 @@
       } else {
         link.returnPermit(subject, permit.id(), operatorName())
             .thenAccept(outcome -> onReply.accept(outcome == null
-            ? new Reply(UNAVAILABLE_STATUS, "no steward says what came of it; it may be agreed on yet")
+            ? new Reply(UNAVAILABLE_STATUS, "no steward reported the outcome; it may still be agreed")
             : outcome instanceof Outcome.Refused e ? new Reply(CONFLICT_STATUS, e.why())
             : Reply.ok("comes back")));
       }
--- a/daemon/src/main/java/willowdoor/daemon/life/ProcessLocks.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/ProcessLocks.java
@@ -14,12 +14,13 @@
 import java.util.List;
 
 /**
- * Which processes of a door have ended: each holds a lock on a file of its own until its end, however that
- * comes. Guards against a successor that dies while it waits for the door's lock: nobody holds that lock
- * after it, so nobody's holding shows that it is gone, and it would hold up what it might still send to.
+ * Detects which processes of a door have ended. Each process holds a lock on a file of its own until it
+ * ends, whatever the cause. This also covers a successor that dies while it waits for the door's lock: it
+ * never held that lock, so the lock does not show its death, and backends to which the dead process might
+ * still send would never be released.
  *
- * <p>A file comes to its name locked, so that none is found unlocked while its process lives. Bound: so many
- * files are looked at a time, {@value #MAX_FILES}.
+ * <p>A file is locked before it is renamed to its final name, so that no file of a living process is ever
+ * found unlocked. Bound: a check looks at no more than {@value #MAX_FILES} files.
  */
 final class ProcessLocks implements Closeable {
 
@@ -30,7 +31,7 @@
   private final Path ownFile;
   private final FileChannel channel;
 
-  /** Locks this process's file, beside the door's lock file. */
+  /** Creates and locks the file of this process, in the folder of the door's lock file. */
   ProcessLocks(Path lockFile, String incarnation) throws IOException {
     folder = lockFile.toAbsolutePath().getParent();
     prefix = lockFile.getFileName() + ".process.";
@@ -47,7 +48,7 @@
     Files.move(temporary, ownFile, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** The incarnations of processes that have ended and were not {@link #forget forgotten}. */
+  /** The incarnations of processes that have ended and are not yet {@link #forget forgotten}. */
   List<String> ended() throws IOException {
     List<String> ended = new ArrayList<>();
     int checked = 0;
@@ -66,17 +67,20 @@
       FileLock lock = fileChannel.tryLock();
       return lock != null;
     } catch (OverlappingFileLockException e) {
-      // Held in this very process.
+      // The lock is held by this process itself.
       return false;
     }
   }
 
-  /** It has been told of. */
+  /** Removes the file of an ended process, once its end has been reported. */
   void forget(String incarnation) throws IOException {
     Files.deleteIfExists(folder.resolve(prefix + incarnation));
   }
 
-  /** As an end of the process would; whoever holds the door's lock after it takes the file away. */
+  /**
+   * Releases the lock, as the end of the process would do. The process that next holds the door's lock
+   * removes the file.
+   */
   @Override
   public void close() throws IOException {
     channel.close();
--- a/daemon/src/main/java/willowdoor/daemon/life/RequestTally.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/RequestTally.java
@@ -9,7 +9,10 @@
 import willowdoor.policy.GatewayApi.RequestClass;
 import willowdoor.rollout.Tally;
 
-/** Counts how requests end, for the comparison of a release's doors with others. On the door's loop. */
+/**
+ * Counts the outcomes of requests, for the comparison of the released doors with the others. Used on the
+ * door's event loop only.
+ */
 final class RequestTally implements RequestEndListener {
 
   private final Map<String, Double> latencyTargetsMs = new HashMap<>();
--- a/daemon/src/main/java/willowdoor/daemon/life/SuccessorLauncher.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/SuccessorLauncher.java
@@ -10,16 +10,16 @@
 import willowdoor.life.InstanceLifecycle.Phase;
 
 /**
- * Starts the processes that a release has take this one's place, by the configured command, and tells what
- * came to nothing. It chooses nothing: whether to begin was decided by the record, and whether the successor
- * may serve it asks the record itself.
+ * Starts the successor processes of a release by the configured command, and reports failed attempts. The
+ * decisions are made elsewhere: the stewards' record decides whether an attempt starts, and the successor
+ * asks the record itself whether it may serve.
  *
- * <p>Guards against a successor that hangs before it asks for the socket: after the limit it is killed. One
- * at a time.
+ * <p>A successor that hangs before it takes over is killed after the time limit. The control socket serves
+ * one successor at a time.
  */
 final class SuccessorLauncher {
 
-  /** Names the attempt to the process that is started for it. */
+  /** Environment variable that passes the number of the attempt to the successor. */
   static final String ATTEMPT_VARIABLE = "WILLOWDOOR_ATTEMPT";
 
   private static final Logger LOG = Logger.getLogger(SuccessorLauncher.class.getName());
@@ -33,10 +33,12 @@
   private final LongConsumer onAttemptFailed;
 
   /**
-   * For an instance.
+   * Creates the launcher of an instance.
    *
-   * @param command words in which {version} stands for the version; none where nothing may be started
-   * @param onAttemptFailed told the attempt whose process has ended while this instance serves on
+   * @param command the words of the command, in which {version} is replaced by the version; empty if no
+   *     successor may be started
+   * @param onAttemptFailed called with the number of an attempt whose process could not be started, or has
+   *     ended while this instance still serves
    */
   SuccessorLauncher(EventLoop loop, Instance instance, List<String> command, long readyLimitMs,
       LongConsumer onAttemptFailed) {
@@ -47,7 +49,7 @@
     this.onAttemptFailed = onAttemptFailed;
   }
 
-  /** Starts one; on no loop of its own, as starting a process takes a while. */
+  /** Starts a successor on a separate thread, because starting a process would block the event loop. */
   void start(long attempt, String version) {
     Thread launcher = new Thread(() -> launch(attempt, version), "successor");
     launcher.setDaemon(true);
@@ -56,8 +58,8 @@
 
   private void launch(long attempt, String version) {
     if (command.isEmpty()) {
-      LOG.warning("attempt " + attempt + " wants version " + version
-          + ", and agreement.successor is not set");
+      LOG.warning("attempt " + attempt + " requires version " + version
+          + ", but agreement.successor is not set");
       onAttemptFailed.accept(attempt);
       return;
     }
@@ -67,7 +69,7 @@
           .redirectOutput(ProcessBuilder.Redirect.INHERIT).redirectError(ProcessBuilder.Redirect.INHERIT);
       builder.environment().put(ATTEMPT_VARIABLE, Long.toString(attempt));
       Process process = builder.start();
-      LOG.info("attempt " + attempt + ": process " + process.pid() + " is to take over with version "
+      LOG.info("attempt " + attempt + ": process " + process.pid() + " was started to take over with version "
           + version);
       process.onExit().thenRun(() -> loop.execute(() -> processEnded(attempt, process)));
       loop.schedule(() -> killIfNotReady(process), readyLimitMs, TimeUnit.MILLISECONDS);
@@ -81,11 +83,14 @@
     return instance.phase() == Phase.READY || instance.phase() == Phase.OUT;
   }
 
-  /** Told only while this one serves: it may be about to, if its successor died just after it took over. */
+  /**
+   * Reports the attempt as failed only while this instance serves. If the successor died just after it took
+   * over, this instance is still draining and may serve again soon, so the check is repeated.
+   */
   private void processEnded(long attempt, Process process) {
     if (isServing()) {
       LOG.warning("attempt " + attempt + ": process " + process.pid() + " ended with " + process.exitValue()
-          + "; this one serves on");
+          + "; this instance continues to serve");
       onAttemptFailed.accept(attempt);
     } else if (instance.phase() == Phase.DRAINING) {
       loop.schedule(() -> processEnded(attempt, process), PHASE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -95,7 +100,7 @@
   private void killIfNotReady(Process process) {
     if (isServing() && process.isAlive()) {
       LOG.warning("process " + process.pid() + " has not taken over within " + readyLimitMs
-          + " ms, and is killed");
+          + " ms and is killed");
       process.destroyForcibly();
     }
   }
--- a/daemon/src/test/java/willowdoor/daemon/ArchitectureTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/ArchitectureTest.java
@@ -12,7 +12,7 @@
 import java.util.jar.JarFile;
 import org.junit.jupiter.api.Test;
 
-/** The arrows between packages: docs/design.md draws them. */
+/** Checks the allowed dependencies between packages, which docs/design.md shows. */
 class ArchitectureTest {
 
   private static final JavaClasses ALL = new ClassFileImporter()
@@ -100,11 +100,11 @@
     slices().matching("willowdoor.(**)").should().beFreeOfCycles().check(ALL);
   }
 
-  /** The platform's jar stays lean. */
+  /** The platform's jar must not contain the daemon's classes or libraries. */
   @Test
   void thePlatformJarContainsNoDaemonClasses() throws Exception {
     Path jar = Path.of("..", "door", "target", "willowdoor.jar");
-    assumeTrue(jar.toFile().exists(), "made by the package phase");
+    assumeTrue(jar.toFile().exists(), "the jar is built by the package phase");
     try (JarFile lean = new JarFile(jar.toFile())) {
       assertTrue(lean.stream().noneMatch(e -> e.getName().startsWith("picocli") || e.getName()
           .startsWith("org/tomlj")
--- a/daemon/src/test/java/willowdoor/daemon/agreement/PermitsCommandTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/agreement/PermitsCommandTest.java
@@ -23,7 +23,7 @@
 import willowdoor.steward.StewardId;
 import willowdoor.steward.link.StewardProcess;
 
-/** What operators type, and what it says and exits with. */
+/** Output and exit codes of the command {@code permits}. */
 @Timeout(60)
 class PermitsCommandTest {
 
--- a/daemon/src/test/java/willowdoor/daemon/agreement/ReleaseCommandTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/agreement/ReleaseCommandTest.java
@@ -27,7 +27,7 @@
 import willowdoor.steward.link.DoorLink;
 import willowdoor.steward.link.StewardProcess;
 
-/** What operators type of releases, and what it says and exits with. */
+/** Output and exit codes of the command {@code release}. */
 @Timeout(60)
 class ReleaseCommandTest {
 
--- a/daemon/src/test/java/willowdoor/daemon/config/DaemonConfigTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/config/DaemonConfigTest.java
@@ -142,7 +142,9 @@
     assertEquals(Set.of("discovery.address", "limits.memory_mb"), a.changedKeys(b));
   }
 
-  /** Every key that the daemon knows stands in the file that documents them, and that file is good. */
+  /**
+   * The shipped file, which documents the settings, is valid and contains every key that the daemon knows.
+   */
   @Test
   void theShippedFileIsValidAndNamesEveryKey() throws Exception {
     DaemonConfig shipped = DaemonConfig.read(SHIPPED);
@@ -169,7 +171,7 @@
         .contains("at most"));
   }
 
-  /** Whatever a file holds, it is read or refused with problems: no other end. */
+  /** Any text is either read or refused with problems; no other exception occurs. */
   @Test
   void aCorruptedFileIsReadOrRefused() {
     long seed = 42;
--- a/daemon/src/test/java/willowdoor/daemon/life/AuthorisedFixture.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/AuthorisedFixture.java
@@ -13,7 +13,7 @@
 import willowdoor.testkit.StandIns;
 import willowdoor.testkit.StandInAuthoriser;
 
-/** A {@link DaemonFixture} whose buys need the allow of stand-in authorisers. */
+/** A {@link DaemonFixture} in which buys must be allowed by stand-in authorisers. */
 final class AuthorisedFixture implements AutoCloseable {
 
   final DaemonFixture daemons;
@@ -44,7 +44,12 @@
     names.add('"' + made.name() + '"');
   }
 
-  /** A daemon that has every authoriser made so far asked by one member, with further keys of its table. */
+  /**
+   * Starts a daemon with one member that asks every authoriser made so far.
+   *
+   * @param member further keys of the member's table, or whole tables if it contains {@code [[member]]}
+   * @param end the keys of the table [end]; empty for a short accept window
+   */
   Daemon startDaemon(String member, String end) throws Exception {
     Daemon daemon = daemons.createDaemon(new InetSocketAddress("127.0.0.1", 0), "[end]\n" + (end.isEmpty()
         ? "accept_ms = 150\n" : end) + "[authorisation]\nlog = \"" + log + "\"\neject_spread = 0\n"
@@ -68,7 +73,7 @@
     return daemons.history(id).stream().filter(e -> e.kind() == kind).count();
   }
 
-  /** The log's line of a request, once it is written. */
+  /** Waits for the log line of a request and returns it. */
   String awaitLogLine(String id) throws Exception {
     DaemonFixture.await("log of " + id, () -> findLogLine(id) != null);
     return findLogLine(id);
--- a/daemon/src/test/java/willowdoor/daemon/life/AuthoriserTlsTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/AuthoriserTlsTest.java
@@ -26,7 +26,7 @@
 import willowdoor.testkit.StandIns;
 import willowdoor.testkit.StandInAuthoriser;
 
-/** Mutual TLS to authorisers, and its files changing while requests go on. */
+/** Mutual TLS to authorisers, and changes of its files while requests continue. */
 @Timeout(60)
 class AuthoriserTlsTest {
 
@@ -56,7 +56,9 @@
     return new CertificateBuilder().subject("CN=" + name).addSanDnsName(name).buildIssuedBy(issuer);
   }
 
-  /** A policy server that is who it says and asks the same of the door. */
+  /**
+   * Starts an authoriser with a certificate for its name, which requires a client certificate of the door.
+   */
   private StandInAuthoriser startAuthoriser(X509Bundle issuer, X509Bundle clientAuthority) throws Exception {
     X509Bundle certificate = issueCertificate(issuer, "policy.acme");
     SslContext tls = SslContextBuilder.forServer(certificate.toKeyManagerFactory())
@@ -115,17 +117,17 @@
     Daemon daemon = fixture.startDaemon("limit_ms = 1000\n", "");
     assertEquals(200, statusOfBuy(daemon, "r1"));
     int before = one.connections();
-    // Files that can't be used change nothing.
+    // Unusable files change nothing.
     replaceFile("key.pem", "no key");
     for (int i = 0; i < 5; i++) {
       assertEquals(200, statusOfBuy(daemon, "s" + i));
     }
     assertEquals(before, one.connections());
-    // Good ones are taken over a new connection.
+    // Valid files are used for a new connection.
     writeDoorCertificate(trusted, "door-renewed");
     DaemonFixture.await("a new connection", () -> one.connections() > before);
     awaitStatus(daemon, 200);
-    // A door that the server does not know is turned away, and nothing is sent on.
+    // The server rejects a door whose certificate it does not trust, and no request is forwarded.
     writeDoorCertificate(untrusted, "door");
     awaitStatus(daemon, 503);
     writeDoorCertificate(trusted, "door");
@@ -148,7 +150,7 @@
     assertTrue(fixture.daemons.verdict().kept(), () -> fixture.daemons.verdict().toString());
   }
 
-  /** A second daemon of the same world that names its authoriser otherwise. */
+  /** A second daemon in the same fixture that expects another server name of the authoriser. */
   private record SecondDaemon(AuthorisedFixture at, StandInAuthoriser one, String keys) {
     Daemon started() throws Exception {
       return at.startDaemon("[[authoriser]]\nname = \"again\"\naddress = \"" + StandIns.text(one.address())
--- a/daemon/src/test/java/willowdoor/daemon/life/CounterLossTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/CounterLossTest.java
@@ -12,7 +12,7 @@
 import willowdoor.testkit.RequestKind;
 import willowdoor.testkit.StandInCounter;
 
-/** A daemon whose counter is lost, over real sockets. */
+/** Loss of, and faults in, the shared counter of a daemon, over real sockets. */
 @Timeout(60)
 class CounterLossTest {
 
@@ -26,7 +26,7 @@
   private int number;
   private int served;
 
-  /** One of forty doors, so that a window is counted by its total alone. */
+  /** Starts one of forty configured doors, so that the window is counted only by its total. */
   @BeforeEach
   void open() throws Exception {
     fixture = new DaemonFixture(2, 5);
@@ -49,7 +49,10 @@
     return caller.receiveStatus(id);
   }
 
-  /** Asks some, has the counter replaced, and tells whether all came to stand at the new one unasked. */
+  /**
+   * Sends some requests and replaces the counter. Returns whether all of their adds were restored at the new
+   * counter without further requests.
+   */
   private boolean isRestoredAt(Runnable replace) throws Exception {
     for (int i = 0; i < REQUESTS; i++) {
       assertEquals(200, ask());
@@ -67,7 +70,10 @@
     return false;
   }
 
-  /** A window is 2 s long: a trial that its edge meets has nothing to put back, so there are some. */
+  /**
+   * Repeats the trial until one succeeds. A window lasts 2 s, and a trial that crosses the edge of a window
+   * has nothing to restore.
+   */
   private void assertRestoredInSomeTrial(Runnable replace) throws Exception {
     for (int i = 0; i < TRIALS; i++) {
       if (isRestoredAt(replace)) {
@@ -75,7 +81,7 @@
         return;
       }
     }
-    throw new AssertionError("nothing was put back in " + TRIALS + " trials");
+    throw new AssertionError("nothing was restored in " + TRIALS + " trials");
   }
 
   @Test
@@ -83,7 +89,7 @@
     assertRestoredInSomeTrial(() -> fixture.rig.counter().comeBackEmpty());
   }
 
-  /** The copy is of before the trial, so it lacks what the trial added, and the checks since. */
+  /** The copy was made before the trial, so it lacks the adds of the trial and the checks since then. */
   @Test
   void addsThatAnOldCopyLacksAreRestored() throws Exception {
     fixture.rig.counter().keepCopy();
@@ -94,7 +100,10 @@
     void of(StandInCounter counter, boolean on);
   }
 
-  /** What is served counts once: less would be a gift, and what was refused may be in it, as it was added. */
+  /**
+   * Checks that every served unit is counted, and no request twice. A lower count would give quota away. The
+   * count may include refused requests, because their units were added as well.
+   */
   private void assertServedUnitsCountOnce(FaultSwitch mood) throws Exception {
     DaemonFixture.await("counter used", () -> isServed() && fixture.rig.counter().added(FIRM) > 0);
     mood.of(fixture.rig.counter(), true);
@@ -104,8 +113,8 @@
     mood.of(fixture.rig.counter(), false);
     double before = fixture.rig.counter().added(FIRM);
     DaemonFixture.await("counter used again", () -> isServed() && fixture.rig.counter().added(FIRM) > before);
-    DaemonFixture
-        .await("all of it counted", () -> isServed() && fixture.rig.counter().added(FIRM) >= served - 1e-6);
+    DaemonFixture.await("all served units counted", () -> isServed()
+        && fixture.rig.counter().added(FIRM) >= served - 1e-6);
     double added = fixture.rig.counter().added(FIRM);
     assertTrue(added <= number + 1e-6, () -> added + " added, " + number + " asked, " + served + " served");
     assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
@@ -131,7 +140,10 @@
     assertServedUnitsCountOnce(StandInCounter::reset);
   }
 
-  /** An answer too many is out of step: all that follows on its connection would be another call's. */
+  /**
+   * A surplus answer shifts the order of answers: each later answer on that connection would be taken for the
+   * answer to another call.
+   */
   @Test
   void addsThatAreAnsweredTwiceCountOnce() throws Exception {
     assertServedUnitsCountOnce(StandInCounter::answerTwice);
@@ -142,7 +154,7 @@
     assertServedUnitsCountOnce((counter, on) -> counter.delay(on ? 90 : 1));
   }
 
-  /** Two calls a second, and a queue before them. */
+  /** The counter handles 20 calls per second, one after another, so that calls queue up. */
   @Test
   void queuedAddsCountOnce() throws Exception {
     assertServedUnitsCountOnce((counter, on) -> counter.rate(on ? 20 : Double.POSITIVE_INFINITY));
--- a/daemon/src/test/java/willowdoor/daemon/life/DaemonFixture.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/DaemonFixture.java
@@ -30,7 +30,7 @@
 import willowdoor.testkit.Rig;
 import willowdoor.testkit.Terms;
 
-/** A rig with daemons inside this process, and single clients whose every step a test decides. */
+/** A test rig with daemons inside this process, and clients whose every step the test controls. */
 final class DaemonFixture implements AutoCloseable {
 
   static final long TIMEOUT_MS = 20_000;
@@ -47,12 +47,12 @@
     files = new DoorFiles(rig, folder, 1);
   }
 
-  /** A daemon on that address by the rig's terms, with other lines in its file's place for some. */
+  /** Creates a daemon on the address with the settings of the rig; {@code end} is appended to its file. */
   Daemon createDaemon(InetSocketAddress listen, String end) throws Exception {
     return createDaemon(listen, end, text -> text);
   }
 
-  /** The same with a change of the text before. */
+  /** As above, but the text of the file is changed first. */
   Daemon createDaemon(InetSocketAddress listen, String end, UnaryOperator<String> change) throws Exception {
     Path file = files.write(0, listen);
     Files.writeString(file, change.apply(Files.readString(file)) + end);
@@ -101,7 +101,7 @@
     return rig.verdict();
   }
 
-  /** A client's connection; its history goes to the ledger as the fleet's does. */
+  /** A client's connection; its requests are recorded in the ledger, as those of a fleet's clients are. */
   final class Caller implements AutoCloseable {
     final Socket socket;
     final String door;
@@ -149,7 +149,7 @@
       socket.getOutputStream().flush();
     }
 
-    /** Headers, in lower case, and body of the answer received last. */
+    /** The headers of the last answer, with names in lower case. */
     Map<String, String> headers() {
       return headers;
     }
@@ -158,13 +158,13 @@
       return body;
     }
 
-    /** The answer to a request that was sent as raw text. */
+    /** Receives the answer to a request that was sent as raw text; returns its status. */
     int receiveStatus(String id) throws IOException {
       currentRequest = id;
       return receiveStatus();
     }
 
-    /** The answer's status; -1 when the connection ended without one. */
+    /** Receives an answer; returns its status, or -1 if the connection ended without an answer. */
     int receiveStatus() throws IOException {
       headers.clear();
       int length = 0;
--- a/daemon/src/test/java/willowdoor/daemon/life/ExternalAuthorisationTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ExternalAuthorisationTest.java
@@ -35,7 +35,10 @@
 import willowdoor.testkit.StandInAuthoriser.Mood;
 import willowdoor.testkit.StandInBackend;
 
-/** Checks that meet everything that can go wrong with them, held to the five rules and to their own two. */
+/**
+ * Authorisation checks under faults of authorisers, backends and clients. Each run is checked against the
+ * five rules of the test kit, and the two rules of authorisation.
+ */
 @Timeout(60)
 class ExternalAuthorisationTest {
 
@@ -96,7 +99,7 @@
     assertEquals("bod", http.getBody());
     assertEquals("true", http.getHeadersOrThrow("x-envoy-auth-partial-body"));
     assertEquals("full", http.getHeadersOrThrow("x-plan"));
-    assertEquals(2, http.getHeadersCount(), "no header but those named");
+    assertEquals(2, http.getHeadersCount(), "only the configured headers are sent");
     assertEquals("127.0.0.1", seen.getAttributes().getSource().getAddress().getSocketAddress().getAddress());
     assertEquals("0000000000000042", seen.getAttributes().getContextExtensionsOrThrow("firm"));
     assertEquals("register-buy", seen.getAttributes().getContextExtensionsOrThrow("class"));
@@ -142,7 +145,7 @@
     assertRulesKept();
   }
 
-  /** The limit is far off: only the client's own time bounds the call. */
+  /** The limit of the member is much longer, so the client's deadline ends the call. */
   @Test
   void aCheckThatHangsIsCancelledAtTheClientsDeadline() throws Exception {
     open(false);
@@ -166,7 +169,7 @@
     while (asked == 0 || fixture.count("r" + (asked - 1), Kind.LAST_BYTE) < 2) {
       assertEquals(200, statusOfBuy(caller, "r" + asked, 3_000));
       asked++;
-      assertTrue(asked < 100, "none met the failing node");
+      assertTrue(asked < 100, "no request was sent to the failing backend");
     }
     assertEquals(asked, authoriser.checks());
     assertEquals(200, statusOfBuy(caller, "other", 3_000));
@@ -188,13 +191,13 @@
     assertTrue(Double.parseDouble(caller.headers().get("retry-after")) > 0);
     assertEquals(1, authoriser.checks());
     assertEquals(0, two.checks());
-    // Whatever may still come of that check has come once the other authoriser has been asked.
+    // Once the other authoriser has been asked, any late effect of the first check has occurred.
     authoriser.mood(Mood.ALLOWS);
     authoriser.delay(0);
     assertEquals(200, statusOfBuy(daemon, "r2"));
     assertFalse(fixture.reachedBackend("r1"), () -> fixture.daemons.history("r1").toString());
-    assertTrue(fixture.awaitLogLine("r1").contains("\"decision\":\"REFUSED FAILED\""),
-        () -> "" + fixture.log);
+    assertTrue(fixture.awaitLogLine("r1").contains("\"decision\":\"REFUSED FAILED\""), () -> ""
+        + fixture.log);
     assertRulesKept();
   }
 
@@ -223,7 +226,7 @@
       assertEquals(200, statusOfBuy(daemon, "r" + i));
     }
     assertEquals(10, two.checks());
-    // It is asked again, by a probe, after it came back.
+    // After its return a probe asks it again.
     authoriser.comeBack();
     DaemonFixture.await("asked again", () -> {
       try {
@@ -300,10 +303,10 @@
       fixture.awaitLogLine("r" + i);
     }
     fixture.awaitLogLine("last");
-    assertEquals(31, java.nio.file.Files.readAllLines(fixture.log).size(), "each ended once");
+    assertEquals(31, java.nio.file.Files.readAllLines(fixture.log).size(), "each request has one log line");
     daemon.requestEnd();
-    assertEquals(InstanceLifecycle.EXIT_ORDERLY,
-        daemon.ended().get(DaemonFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+    assertEquals(InstanceLifecycle.EXIT_ORDERLY, daemon.ended()
+        .get(DaemonFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     assertRulesKept();
   }
 
@@ -341,8 +344,8 @@
       assertEquals(503, caller.receiveStatus());
       assertTrue(caller.isClosed());
     }
-    assertEquals(InstanceLifecycle.EXIT_ORDERLY,
-        daemon.ended().get(DaemonFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+    assertEquals(InstanceLifecycle.EXIT_ORDERLY, daemon.ended()
+        .get(DaemonFixture.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     assertEquals(0, fixture.daemons.rig.counter().calls());
     assertRulesKept();
   }
@@ -353,8 +356,8 @@
     authoriser = fixture.authoriser("one", "most_calls = 3\n");
     StandInAuthoriser two = fixture.authoriser("two", "");
     authoriser.mood(Mood.STALLS);
-    Daemon daemon = fixture
-        .startDaemon("[[member]]\nname = \"a\"\nfirms = [\"42\"]\nauthorisers = [\"one\"]\n"
+    Daemon daemon =
+        fixture.startDaemon("[[member]]\nname = \"a\"\nfirms = [\"42\"]\nauthorisers = [\"one\"]\n"
         + "limit_ms = 60000\n[[member]]\nname = \"b\"\nfirms = [\"43-4f\"]\nauthorisers = [\"two\"]\n", "");
     List<DaemonFixture.Caller> callers = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
@@ -424,7 +427,7 @@
     for (int i = 0; i < answers.size(); i++) {
       CheckResponse answer = answers.get(i);
       authoriser.script(r -> answer);
-      // Protobuf's own text refuses some of these before the door reads them: a failed call all the same.
+      // Protobuf rejects some of these texts before the door reads them, which is a failed call as well.
       assertEquals(503, statusOfBuy(caller, "r" + i, 2_000));
       assertFalse(fixture.reachedBackend("r" + i));
     }
@@ -459,8 +462,8 @@
   void anAllowIsCachedOnlyAsItsAnswerPermits() throws Exception {
     open(false);
     fixture.daemons.rig.authorise(null);
-    authoriser.script(r ->
-        ok(headerOption("X-A", "a")).toBuilder().setDynamicMetadata(Struct.newBuilder().putFields(
+    authoriser.script(r -> ok(headerOption("X-A", "a")).toBuilder()
+        .setDynamicMetadata(Struct.newBuilder().putFields(
         "allow_for_ms", Value.newBuilder().setNumberValue(60_000).build())).build());
     Daemon daemon = fixture.startDaemon("most_cached_ms = 60000\n", "");
     DaemonFixture.Caller caller = fixture.caller(daemon);
@@ -481,21 +484,21 @@
     DaemonFixture.Caller caller = fixture.caller(daemon);
     int[][] told = {{7, 403}, {16, 401}, {8, 429}, {3, 400}, {5, 404}, {14, 503}, {13, 503}, {2, 503}};
     for (int[] t : told) {
-      authoriser.script(r ->
-          CheckResponse.newBuilder().setStatus(com.google.rpc.Status.newBuilder().setCode(t[0]))
+      authoriser.script(r -> CheckResponse.newBuilder()
+          .setStatus(com.google.rpc.Status.newBuilder().setCode(t[0]))
           .build());
       assertEquals(t[1], statusOfBuy(caller, "c" + t[0], 2_000), "code " + t[0]);
     }
     authoriser.script(r -> StandInAuthoriser.deny(200, "not served by any node").toBuilder().build());
-    assertEquals(403, statusOfBuy(caller, "odd", 2_000), "a denial never looks like an answer of a node");
-    authoriser.script(r ->
-        CheckResponse.newBuilder().setDeniedResponse(DeniedHttpResponse.getDefaultInstance())
+    assertEquals(403, statusOfBuy(caller, "odd", 2_000), "a denial never looks like an answer of a backend");
+    authoriser.script(r -> CheckResponse.newBuilder()
+        .setDeniedResponse(DeniedHttpResponse.getDefaultInstance())
         .build());
     assertEquals(503, statusOfBuy(caller, "both", 2_000), "neither an allow nor a denial");
     assertRulesKept();
   }
 
-  /** A firm that is spent is refused before anybody is asked. */
+  /** A request of a firm without remaining quota is refused before any authoriser is asked. */
   @Test
   void requestsBeyondTheQuotaDoNotReachTheAuthoriser() throws Exception {
     open(false);
@@ -532,8 +535,8 @@
     try (SilencingProxy proxy = new SilencingProxy(authoriser.address())) {
       StandInAuthoriser named = authoriser;
       fixture.addAuthoriser(named, "");
-      Daemon daemon = fixture.daemons
-          .createDaemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n"
+      Daemon daemon = fixture.daemons.createDaemon(new InetSocketAddress("127.0.0.1", 0),
+          "[end]\naccept_ms = 150\n"
           + "[[authoriser]]\nname = \"one\"\naddress = \"127.0.0.1:" + proxy.port()
               + "\"\nkeepalive_ms = 10000\n"
           + "keepalive_answer_ms = 100\n[[member]]\nname = \"all\"\nauthorisers = [\"one\"]\n").start(false);
--- a/daemon/src/test/java/willowdoor/daemon/life/FairGateTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/FairGateTest.java
@@ -18,7 +18,7 @@
 import willowdoor.testkit.RequestKind;
 import willowdoor.testkit.StandInBackend.Mood;
 
-/** A real door whose requests wait their turn. */
+/** The fair queue in a running daemon. */
 @Timeout(60)
 class FairGateTest {
 
@@ -78,7 +78,7 @@
     }
     FairCounts c = daemon.fairness();
     assertEquals(20, c.released(), c.summary());
-    assertTrue(c.released() > c.atOnce(), "none waited: " + c.summary());
+    assertTrue(c.released() > c.atOnce(), "no request was queued: " + c.summary());
     assertEquals(0, c.waiting() + c.out() + c.waitingBytes(), c.summary());
     assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
   }
@@ -88,15 +88,15 @@
     Daemon daemon = daemon(QUEUE);
     fixture.rig.park().all().forEach(b -> b.mood(Mood.STALLS));
     CompletableFuture<Integer> out = sendRequest(daemon, "out");
-    DaemonFixture.await("one out", () -> counts(daemon).out() == 1);
+    DaemonFixture.await("one request sent to a backend", () -> counts(daemon).out() == 1);
     List<CompletableFuture<Integer>> waiting = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       waiting.add(sendRequest(daemon, "w" + i));
     }
-    DaemonFixture.await("five wait", () -> counts(daemon).waiting() == 5);
+    DaemonFixture.await("five requests queued", () -> counts(daemon).waiting() == 5);
     daemon.requestEnd();
     for (CompletableFuture<Integer> w : waiting) {
-      assertEquals(503, w.get(), "nothing of it has run, and nothing can be said of when to come back");
+      assertEquals(503, w.get(), "the request was not run, and no time for a retry is known");
     }
     out.get();
     assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
--- a/daemon/src/test/java/willowdoor/daemon/life/ForeignAuthoriserTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ForeignAuthoriserTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 import willowdoor.testkit.RequestKind;
 
-/** Talks to a policy server that was not written here; run by {@code bench/authorisation foreign}. */
+/** Checks against a third-party authoriser; run by {@code bench/authorisation foreign}. */
 @Timeout(60)
 @EnabledIfSystemProperty(named = "foreign.port", matches = "\\d+")
 class ForeignAuthoriserTest {
@@ -29,8 +29,8 @@
           assertEquals("not this one", caller.body());
         }
       }
-      assertEquals("node",
-          at.daemons.rig.park().all().stream().filter(b -> b.lastHeaders() != null).findFirst()
+      assertEquals("node", at.daemons.rig.park().all().stream().filter(b -> b.lastHeaders() != null)
+          .findFirst()
           .orElseThrow().lastHeaders().get("X-Approved-By"));
     }
   }
--- a/daemon/src/test/java/willowdoor/daemon/life/GracefulShutdownTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/GracefulShutdownTest.java
@@ -24,7 +24,10 @@
 import willowdoor.testkit.StandInBackend.Mood;
 import willowdoor.testkit.StandInDiscovery.Listed;
 
-/** Ends that meet a request, or a start, at the worst moment; each is held to the five rules. */
+/**
+ * Shutdowns that coincide with a critical moment of a request or of the start. Each run is checked against
+ * the five rules of the test kit.
+ */
 @Timeout(60)
 class GracefulShutdownTest {
 
@@ -48,7 +51,7 @@
     assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
   }
 
-  /** The attempt hangs in a connect that never comes up, so not a byte of it is written. */
+  /** The attempt waits for a connection that is never established, so no byte of the request is written. */
   @Test
   void endsBeforeTheLastByteOfABuyIsWritten() throws Exception {
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -93,7 +96,10 @@
     assertRulesKept();
   }
 
-  /** The backend writes half of its answer and no more: the repeat goes on, and there is one answer. */
+  /**
+   * The backend writes only half of its answer. The retry continues during the shutdown, and the client
+   * receives a single answer.
+   */
   @Test
   void endsWhileTheAnswerToABuyIsHalfWritten() throws Exception {
     Daemon daemon = fixture.startDaemon();
@@ -141,7 +147,10 @@
     assertRulesKept();
   }
 
-  /** A signal that comes before there is a socket: what connects in the accept window is still answered. */
+  /**
+   * A signal arrives before the socket is bound. Requests on connections from the accept window are still
+   * answered.
+   */
   @Test
   void endsBeforeTheSocketIsBound() throws Exception {
     Daemon daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 600\n");
@@ -155,7 +164,7 @@
     assertRulesKept();
   }
 
-  /** The connection waits in the accept queue, as nothing is taken while the process warms up. */
+  /** The connection waits in the accept queue, because a process accepts none while it warms up. */
   @Test
   void endsDuringTheWarmUp() throws Exception {
     Daemon daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0), "").start(false);
@@ -180,7 +189,10 @@
     assertRulesKept();
   }
 
-  /** In the accept window a kept connection may ask once more; its answer ends it. */
+  /**
+   * During the accept window a request on a kept-alive connection is still answered, and the connection is
+   * closed after the answer.
+   */
   @Test
   void aRequestOnAKeepAliveConnectionDuringTheDrainIsAnswered() throws Exception {
     Daemon daemon = fixture.startDaemon();
--- a/daemon/src/test/java/willowdoor/daemon/life/HandoverTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/HandoverTest.java
@@ -33,7 +33,7 @@
 import willowdoor.testkit.Ledger.Kind;
 import willowdoor.testkit.RequestKind;
 
-/** One instance takes the place of another, or fails to at the worst moment. */
+/** Handovers from one instance to its successor, including failures at every step of the protocol. */
 @Timeout(60)
 class HandoverTest {
 
@@ -90,7 +90,11 @@
     assertRulesKept();
   }
 
-  /** From the hand-over on the old life sends on nothing under a ceiling, and the new one what it may. */
+  /**
+   * After the handover the predecessor forwards no more requests that count against a ceiling, and the
+   * successor forwards those that its part of the ceiling allows. Otherwise both processes would spend the
+   * same part.
+   */
   @Test
   void onlyOneProcessSpendsACeilingAtATime() throws Exception {
     String end = "[end]\naccept_ms = 3000\n";
@@ -106,12 +110,12 @@
     List<DaemonFixture.Caller> keepAlive = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       keepAlive.add(fixture.new Caller(address, "d0"));
-      assertEquals(200, healthStatus(keepAlive.get(i)), "a connection that the old life has accepted");
+      assertEquals(200, healthStatus(keepAlive.get(i)), "a connection that the predecessor has accepted");
     }
     Daemon successor = fixture.createDaemon(address, end, twoDoors).start(true);
-    DaemonFixture.await("old one drains", () -> healthStatus(caller) != 200);
+    DaemonFixture.await("predecessor drains", () -> healthStatus(caller) != 200);
     for (int i = 0; i < keepAlive.size(); i++) {
-      assertEquals(429, statusOfBuyWithCeiling(keepAlive.get(i), "o" + i), "the old life's request " + i);
+      assertEquals(429, statusOfBuyWithCeiling(keepAlive.get(i), "o" + i), "the predecessor's request " + i);
     }
     awaitServed(fixture.new Caller(address, "d0"), "n");
     successor.requestEnd();
@@ -119,7 +123,7 @@
 
   private void awaitServed(DaemonFixture.Caller caller, String ids) {
     int[] asked = new int[1];
-    DaemonFixture.await("served under its ceiling", () -> {
+    DaemonFixture.await("served within the ceiling", () -> {
       try {
         return statusOfBuyWithCeiling(caller, ids + asked[0]++) == 200;
       } catch (IOException e) {
@@ -219,7 +223,7 @@
       peer.readDescriptor();
       peer.writeLine(HandoverProtocol.READY);
       assertEquals(HandoverProtocol.CONFIRMED, peer.readLine());
-      // Nobody accepts now: this one waits in the queue that both hold.
+      // No process accepts now: this connection waits in the accept queue of the socket that both hold.
       queued = fixture.new Caller(old.address(), "d0");
       queued.send("queued", RequestKind.BUY, 3_000);
     }
@@ -271,7 +275,10 @@
     }
   }
 
-  /** One that asks is told what was learned; one of an older version hears nothing that it can't read. */
+  /**
+   * A successor that asks for the learned state receives it after the confirmation. After the end of that
+   * successor the predecessor serves again.
+   */
   @Test
   void learnedStateIsSentToASuccessorThatAsksForIt() throws Exception {
     Daemon old = startWithControlSocket();
@@ -291,7 +298,8 @@
       assertTrue(learned.backends().stream().anyMatch(x -> x.slowness() > 0), learned::toString);
       assertTrue(learned.serviceTimes().stream().anyMatch(x -> x.answers() > 0), learned::toString);
     }
-    DaemonFixture.await("serves on, as its successor is gone", () -> DaemonFixture.isUp(old.address()));
+    DaemonFixture.await("predecessor serves again, as its successor is gone",
+        () -> DaemonFixture.isUp(old.address()));
   }
 
   @Test
@@ -334,7 +342,10 @@
     });
   }
 
-  /** A scripted successor; the descriptor that comes to it is dropped unread, as by a process that dies. */
+  /**
+   * A successor whose protocol steps the test controls. It drops the received descriptor, as a process that
+   * dies would.
+   */
   private final class ScriptedSuccessor implements Closeable {
     private final SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX);
     private final BufferedReader in;
--- a/daemon/src/test/java/willowdoor/daemon/life/ProcessLocksTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ProcessLocksTest.java
@@ -15,7 +15,7 @@
 @Timeout(60)
 class ProcessLocksTest {
 
-  /** Holds a lock as a daemon does, says so, and waits to be killed. */
+  /** A process that holds a lock as a daemon does, prints that it does, and waits to be killed. */
   static final class Holder {
     private Holder() {
     }
@@ -39,7 +39,10 @@
     return process;
   }
 
-  /** Killed, in order or in this very process: an end shows, and a life does not. */
+  /**
+   * The end of a holder is detected whether its process was killed or it released its lock in order, even
+   * within the same process. A living holder is never reported.
+   */
   @Test
   void showsWhichProcessesHaveEnded() throws Exception {
     Process one = holder("one");
@@ -50,7 +53,7 @@
       assertEquals(List.of(), other.ended());
       one.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
       assertEquals(List.of("one"), own.ended());
-      assertEquals(List.of("one"), own.ended(), "until it is told of");
+      assertEquals(List.of("one"), own.ended(), "until it is forgotten");
       own.forget("one");
       assertEquals(List.of(), own.ended());
     } finally {
--- a/daemon/src/test/java/willowdoor/daemon/life/ProcessTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ProcessTest.java
@@ -23,7 +23,7 @@
 import willowdoor.testkit.Ledger.Kind;
 import willowdoor.testkit.RequestKind;
 
-/** What needs real processes and real signals. */
+/** Behaviour that needs real processes and real signals. */
 @Timeout(90)
 class ProcessTest {
 
@@ -128,7 +128,8 @@
   }
 
   /**
-   * What waits in the accept queue when the old one is killed is answered by the new one, which has it too.
+   * A connection that waits in the accept queue when the predecessor is killed is answered by the successor,
+   * which holds the same socket.
    */
   @Test
   void successorServesIfThePredecessorIsKilledDuringTheWarmUp() throws Exception {
@@ -147,7 +148,7 @@
     assertRulesKept();
   }
 
-  /** The new process dies by a signal, with the socket in its hand. */
+  /** The successor is killed by a signal after it has received the socket. */
   @Test
   void predecessorServesIfTheSuccessorIsKilledDuringTheWarmUp() throws Exception {
     startAndAwaitUp();
@@ -165,8 +166,8 @@
   }
 
   /**
-   * A door that is stopped for 5 s: a client that left meanwhile costs no backend anything, and a backend
-   * that drained meanwhile gets nothing from those that still wait.
+   * A door is suspended for 5 s. Afterwards it sends nothing for a client that disconnected meanwhile, and
+   * nothing to a backend that began to drain meanwhile.
    */
   @Test
   void aContinuedDoorSendsNothingForGoneClientsNorToDrainedBackends() throws Exception {
@@ -181,7 +182,7 @@
     double toldAt = fixture.rig.ledger().now();
     gone.close();
     DaemonFixture.Caller[] waiting = new DaemonFixture.Caller[8];
-    DaemonFixture.await("five seconds", () -> fixture.rig.ledger().now() > toldAt + SUSPENDED_MS);
+    DaemonFixture.await("five seconds passed", () -> fixture.rig.ledger().now() > toldAt + SUSPENDED_MS);
     for (int i = 0; i < waiting.length; i++) {
       waiting[i] = fixture.new Caller(address, "d0");
       waiting[i].send("w" + i, i % 2 == 0 ? RequestKind.BUY : RequestKind.QUOTE, 3_000);
--- a/daemon/src/test/java/willowdoor/daemon/life/SilencingProxy.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/SilencingProxy.java
@@ -10,7 +10,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Passes bytes both ways until it is told to swallow all of its open connections; new ones pass. */
+/**
+ * A TCP proxy that can silence its open connections: it keeps them open but discards their bytes. Connections
+ * that are opened later are forwarded.
+ */
 final class SilencingProxy implements AutoCloseable {
 
   private final ServerSocket serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -43,7 +46,7 @@
       try {
         work.go();
       } catch (IOException e) {
-        // The connection or the listening socket was closed: nothing is left to pass.
+        // The connection or the listening socket was closed, so nothing is left to forward.
       }
     }, "deaf");
     t.setDaemon(true);
--- a/daemon/src/test/java/willowdoor/daemon/life/ValkeyCountsTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ValkeyCountsTest.java
@@ -15,7 +15,7 @@
 import willowdoor.testkit.StandInValkey;
 import willowdoor.testkit.RequestKind;
 
-/** Daemons whose shared counts are in a stand-in of Valkey instead of the users' counter. */
+/** Daemons that keep the shared counts in a stand-in for Valkey instead of the users' counter. */
 @Timeout(60)
 class ValkeyCountsTest {
 
@@ -40,7 +40,7 @@
     server.close();
   }
 
-  /** One of forty doors, so that a window is counted by its total alone. */
+  /** Starts one of forty configured doors, so that the window is counted only by its total. */
   private DaemonFixture.Caller startDoor(int name) throws Exception {
     Daemon daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n",
         text -> text.replace("doors = 1\n",
@@ -81,7 +81,7 @@
       }
     });
     int refused = 0;
-    // Each is told to cost 8 and found to cost 1; a window of 2 s grants 60.
+    // The cost hint of each request is 8 units and the actual cost 1; a window of 2 s grants 60.
     for (int i = 0; i < 400 && refused == 0; i++) {
       refused += ask(i % 2 == 0 ? one : other, 8) == 200 ? 0 : 1;
     }
@@ -89,13 +89,16 @@
     assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
   }
 
-  /** A window is 2 s long: a trial that its edge meets has nothing to put back, so there are some. */
+  /**
+   * Repeats the trial until one succeeds. A window lasts 2 s, and a trial that crosses the edge of a window
+   * has nothing to restore.
+   */
   @Test
   void addsOfADoorAreRestoredAtARestartedServer() throws Exception {
     DaemonFixture.Caller caller = startDoor(0);
     for (int trial = 0; trial < TRIALS; trial++) {
       for (int i = 0; i < REQUESTS; i++) {
-        // Before the door is back at the counts of the last trial it has its small part only.
+        // Until the door uses the shared counts again after the last trial, it has only its small share.
         DaemonFixture.await("served", () -> {
           try {
             return ask(caller, 1) == 200;
@@ -115,15 +118,15 @@
         Thread.onSpinWait();
       }
     }
-    throw new AssertionError("nothing was put back in " + TRIALS + " trials");
+    throw new AssertionError("nothing was restored in " + TRIALS + " trials");
   }
 
   @Test
   void withoutTheServerTheDoorServesItsShare() throws Exception {
     DaemonFixture.Caller caller = startDoor(0);
     server.kill();
-    // Its part of the quota, which it may begin with nothing of, gives a unit in less than 2 s.
-    DaemonFixture.await("served unasked", () -> {
+    // The door may start with none of its share of the quota left; the share grants a unit within 2 s.
+    DaemonFixture.await("served without the counter", () -> {
       try {
         return ask(caller, 1) == 200;
       } catch (Exception e) {
