--- a/daemon/src/main/java/willowdoor/daemon/fleet/AgreedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AgreedCommand.java
@@ -19,13 +19,13 @@
 import willowdoor.agreement.Subject;
 import willowdoor.agreement.Subject.Kind;
 import willowdoor.net.EndpointUpdate;
-import willowdoor.testkit.BackendPark;
+import willowdoor.testkit.BackendPool;
 import willowdoor.testkit.ClientFleet;
 import willowdoor.testkit.DoorProcess;
-import willowdoor.testkit.Judge;
-import willowdoor.testkit.Judge.Verdict;
-import willowdoor.testkit.Ledger;
-import willowdoor.testkit.Terms;
+import willowdoor.testkit.InvariantChecker;
+import willowdoor.testkit.InvariantChecker.Verdict;
+import willowdoor.testkit.EventHistory;
+import willowdoor.testkit.RunSettings;
 
 /** Runs stewards and doors under load, breaks what is between them, and judges what came of it. */
 @Command(name = "agreed", mixinStandardHelpOptions = true, description = {
@@ -80,25 +80,27 @@
       }
       return 0;
     }
-    try (FleetRun run = new FleetRun(Terms.usual(), new BackendPark.Make(8, 4, 32, 5, 10), doors, seed);
+    try (FleetRun run =
+        new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(8, 4, 32, 5, 10), doors, seed);
         Stewards keepers = new Stewards(run, stewards, "lease_ms = 1500\ndoors_out = " + BUDGET
             + "\nbackends_out = " + BUDGET + "\n")) {
-      run.rig().budgets(new Judge.Budgets(BUDGET, BUDGET, x -> x.startsWith("d"), LAPSE_MS));
+      run.rig().budgets(new InvariantChecker.Budgets(BUDGET, BUDGET, x -> x.startsWith("d"), LAPSE_MS));
       keepers.start();
       run.start(new ClientFleet.Load(rate, 40, 0.1, 5, 1));
-      run.clients().begin();
+      run.clients().start();
       return what == Run.schedules ? schedules(run, keepers) : leader(keepers);
     }
   }
 
   private void cost(boolean on) throws IOException, InterruptedException {
-    try (FleetRun run = new FleetRun(Terms.usual(), new BackendPark.Make(8, 4, 32, 5, 10), doors, seed);
+    try (FleetRun run =
+        new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(8, 4, 32, 5, 10), doors, seed);
         Stewards keepers = on ? new Stewards(run, stewards, "") : null) {
       if (on) {
         keepers.start();
       }
       run.start(new ClientFleet.Load(rate, 40, 0.1, 5, 1));
-      run.clients().begin();
+      run.clients().start();
       Thread.sleep(COST_WARM_MS);
       double from = run.rig().ledger().now();
       double doorCpu = cpu(run.doors());
@@ -110,9 +112,10 @@
       doorCpu = cpu(run.doors()) - doorCpu;
       Histogram took = new Histogram(3);
       double begun = from;
-      run.rig().ledger().histories().forEach((id, history) -> {
+      run.rig().ledger().requestHistories().forEach((id, history) -> {
         double asked = history.get(0).atMs();
-        history.stream().filter(e -> e.kind() == Ledger.Kind.ANSWERED && e.amount() == 200 && asked > begun)
+        history.stream()
+            .filter(e -> e.kind() == EventHistory.Kind.ANSWERED && e.amount() == 200 && asked > begun)
             .forEach(e -> took.recordValue((long) ((e.atMs() - asked) * 1_000)));
       });
       out.printf(Locale.ROOT, "agreement %s: %.0f answers/s, p50 %.2f ms, p99 %.2f ms; doors %.2f ms of CPU"
@@ -169,7 +172,7 @@
         untidy++;
         out.println("BREACH: not all is back " + TIDY_LIMIT_MS + " ms after all is whole: " + keepers.look());
         for (int k = 0; k < stewards; k++) {
-          out.printf("steward %d %s, and printed last:%n", k, keepers.processes().get(k).alive() ? "lives"
+          out.printf("steward %d %s, and printed last:%n", k, keepers.processes().get(k).isAlive() ? "lives"
               : "is dead");
           keepers.log(k).lines().skip(Math.max(0, keepers.log(k).lines().count() - 12)).forEach(out::println);
         }
@@ -181,7 +184,7 @@
         + " that died %d%n", counts.granted().get(), counts.waited().get(), counts.out().get(),
         counts.unanswered().get(), counts.died().get());
     out.print(verdict);
-    int breaches = verdict.breaches().size() + untidy;
+    int breaches = verdict.violations().size() + untidy;
     out.println("breaches " + breaches);
     out.flush();
     return breaches == 0 ? 0 : 1;
--- a/daemon/src/main/java/willowdoor/daemon/fleet/AgreedOperator.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AgreedOperator.java
@@ -17,7 +17,7 @@
 import willowdoor.steward.link.Answer;
 import willowdoor.steward.link.OperatorClient;
 import willowdoor.steward.link.FleetStatus;
-import willowdoor.testkit.Ledger;
+import willowdoor.testkit.EventHistory;
 
 /**
  * Takes doors and backends out and has them back, for as long as it is told to, and writes into the ledger
@@ -41,7 +41,7 @@
   private static final double DIES = 0.1;
 
   private final Stewards stewards;
-  private final Ledger ledger;
+  private final EventHistory ledger;
   private final String name;
   private final Map<Subject, String> subjects;
   private final Random random;
@@ -50,7 +50,8 @@
   private int requests;
 
   /** One of that name, who takes out any of these, by the name that the ledger has for it. */
-  AgreedOperator(Stewards stewards, Ledger ledger, String name, Map<Subject, String> subjects, long seed,
+  AgreedOperator(Stewards stewards, EventHistory ledger, String name, Map<Subject, String> subjects,
+      long seed,
       AtomicBoolean going, Counts counts) {
     this.stewards = stewards;
     this.ledger = ledger;
@@ -85,7 +86,7 @@
       if (outcome instanceof Granted e) {
         permit = e.permit();
         granted = true;
-        ledger.machine(Ledger.Kind.PERMITTED, subjects.get(subject), Long.toString(permit));
+        ledger.addMachineEntry(EventHistory.Kind.PERMITTED, subjects.get(subject), Long.toString(permit));
         counts.granted.incrementAndGet();
       } else if (outcome instanceof Waiting e) {
         permit = e.permit();
@@ -118,7 +119,7 @@
     while (System.nanoTime() < until) {
       FleetStatus s = stewards.look();
       if (s != null && s.permits().stream().anyMatch(x -> x.id() == permit && x.stage() == Stage.OUT)) {
-        ledger.machine(Ledger.Kind.OUT, subjects.get(subject), Long.toString(permit));
+        ledger.addMachineEntry(EventHistory.Kind.OUT, subjects.get(subject), Long.toString(permit));
         counts.out.incrementAndGet();
         return;
       }
@@ -127,12 +128,12 @@
   }
 
   private void giveBack(OperatorClient operator, Subject subject, long permit) throws InterruptedException {
-    ledger.machine(Ledger.Kind.GIVEN_BACK, subjects.get(subject), Long.toString(permit));
+    ledger.addMachineEntry(EventHistory.Kind.GIVEN_BACK, subjects.get(subject), Long.toString(permit));
     operator.put(new ReturnPermit(0, subject, permit, name), CALL_MS);
   }
 
   /** Has everything come back that anybody left; true once nothing is out any more. */
-  static boolean tidy(Stewards stewards, Ledger ledger, Map<Subject, String> subjects, long limitMs)
+  static boolean tidy(Stewards stewards, EventHistory ledger, Map<Subject, String> subjects, long limitMs)
       throws InterruptedException {
     long until = System.nanoTime() + limitMs * 1_000_000;
     try (OperatorClient operator = stewards.operator("tidy")) {
@@ -143,7 +144,8 @@
         }
         for (Permit x : s == null ? List.<Permit>of() : s.permits()) {
           if (x.stage() != Stage.RETURNING) {
-            ledger.machine(Ledger.Kind.GIVEN_BACK, subjects.get(x.subject()), Long.toString(x.id()));
+            ledger.addMachineEntry(EventHistory.Kind.GIVEN_BACK, subjects.get(x.subject()),
+                Long.toString(x.id()));
             operator.put(new ReturnPermit(0, x.subject(), x.id(), "tidy"), CALL_MS);
           }
         }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/AgreedSchedule.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AgreedSchedule.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import willowdoor.testkit.DoorProcess;
-import willowdoor.testkit.Relay.Mode;
+import willowdoor.testkit.FaultyLink.Mode;
 
 /** Faults between stewards and doors by a seed: which link or process breaks, how, when and for how long. */
 record AgreedSchedule(long seed, List<AgreedSchedule.Fault> faults) {
@@ -67,7 +67,7 @@
     timer.awaitTermination(30, TimeUnit.SECONDS);
     stewards.mend();
     for (int i = 0; i < run.doors().size(); i++) {
-      run.doors().get(i).stopped(false);
+      run.doors().get(i).setSuspended(false);
       run.doors().get(i).start();
     }
   }
@@ -107,7 +107,7 @@
   }
 
   private static Runnable stopped(DoorProcess process) {
-    process.stopped(true);
-    return () -> process.stopped(false);
+    process.setSuspended(true);
+    return () -> process.setSuspended(false);
   }
 }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/AuthorisedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AuthorisedCommand.java
@@ -18,18 +18,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import willowdoor.testkit.BackendPark;
+import willowdoor.testkit.BackendPool;
 import willowdoor.testkit.ClientFleet;
-import willowdoor.testkit.Faults;
-import willowdoor.testkit.Faults.What;
-import willowdoor.testkit.Judge;
-import willowdoor.testkit.Judge.Verdict;
-import willowdoor.testkit.Ledger.Asked;
-import willowdoor.testkit.Ledger.Entry;
-import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.FaultInjector;
+import willowdoor.testkit.FaultInjector.FaultKind;
+import willowdoor.testkit.InvariantChecker;
+import willowdoor.testkit.InvariantChecker.Verdict;
+import willowdoor.testkit.EventHistory.ClientRequest;
+import willowdoor.testkit.EventHistory.Entry;
+import willowdoor.testkit.EventHistory.Kind;
 import willowdoor.testkit.StandIns;
 import willowdoor.testkit.StandInAuthoriser;
-import willowdoor.testkit.Terms;
+import willowdoor.testkit.RunSettings;
 
 /** Runs daemons whose requests need authorisers' allows, and judges or measures what came of it. */
 @Command(name = "authorised", mixinStandardHelpOptions = true, description = {
@@ -41,9 +41,11 @@
 
   enum Run { faults, cost, members }
 
-  private static final List<What> KINDS = List.of(What.STALLS_AUTHORISER, What.DENIES_AUTHORISER,
-      What.RESETS_AUTHORISER, What.SPOILS_AUTHORISER, What.LATE_AUTHORISER, What.GOES_AWAY_AUTHORISER,
-      What.KILL_AUTHORISER);
+  private static final List<FaultKind> KINDS = List
+      .of(FaultKind.STALLS_AUTHORISER, FaultKind.DENIES_AUTHORISER,
+      FaultKind.RESETS_AUTHORISER, FaultKind.SPOILS_AUTHORISER, FaultKind.LATE_AUTHORISER,
+      FaultKind.GOES_AWAY_AUTHORISER,
+      FaultKind.KILL_AUTHORISER);
   private static final String ALL_CLASSES = "classes = [\"check-quote\", \"register-buy\", \"move-title\"]\n";
   private static final long SETTLE_LIMIT_MS = 60_000;
   private static final double WARM_UP_MS = 5_000;
@@ -104,7 +106,8 @@
 
   private FleetRun fleet(double all, double leastMs, double mostMs) throws IOException {
     int backends = Math.max(6, (int) Math.ceil(all * mostMs / 1_000 * 1.6 / 4));
-    return new FleetRun(Terms.usual(), new BackendPark.Make(backends, 4, 64, leastMs, mostMs), 1, seed);
+    return new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(backends, 4, 64, leastMs, mostMs),
+        1, seed);
   }
 
   private static void waitUntil(FleetRun run, double atMs) {
@@ -119,21 +122,22 @@
     out.flush();
     try (FleetRun run = fleet(rate, 20, 60)) {
       List<StandInAuthoriser> asked = authorisers(run, 3);
-      run.rig().authorise(new Judge.Authorisation(a -> true, false));
+      run.rig().authorise(new InvariantChecker.Authorisation(a -> true, false));
       run.more(tables(asked, log == null ? "" : log.toAbsolutePath().toString()) + member("all", "", asked,
           ALL_CLASSES + "choose = \"weight\"\nlimit_ms = 300\n"));
       run.start(new ClientFleet.Load(rate, (int) (rate / 2), 0.1, 5, 1));
-      run.clients().begin();
+      run.clients().start();
       double from = run.rig().ledger().now();
-      List<Faults.Fault> drawn = Faults.draw(seed + 1, faults, KINDS, 3, WARM_UP_MS, seconds * 850.0, 300,
+      List<FaultInjector.Fault> drawn = FaultInjector
+          .draw(seed + 1, faults, KINDS, 3, WARM_UP_MS, seconds * 850.0, 300,
           4_000);
-      try (Faults cause = new Faults(run.rig(), run.doors())) {
-        cause.cause(drawn);
+      try (FaultInjector cause = new FaultInjector(run.rig(), run.doors())) {
+        cause.inject(drawn);
         waitUntil(run, from + seconds * 1_000.0);
       }
       double resident = run.doors().get(0).residentMb();
-      run.clients().end();
-      FleetRun.until(() -> run.clients().out() == 0, 10_000);
+      run.clients().stop();
+      FleetRun.until(() -> run.clients().outstanding() == 0, 10_000);
       int differing = settle(run, asked);
       Verdict verdict = run.finish();
       drawn.forEach(f -> out.printf(Locale.ROOT, "  %6.0f ms  %-20s a%d for %.0f ms%n", f.atMs(), f.what(),
@@ -144,18 +148,18 @@
       out.print(verdict);
       unanswered(run);
       out.flush();
-      return verdict.kept() && differing == 0 ? 0 : 1;
+      return verdict.passed() && differing == 0 ? 0 : 1;
     }
   }
 
   /** How the histories of requests end that have no answer. */
   private void unanswered(FleetRun run) {
-    long denied = run.rig().ledger().histories().values().stream().filter(h -> h.stream().anyMatch(
+    long denied = run.rig().ledger().requestHistories().values().stream().filter(h -> h.stream().anyMatch(
         e -> e.kind() == Kind.DENIED) && h.stream().anyMatch(e -> e.kind() == Kind.ANSWERED
         && e.amount() == 403)).count();
     out.printf("denied %d%n", denied);
     Map<String, Integer> ends = new TreeMap<>();
-    run.rig().ledger().histories().forEach((id, history) -> {
+    run.rig().ledger().requestHistories().forEach((id, history) -> {
       if (history.stream().noneMatch(e -> e.kind() == Kind.ANSWERED)) {
         ends.merge(history.stream().map(e -> String.format("%s %s near %.0f s", e.kind(), e.note(),
             e.atMs() / 1_000))
@@ -168,19 +172,19 @@
   /** Has every firm's true units settled, and compares what the counter was told with what was done. */
   private int settle(FleetRun run, List<StandInAuthoriser> asked) {
     asked.forEach(a -> {
-      a.comeBack();
-      a.delay(0);
+      a.restart();
+      a.setDelay(0);
     });
-    run.rig().park().exact();
+    run.rig().backendPool().chargeNamedUnits();
     for (int round = 0; round < 2; round++) {
       run.clients().askOnceEach();
       FleetRun.sleep(50);
-      FleetRun.until(() -> run.clients().unserved() == 0, SETTLE_LIMIT_MS);
+      FleetRun.until(() -> run.clients().unservedFirms() == 0, SETTLE_LIMIT_MS);
     }
     Map<String, Double> done = new TreeMap<>();
-    run.rig().ledger().histories().forEach((id, history) -> history.stream()
+    run.rig().ledger().requestHistories().forEach((id, history) -> history.stream()
         .filter(e -> e.kind() == Kind.EFFECT)
-        .forEach(e -> done.merge(run.rig().ledger().asked(id).firm(), e.amount(), Double::sum)));
+        .forEach(e -> done.merge(run.rig().ledger().clientRequest(id).firm(), e.amount(), Double::sum)));
     int differing = 0;
     double units = 0;
     double counted = 0;
@@ -214,17 +218,17 @@
         sides.add(new Side(name, run, new double[2]));
         if (!name.equals("off")) {
           List<StandInAuthoriser> asked = authorisers(run, 3);
-          run.rig().authorise(new Judge.Authorisation(a -> true, false));
+          run.rig().authorise(new InvariantChecker.Authorisation(a -> true, false));
           run.more(tables(asked, "") + member("all", "", asked, ALL_CLASSES + "choose = \"weight\"\n"));
         }
         run.start(new ClientFleet.Load(rate, (int) rate, 0, 1, 1));
         if (name.startsWith("one")) {
-          run.rig().authorisers().get(2).die();
+          run.rig().authorisers().get(2).kill();
         }
       }
       List<Double> began = new ArrayList<>();
       for (Side s : sides) {
-        s.run().clients().begin();
+        s.run().clients().start();
         began.add(s.run().rig().ledger().now());
       }
       double measuredFromMs = Math.max(WARM_UP_MS, seconds * 1_000.0 / 3);
@@ -251,7 +255,7 @@
         out.printf(Locale.ROOT, "%-18s %8.0f %10.2f %10.2f %14.0f %7.1f MB %8d%n", s.name(), tries,
             h.getValueAtPercentile(50) / 1e3, h.getValueAtPercentile(99) / 1e3, 1e6 * cpu / tries, resident,
             verdict.served());
-        if (!verdict.kept()) {
+        if (!verdict.passed()) {
           out.print(verdict);
           broken++;
         }
@@ -266,10 +270,10 @@
   }
 
   /** From when a request was due to its answer by a node, in microseconds. */
-  static Histogram times(FleetRun run, double fromMs, double toMs, Predicate<Asked> which) {
+  static Histogram times(FleetRun run, double fromMs, double toMs, Predicate<ClientRequest> which) {
     Histogram h = new Histogram(MOST_US, 3);
-    run.rig().ledger().histories().forEach((id, history) -> {
-      Asked asked = run.rig().ledger().asked(id);
+    run.rig().ledger().requestHistories().forEach((id, history) -> {
+      ClientRequest asked = run.rig().ledger().clientRequest(id);
       if (asked != null && asked.dueMs() >= fromMs && asked.dueMs() < toMs && which.test(asked)) {
         for (Entry e : history) {
           if (e.kind() == Kind.ANSWERED && e.amount() == 200) {
@@ -289,21 +293,21 @@
       List<StandInAuthoriser> asked = authorisers(run, 2);
       int firms = (int) rate;
       long border = 0x1000L + firms / 2;
-      run.rig().authorise(new Judge.Authorisation(a -> true, false));
+      run.rig().authorise(new InvariantChecker.Authorisation(a -> true, false));
       run.more(tables(asked, "") + member("first", String.format("\"0-%x\"", border - 1), asked.subList(0, 1),
           ALL_CLASSES + "limit_ms = 1500\n")
           + member("second", String.format("\"%x-ffffffff\"", border), asked.subList(1, 2), ALL_CLASSES
           + "limit_ms = 1500\n"));
       run.start(new ClientFleet.Load(rate, firms, 0, 1, 1));
-      run.clients().begin();
+      run.clients().start();
       double from = run.rig().ledger().now();
       double half = from + seconds * 500.0;
       waitUntil(run, half);
-      asked.get(0).mood(StandInAuthoriser.Mood.STALLS);
+      asked.get(0).setBehaviour(StandInAuthoriser.Behaviour.STALLS);
       waitUntil(run, from + seconds * 1_000.0);
       Verdict verdict = run.finish();
       for (boolean first : new boolean[] {true, false}) {
-        Predicate<Asked> of = a -> Long.parseLong(a.firm(), 16) < border == first;
+        Predicate<ClientRequest> of = a -> Long.parseLong(a.firm(), 16) < border == first;
         for (boolean before : new boolean[] {true, false}) {
           Histogram h = times(run, before ? from + WARM_UP_MS : half, before ? half - 2_000
               : Double.MAX_VALUE,
@@ -315,7 +319,7 @@
       }
       out.print(verdict);
       out.flush();
-      return verdict.kept() ? 0 : 1;
+      return verdict.passed() ? 0 : 1;
     }
   }
 }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/BackendRestarts.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/BackendRestarts.java
@@ -10,8 +10,8 @@
 import willowdoor.agreement.Subject.Kind;
 import willowdoor.net.EndpointUpdate;
 import willowdoor.steward.link.FleetStatus;
-import willowdoor.testkit.BackendPark;
-import willowdoor.testkit.Ledger;
+import willowdoor.testkit.BackendPool;
+import willowdoor.testkit.EventHistory;
 import willowdoor.testkit.StandInBackend;
 
 /**
@@ -39,7 +39,7 @@
   /** Begins to look. */
   BackendRestarts(ReleaseRun fleet) {
     this.fleet = fleet;
-    fleet.run().rig().park().all()
+    fleet.run().rig().backendPool().all()
         .forEach(b -> backends.put(Long.toHexString(EndpointUpdate.idOf(b.name())), b));
     thread.setDaemon(true);
     thread.start();
@@ -72,13 +72,13 @@
     if (permit.stage() != Stage.OUT || !told.add(permit.id())) {
       return;
     }
-    Ledger ledger = fleet.run().rig().ledger();
-    ledger.machine(Ledger.Kind.PERMITTED, backend.name(), Long.toString(permit.id()));
-    ledger.machine(Ledger.Kind.OUT, backend.name(), Long.toString(permit.id()));
-    BackendPark park = fleet.run().rig().park();
+    EventHistory ledger = fleet.run().rig().ledger();
+    ledger.addMachineEntry(EventHistory.Kind.PERMITTED, backend.name(), Long.toString(permit.id()));
+    ledger.addMachineEntry(EventHistory.Kind.OUT, backend.name(), Long.toString(permit.id()));
+    BackendPool park = fleet.run().rig().backendPool();
     park.kill(backend, NOTICE_MS);
     FleetRun.sleep(AWAY_MS);
-    ledger.machine(Ledger.Kind.GIVEN_BACK, backend.name(), Long.toString(permit.id()));
+    ledger.addMachineEntry(EventHistory.Kind.GIVEN_BACK, backend.name(), Long.toString(permit.id()));
     park.restart(backend, NOTICE_MS);
     synchronized (this) {
       versions.put(backend.name(), permit.reason());
@@ -97,7 +97,7 @@
         StandInBackend backend = backends.get(e.getKey());
         boolean over = s.permits().stream().noneMatch(x -> x.id() == e.getValue());
         if (over && FAINT.equals(versions.get(backend.name()))) {
-          fleet.run().rig().park().kill(backend, NOTICE_MS);
+          fleet.run().rig().backendPool().kill(backend, NOTICE_MS);
         }
         return over;
       });
--- a/daemon/src/main/java/willowdoor/daemon/fleet/CounterCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/CounterCommand.java
@@ -14,18 +14,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import willowdoor.testkit.BackendPark;
+import willowdoor.testkit.BackendPool;
 import willowdoor.testkit.ClientFleet;
-import willowdoor.testkit.Judge.Rule;
-import willowdoor.testkit.Judge.Verdict;
-import willowdoor.testkit.Quotas;
-import willowdoor.testkit.Quotas.Half;
-import willowdoor.testkit.Quotas.Use;
+import willowdoor.testkit.InvariantChecker.Rule;
+import willowdoor.testkit.InvariantChecker.Verdict;
+import willowdoor.testkit.QuotaAudit;
+import willowdoor.testkit.QuotaAudit.HalfBurstTries;
+import willowdoor.testkit.QuotaAudit.FirmUse;
 import willowdoor.testkit.StandInCounter;
 import willowdoor.testkit.StandInValkey;
 import willowdoor.testkit.StandIns;
-import willowdoor.testkit.Terms;
-import willowdoor.testkit.Terms.PlanTerms;
+import willowdoor.testkit.RunSettings;
+import willowdoor.testkit.RunSettings.PlanTerms;
 
 /** Runs fleets whose counter is lost, replaced, split or lamed, and measures it beside the stated bounds. */
 @Command(name = "counter", mixinStandardHelpOptions = true, description = {
@@ -119,7 +119,7 @@
           first.listenAt(ofSome);
         }
         case store_promoted -> {
-          second.say("REPLICAOF NO ONE");
+          second.runCommand("REPLICAOF NO ONE");
           FleetRun.sleep(REPLICA_LACKS_MS);
           first.kill();
           FleetRun.sleep((long) c.forMs);
@@ -127,11 +127,11 @@
           second.listenAt(ofSome);
         }
         default -> {
-          first.leave(ofSome);
-          second.say("REPLICAOF NO ONE");
+          first.stopListening(ofSome);
+          second.runCommand("REPLICAOF NO ONE");
           second.listenAt(ofSome);
           FleetRun.sleep((long) c.forMs);
-          second.leave(ofSome);
+          second.stopListening(ofSome);
           first.listenAt(ofSome);
         }
       }
@@ -149,8 +149,9 @@
   }
 
   private FleetRun fleet(int mostSpread, Servers servers) throws IOException {
-    FleetRun run = new FleetRun(Terms.usual(), new BackendPark.Make(12, 4, 64, 5, 15), doorCount, seed);
-    run.rig().park().exact();
+    FleetRun run =
+        new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(12, 4, 64, 5, 15), doorCount, seed);
+    run.rig().backendPool().chargeNamedUnits();
     if (servers != null) {
       run.counter(servers::lines);
     }
@@ -176,7 +177,7 @@
 
   private boolean play(Case c) throws IOException {
     try (Servers servers = c.ofStore() ? Servers.make() : null; FleetRun run = fleet(4, servers)) {
-      run.clients().begin();
+      run.clients().start();
       FleetRun.sleep((long) QUIET_MS);
       double from = run.rig().ledger().now();
       if (servers != null) {
@@ -187,27 +188,28 @@
       double to = run.rig().ledger().now();
       FleetRun.sleep((long) AFTER_MS);
       Verdict verdict = run.finish();
-      Quotas quotas = new Quotas(run.rig().ledger(), run.rig().terms());
-      List<Use> uses = quotas.uses();
+      QuotaAudit quotas = new QuotaAudit(run.rig().ledger(), run.rig().terms());
+      List<FirmUse> uses = quotas.uses();
       double seconds = (QUIET_MS + AFTER_MS + to - from) / 1000;
       Set<String> below = uses.stream().filter(u -> u.asked() < BELOW * u.plan().rate() * seconds)
-          .map(Use::firm).collect(Collectors.toSet());
-      Half meanwhile = quotas.half(from, to, below::contains, d -> true);
-      Half before = quotas.half(0, from, below::contains, d -> true);
-      Half after = quotas.half(to, Double.MAX_VALUE, below::contains, d -> true);
-      Half other = new Half(before.asked() + after.asked(), before.refused() + after.refused());
-      boolean kept = verdict.kept();
+          .map(FirmUse::firm).collect(Collectors.toSet());
+      HalfBurstTries meanwhile = quotas.triesWithHalfBurst(from, to, below::contains, d -> true);
+      HalfBurstTries before = quotas.triesWithHalfBurst(0, from, below::contains, d -> true);
+      HalfBurstTries after = quotas.triesWithHalfBurst(to, Double.MAX_VALUE, below::contains, d -> true);
+      HalfBurstTries other =
+          new HalfBurstTries(before.asked() + after.asked(), before.refused() + after.refused());
+      boolean kept = verdict.passed();
       StringBuilder row = new StringBuilder(String.format("| %-20s |", c));
       for (PlanTerms plan : run.rig().terms().plans()) {
         double worst = uses.stream().filter(u ->
-            u.plan().equals(plan)).mapToDouble(Use::worstOver).max().orElse(0);
+            u.plan().equals(plan)).mapToDouble(FirmUse::maxOverQuota).max().orElse(0);
         double bound = bound(c, plan, Math.min(4, doorCount), to - from);
         kept &= worst <= bound;
         row.append(String.format(Locale.ROOT, " %8.1f of %8.1f |", worst, bound));
       }
       out.printf("%s %8d | %-24s | %-24s | %d |%n", row, verdict.count(Rule.CEILING_KEPT), text(meanwhile),
-          text(other), verdict.breaches().size());
-      if (!verdict.kept()) {
+          text(other), verdict.violations().size());
+      if (!verdict.passed()) {
         out.print(verdict);
       }
       out.flush();
@@ -215,14 +217,14 @@
     }
   }
 
-  private static String text(Half h) {
+  private static String text(HalfBurstTries h) {
     return String.format(Locale.ROOT, "%d of %d (%.2f%%)", h.refused(), h.asked(), 100 * h.share());
   }
 
   /** The formulas of docs/design/counter-loss.md, for a firm in a set of n doors. */
   static double bound(Case c, PlanTerms plan, int n, double tookMs) {
     double b = plan.burst();
-    double m = Terms.MOST_UNITS;
+    double m = RunSettings.MAX_UNITS;
     double told = c.ofStore() ? STORE_TOLD_MS : TOLD_MS;
     double gives = plan.rate() * ((c.forMs > 0 ? tookMs : 0) + told) / 1000;
     double away = n * (b + gives) + n * m;
@@ -243,12 +245,12 @@
     switch (c) {
       case none -> FleetRun.sleep(1_000);
       case away, briefly -> {
-        counter.lose();
+        counter.stop();
         FleetRun.sleep((long) c.forMs);
         if (c == Case.away) {
-          counter.comeBack();
+          counter.restart();
         } else {
-          counter.comeBackEmpty();
+          counter.restartEmpty();
         }
       }
       case hangs -> {
@@ -259,35 +261,35 @@
       case half_cut_off -> {
         counter.cutOff(d -> d % 2 == 0);
         FleetRun.sleep((long) c.forMs);
-        counter.reach();
+        counter.reconnect();
       }
       case empty -> {
-        counter.lose();
-        counter.comeBackEmpty();
+        counter.stop();
+        counter.restartEmpty();
       }
       case twice_in_a_window -> {
         for (int i = 0; i < 2; i++) {
-          counter.lose();
-          counter.comeBackEmpty();
+          counter.stop();
+          counter.restartEmpty();
           FleetRun.sleep((long) c.forMs);
         }
       }
       case old_copy -> {
         counter.keepCopy();
         FleetRun.sleep(5_000);
-        counter.lose();
-        counter.comeBackWithCopy();
+        counter.stop();
+        counter.restartWithCopy();
       }
       case split_first_wins, split_second_wins, split_empty -> {
-        counter.split(d -> d % 3 == 0, c != Case.split_empty);
+        counter.splitInTwo(d -> d % 3 == 0, c != Case.split_empty);
         FleetRun.sleep((long) c.forMs);
-        counter.heal(c == Case.split_second_wins);
+        counter.endSplit(c == Case.split_second_wins);
       }
       case flaps -> {
         for (int i = 0; i < c.forMs / FLAP_MS / 2; i++) {
-          counter.lose();
+          counter.stop();
           FleetRun.sleep((long) FLAP_MS);
-          counter.comeBack();
+          counter.restart();
           FleetRun.sleep((long) FLAP_MS);
         }
       }
@@ -309,9 +311,9 @@
       case a_tenth_of_the_rate -> {
         long calls = counter.calls();
         FleetRun.sleep(1_000);
-        counter.rate(Math.max(1, (counter.calls() - calls) / 10.0));
+        counter.limitRate(Math.max(1, (counter.calls() - calls) / 10.0));
         FleetRun.sleep((long) c.forMs);
-        counter.rate(Double.POSITIVE_INFINITY);
+        counter.limitRate(Double.POSITIVE_INFINITY);
       }
       case resets -> {
         counter.reset(true);
@@ -319,12 +321,12 @@
         counter.reset(false);
       }
       case door_anew -> {
-        counter.lose();
+        counter.stop();
         run.doors().get(0).kill();
         run.doors().get(0).start();
-        FleetRun.until(() -> run.clients().up(0), 30_000);
+        FleetRun.until(() -> run.clients().isUp(0), 30_000);
         FleetRun.sleep((long) c.forMs);
-        counter.comeBack();
+        counter.restart();
       }
       default -> throw new IllegalArgumentException("case: " + c + " (expected: one of the counter's)");
     }
@@ -333,14 +335,14 @@
   private int recovery() throws IOException {
     try (FleetRun run = fleet(doorCount)) {
       StandInCounter counter = run.rig().counter();
-      run.clients().begin();
+      run.clients().start();
       FleetRun.sleep((long) QUIET_MS);
       long quiet = counter.calls();
       FleetRun.sleep(2_000);
       double usual = (counter.calls() - quiet) / 2.0;
-      counter.lose();
+      counter.stop();
       FleetRun.sleep(2_000);
-      counter.comeBackEmpty();
+      counter.restartEmpty();
       double back = run.rig().ledger().now();
       long busiest = 0;
       long[] tenths = new long[51];
@@ -362,12 +364,12 @@
           + "the first five %d calls; rules broken %d%n", doorCount, rate, doorCount, seed, usual,
           calledAgain.get(calledAgain.size() / 2), calledAgain.get(calledAgain.size() - 1),
               calledAgain.size(), busiest,
-          verdict.breaches().size());
-      if (!verdict.kept()) {
+          verdict.violations().size());
+      if (!verdict.passed()) {
         out.print(verdict);
       }
       out.flush();
-      return verdict.kept() ? 0 : 1;
+      return verdict.passed() ? 0 : 1;
     }
   }
 
@@ -381,8 +383,10 @@
     out.flush();
     int broken = 0;
     try (StandInValkey server = new StandInValkey();
-        FleetRun lines = new FleetRun(Terms.usual(), new BackendPark.Make(12, 4, 64, 2, 3), 1, seed);
-        FleetRun valkey = new FleetRun(Terms.usual(), new BackendPark.Make(12, 4, 64, 2, 3), 1, seed)) {
+        FleetRun lines =
+            new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(12, 4, 64, 2, 3), 1, seed);
+        FleetRun valkey =
+            new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(12, 4, 64, 2, 3), 1, seed)) {
       valkey.counter("store = \"valkey\"\naddress = \"" + StandIns.text(server.address()) + '"');
       List<FleetRun> sides = List.of(lines, valkey);
       double[] from = new double[2];
@@ -392,7 +396,7 @@
         side.start(new ClientFleet.Load(rate, (int) rate, 0, 1, 1));
       }
       for (FleetRun side : sides) {
-        side.clients().begin();
+        side.clients().start();
       }
       FleetRun.sleep((long) STORE_WARM_MS);
       for (int i = 0; i < 2; i++) {
@@ -411,8 +415,8 @@
         out.printf(Locale.ROOT,
             "%-7s tries %6.0f  p50 %6.2f ms  p99 %6.2f ms  CPU %4.0f us a try  resident %5.1f MB  "
             + "rules broken %d%n", i == 0 ? "lines" : "valkey", sent, h.getValueAtPercentile(50) / 1e3,
-            h.getValueAtPercentile(99) / 1e3, 1e6 * took / sent, resident, verdict.breaches().size());
-        broken += verdict.kept() ? 0 : 1;
+            h.getValueAtPercentile(99) / 1e3, 1e6 * took / sent, resident, verdict.violations().size());
+        broken += verdict.passed() ? 0 : 1;
       }
       out.flush();
     }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/DemoCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/DemoCommand.java
@@ -8,15 +8,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
-import willowdoor.testkit.BackendPark;
+import willowdoor.testkit.BackendPool;
 import willowdoor.testkit.ClientFleet;
-import willowdoor.testkit.Faults;
-import willowdoor.testkit.Faults.Fault;
-import willowdoor.testkit.Judge.Rule;
-import willowdoor.testkit.Judge.Verdict;
-import willowdoor.testkit.Tally;
-import willowdoor.testkit.Tally.Stretch;
-import willowdoor.testkit.Terms;
+import willowdoor.testkit.FaultInjector;
+import willowdoor.testkit.FaultInjector.Fault;
+import willowdoor.testkit.InvariantChecker.Rule;
+import willowdoor.testkit.InvariantChecker.Verdict;
+import willowdoor.testkit.LoadStatistics;
+import willowdoor.testkit.LoadStatistics.IntervalStatistics;
+import willowdoor.testkit.RunSettings;
 
 /** Shows the product at work on this machine, with stand-ins for all it needs. */
 @Command(name = "demo", mixinStandardHelpOptions = true,
@@ -40,18 +40,20 @@
     PrintWriter out = spec.commandLine().getOut();
     out.printf("starting %d doors, 6 backends, counter and discovery on loopback ...%n", DOORS);
     out.flush();
-    try (FleetRun run = new FleetRun(Terms.usual(), new BackendPark.Make(6, 4, 32, 110, 200), DOORS, SEED)) {
+    try (FleetRun run =
+        new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(6, 4, 32, 110, 200), DOORS, SEED)) {
       run.start(new ClientFleet.Load(RATE, FIRMS, 0.15, 6, DOORS));
       double from = run.rig().ledger().now();
-      run.clients().begin();
-      try (Faults faults = new Faults(run.rig(), run.doors())) {
-        faults.cause(List.of(new Fault(KILL_AT_MS, Faults.What.KILL_DOOR, 1, AWAY_MS),
-            new Fault(KILL_AT_MS, Faults.What.KILL_BACKEND, 0, AWAY_MS)));
+      run.clients().start();
+      try (FaultInjector faults = new FaultInjector(run.rig(), run.doors())) {
+        faults.inject(List.of(new Fault(KILL_AT_MS, FaultInjector.FaultKind.KILL_DOOR, 1, AWAY_MS),
+            new Fault(KILL_AT_MS, FaultInjector.FaultKind.KILL_BACKEND, 0, AWAY_MS)));
         for (int s = 1; s <= SECONDS; s++) {
           while (run.rig().ledger().now() < from + s * 1_000) {
             FleetRun.sleep(20);
           }
-          Stretch last = run.clients().tally().stretch(from + (s - 1) * 1_000, from + s * 1_000);
+          IntervalStatistics last = run.clients().statistics()
+              .interval(from + (s - 1) * 1_000, from + s * 1_000);
           out.printf("%2d s  doors up %d of %d  offered %3d  served %3d  refused %3d  failed %d%s%n", s,
               run.clients().doorsUp(), DOORS, last.offered(), last.served(), last.refused(), last.failed(),
               s == (int) Math.ceil(KILL_AT_MS / 1_000) ? "   <- door d1 and backend b0 killed" : "");
@@ -60,12 +62,12 @@
       }
       Verdict verdict = run.finish();
       report(run, out, verdict, from);
-      return verdict.kept() ? 0 : 1;
+      return verdict.passed() ? 0 : 1;
     }
   }
 
   private static void report(FleetRun run, PrintWriter out, Verdict verdict, double from) {
-    Stretch all = run.clients().tally().stretch(from, from + 1e6);
+    IntervalStatistics all = run.clients().statistics().interval(from, from + 1e6);
     out.println();
     out.printf("offered            %6d   requests, in %d tries%n", all.offered(), all.tries());
     out.printf("served             %6d%n", all.served());
@@ -79,14 +81,14 @@
     out.printf("p50 / p99          %6.0f / %.0f ms%n%n", all.p50Ms(), all.p99Ms());
     out.printf("%-18s %-6s %10s %10s %8s %8s%n", "firm", "plan", "offered", "served", "quota", "use");
     out.printf("%-18s %-6s %10s %10s %8s %8s%n", "", "", "units", "units", "units", "");
-    run.clients().tally().firms().forEach((name, f) -> line(run, out, name, f));
+    run.clients().statistics().firms().forEach((name, f) -> line(run, out, name, f));
     out.println();
     out.print(verdict);
     out.flush();
   }
 
-  private static void line(FleetRun run, PrintWriter out, String name, Tally.Firm f) {
-    Terms.PlanTerms plan = run.rig().terms().plan(f.plan());
+  private static void line(FleetRun run, PrintWriter out, String name, LoadStatistics.FirmUsage f) {
+    RunSettings.PlanTerms plan = run.rig().terms().plan(f.plan());
     double quota = plan.burst() + plan.rate() * SECONDS;
     out.printf(Locale.ROOT, "%-18s %-6s %10d %10d %8.0f %7.0f%%%n", name, f.plan(), f.offeredUnits(),
         f.servedUnits(),
--- a/daemon/src/main/java/willowdoor/daemon/fleet/DoorFiles.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/DoorFiles.java
@@ -7,22 +7,22 @@
 import java.nio.file.Path;
 import java.util.Locale;
 import java.util.function.IntFunction;
-import willowdoor.testkit.Rig;
+import willowdoor.testkit.TestEnvironment;
 import willowdoor.testkit.StandInDiscovery.Listed;
-import willowdoor.testkit.Terms;
-import willowdoor.testkit.Terms.PlanTerms;
+import willowdoor.testkit.RunSettings;
+import willowdoor.testkit.RunSettings.PlanTerms;
 
 /** Writes the configurations of a rig's doors: the rig's terms in the daemon's own form. */
 public final class DoorFiles {
 
-  private final Rig rig;
+  private final TestEnvironment rig;
   private final Path folder;
   private final int doors;
   private IntFunction<String> more = door -> "";
   /** Lines of the counter's table in the place of the rig's, or null. */
   private IntFunction<String> counter;
 
-  public DoorFiles(Rig rig, Path folder, int doors) {
+  public DoorFiles(TestEnvironment rig, Path folder, int doors) {
     this.rig = rig;
     this.folder = folder;
     this.doors = doors;
@@ -54,7 +54,7 @@
   }
 
   String text(int index, InetSocketAddress listen) {
-    Terms t = rig.terms();
+    RunSettings t = rig.terms();
     StringBuilder text = new StringBuilder(String.format(Locale.ROOT, """
         [instance]
         name = "d%d"
@@ -101,7 +101,7 @@
         """, index, text(listen), doors, index, index % 2 == 0 ? "a" : "b",
         text(rig.discovery().agentOf("d" + index)), counter != null ? counter.apply(index) : "address = \"" +
             text(rig.counter().address(index)) + '"', t.counterLimitMs(),
-        control(index), t.coldFrom(), t.coldMs(), t.tipMultiple(), t.tipAfterMs(), Terms.MOST_UNITS,
+        control(index), t.coldFrom(), t.coldMs(), t.tipMultiple(), t.tipAfterMs(), RunSettings.MAX_UNITS,
         t.deadlineMs(), t.deadlineMs(), t.keyWindowMs(), t.deadlineMs()));
     for (PlanTerms p : t.plans()) {
       text.append(String.format(Locale.ROOT, """
--- a/daemon/src/main/java/willowdoor/daemon/fleet/FairCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/FairCommand.java
@@ -10,13 +10,13 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import willowdoor.testkit.BackendPark;
+import willowdoor.testkit.BackendPool;
 import willowdoor.testkit.ClientFleet;
-import willowdoor.testkit.Judge.Verdict;
-import willowdoor.testkit.Ledger.Asked;
-import willowdoor.testkit.Tally;
-import willowdoor.testkit.Terms;
-import willowdoor.testkit.Terms.PlanTerms;
+import willowdoor.testkit.InvariantChecker.Verdict;
+import willowdoor.testkit.EventHistory.ClientRequest;
+import willowdoor.testkit.LoadStatistics;
+import willowdoor.testkit.RunSettings;
+import willowdoor.testkit.RunSettings.PlanTerms;
 
 /** Real doors beside one firm that floods: without the flood, with it, and with it and the fair queue. */
 @Command(name = "fair", mixinStandardHelpOptions = true, description = {
@@ -81,13 +81,14 @@
     double quota = 40;
     double ofFirst = kind == Kind.metered ? quota : 0;
     PlanTerms first = new PlanTerms("first", ofFirst, 2 * ofFirst, 0, 0, 0);
-    Terms terms = Terms.usual().with(List.of(first, new PlanTerms("full", quota, 2 * quota, 0, 0, 0)), 4_000);
-    try (FleetRun run = new FleetRun(terms, new BackendPark.Make(6, 2, 64, 10, 30), doors, seed)) {
+    RunSettings terms = RunSettings.typical()
+        .withPlansAndKeyWindow(List.of(first, new PlanTerms("full", quota, 2 * quota, 0, 0, 0)), 4_000);
+    try (FleetRun run = new FleetRun(terms, new BackendPool.BackendSpec(6, 2, 64, 10, 30), doors, seed)) {
       if (queue) {
         run.more(String.format(QUEUE));
       }
       run.start(new ClientFleet.Load(rate, 40, 0, 1, doors));
-      run.clients().begin();
+      run.clients().start();
       if (flood > 0) {
         run.clients().flood(flood, clients);
       }
@@ -101,33 +102,33 @@
       }
       Verdict verdict = run.finish();
       String flooding = run.clients().firms().get(0);
-      Tally.Firm f = run.clients().tally().firms().get(flooding);
+      LoadStatistics.FirmUsage f = run.clients().statistics().firms().get(flooding);
       long asked = count(run, from, to, flooding, false);
       Histogram served = AuthorisedCommand.times(run, from, to, a -> !a.firm().equals(flooding));
       out.printf(Locale.ROOT, "%-13s others: %6d tries, served %.4f, p50 %.0f ms, p99 %.0f ms; the first: "
           + "%.1f units/s served, %d refused, %d came back when told, %s honoured; most resident %.0f MB; "
           + "rules broken %d%n", name, asked, (double) served.getTotalCount() / asked,
           served.getValueAtPercentile(50) / 1e3, served.getValueAtPercentile(99) / 1e3,
-          f.servedUnits() * 1_000.0 / (to - from + WARM_MS), f.refused(), f.returned(),
-          f.returned() == 0 ? "-" : String.format(Locale.ROOT, "%.4f",
-              (double) f.honoured() / f.returned()), resident,
-          verdict.breaches().size());
+          f.servedUnits() * 1_000.0 / (to - from + WARM_MS), f.refused(), f.promptedRetries(),
+          f.promptedRetries() == 0 ? "-" : String.format(Locale.ROOT, "%.4f",
+              (double) f.acceptedRetries() / f.promptedRetries()), resident,
+          verdict.violations().size());
       for (int i = 0; i < doors; i++) {
         run.log(i).lines().filter(l -> l.contains("fair queue: ")).reduce((a, b) -> b)
             .ifPresent(l -> out.println("  " + l.substring(l.indexOf("fair queue: "))));
       }
-      if (!verdict.kept()) {
+      if (!verdict.passed()) {
         out.println(verdict);
       }
       out.flush();
-      return verdict.kept();
+      return verdict.passed();
     }
   }
 
   private static long count(FleetRun run, double from, double to, String firm, boolean of) {
     long[] n = new long[1];
-    run.rig().ledger().histories().forEach((id, history) -> {
-      Asked asked = run.rig().ledger().asked(id);
+    run.rig().ledger().requestHistories().forEach((id, history) -> {
+      ClientRequest asked = run.rig().ledger().clientRequest(id);
       n[0] += asked != null && asked.dueMs() >= from && asked.dueMs() < to && asked.firm().equals(firm) == of
           ? 1 : 0;
     });
--- a/daemon/src/main/java/willowdoor/daemon/fleet/FleetCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/FleetCommand.java
@@ -13,15 +13,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import willowdoor.daemon.agreement.ReleaseCommand;
-import willowdoor.testkit.BackendPark;
+import willowdoor.testkit.BackendPool;
 import willowdoor.testkit.ClientFleet;
 import willowdoor.testkit.DoorProcess;
-import willowdoor.testkit.Faults;
-import willowdoor.testkit.Faults.Fault;
-import willowdoor.testkit.Judge.Verdict;
-import willowdoor.testkit.Tally;
-import willowdoor.testkit.Tally.Stretch;
-import willowdoor.testkit.Terms;
+import willowdoor.testkit.FaultInjector;
+import willowdoor.testkit.FaultInjector.Fault;
+import willowdoor.testkit.InvariantChecker.Verdict;
+import willowdoor.testkit.LoadStatistics;
+import willowdoor.testkit.LoadStatistics.IntervalStatistics;
+import willowdoor.testkit.RunSettings;
 
 /** Runs a fleet of daemons on this machine under load, breaks it by a seed, and judges what came of it. */
 @Command(name = "fleet", mixinStandardHelpOptions = true,
@@ -78,7 +78,7 @@
     public Fault convert(String text) {
       Matcher m = FORM.matcher(text);
       if (m.matches()) {
-        for (Faults.What what : Faults.What.values()) {
+        for (FaultInjector.FaultKind what : FaultInjector.FaultKind.values()) {
           if (what.name().equals(m.group(1))) {
             return new Fault(Double.parseDouble(m.group(2)), what,
                 m.group(4) == null ? 0 : Integer.parseInt(m.group(4)), Double.parseDouble(m.group(3)));
@@ -87,7 +87,7 @@
       }
       throw new CommandLine.TypeConversionException(text
           + " (expected: KIND@AT_MS+FOR_MS[/TARGET], KIND one of "
-          + List.of(Faults.What.values()) + ")");
+          + List.of(FaultInjector.FaultKind.values()) + ")");
     }
   }
 
@@ -98,12 +98,12 @@
     // Backends can do about half as much again as is asked: 110 to 200 ms of work on four cores each.
     int backends = Math.max(6, (int) Math.ceil(all * 0.155 * 1.6 / 4));
     int firms = Math.max(20, (int) (all / 2));
-    BackendPark.Make make = new BackendPark.Make(backends, 4, 32, 110, 200);
+    BackendPool.BackendSpec make = new BackendPool.BackendSpec(backends, 4, 32, 110, 200);
     out.printf("%d doors, %d backends of 4 cores, %d firms, %.0f requests/s for %d s, seed %d%n", doorCount,
         backends,
         firms, all, seconds, seed);
     out.flush();
-    try (FleetRun run = new FleetRun(Terms.usual(), make, doorCount, seed)) {
+    try (FleetRun run = new FleetRun(RunSettings.typical(), make, doorCount, seed)) {
       long began = System.nanoTime();
       run.start(new ClientFleet.Load(all, firms, 0.1, 5, 4));
       out.printf("all doors up after %.1f s%n", (System.nanoTime() - began) / 1e9);
@@ -119,26 +119,29 @@
     double span = withinMs > 0 ? withinMs : lengthMs * KILL_PART;
     double givenEnd = from + faultsGiven.stream().mapToDouble(f -> f.atMs() + f.lastsMs()).max().orElse(0);
     double faultsEnd = Math.max(givenEnd, quietEnd + span + (kills > 0 ? MOST_AWAY_MS : 0));
-    run.clients().begin();
+    run.clients().start();
     int rolled = 0;
     double[] cpu;
     long sent;
-    try (Faults faults = new Faults(run.rig(), run.doors())) {
+    try (FaultInjector faults = new FaultInjector(run.rig(), run.doors())) {
       if (kills > 0) {
-        faults.cause(Faults.kills(seed, doorCount, kills, lengthMs * QUIET_PART, span, LEAST_AWAY_MS,
+        faults.inject(FaultInjector.kills(seed, doorCount, kills, lengthMs * QUIET_PART, span, LEAST_AWAY_MS,
             MOST_AWAY_MS));
       }
       if (slowCounter) {
-        faults.cause(List.of(new Fault(lengthMs * QUIET_PART, Faults.What.SLOW_COUNTER, 0, span
+        faults.inject(List.of(new Fault(lengthMs * QUIET_PART, FaultInjector.FaultKind.SLOW_COUNTER, 0, span
             + MOST_AWAY_MS)));
       }
       if (backendFaults > 0) {
-        faults.cause(Faults.draw(seed + 1, backendFaults, List.of(Faults.What.KILL_BACKEND,
-            Faults.What.DRAIN_BACKEND, Faults.What.ERRORS_BACKEND, Faults.What.RESETS_BACKEND,
-            Faults.What.SPOILS_BACKEND, Faults.What.SLOW_BACKEND), run.rig().park().all().size(),
+        faults.inject(FaultInjector
+            .draw(seed + 1, backendFaults, List.of(FaultInjector.FaultKind.KILL_BACKEND,
+            FaultInjector.FaultKind.DRAIN_BACKEND, FaultInjector.FaultKind.ERRORS_BACKEND,
+            FaultInjector.FaultKind.RESETS_BACKEND,
+            FaultInjector.FaultKind.SPOILS_BACKEND, FaultInjector.FaultKind.SLOW_BACKEND),
+            run.rig().backendPool().all().size(),
             lengthMs * QUIET_PART, lengthMs * (QUIET_PART + KILL_PART), 3_000, 8_000));
       }
-      faults.cause(faultsGiven);
+      faults.inject(faultsGiven);
       if (roll) {
         FleetRun.sleep((long) (lengthMs * QUIET_PART));
         for (int i = 0; i < doorCount; i++) {
@@ -175,7 +178,7 @@
         run.rig().counter().calls(), run.clients().sent(), run.clients().skipped());
     out.print(verdict);
     out.flush();
-    return verdict.kept() && (!roll || rolled == doorCount) ? 0 : 1;
+    return verdict.passed() && (!roll || rolled == doorCount) ? 0 : 1;
   }
 
   private static void waitUntil(FleetRun run, double atMs) {
@@ -186,19 +189,19 @@
 
   private void report(FleetRun run, PrintWriter out, double from, double quietEnd, double faultsEnd,
       double to) {
-    Tally tally = run.clients().tally();
+    LoadStatistics tally = run.clients().statistics();
     // A second counts by the first tries due in it, whose retries may be met by what comes next.
-    Stretch before = tally.stretch(from + 1_000, quietEnd - 1_000);
+    IntervalStatistics before = tally.interval(from + 1_000, quietEnd - 1_000);
     print(out, "before", before);
     if (kills > 0 || roll || backendFaults > 0 || !faultsGiven.isEmpty()) {
-      print(out, "during", tally.stretch(quietEnd, Math.min(to, faultsEnd)));
-      print(out, "after", tally.stretch(Math.min(to, faultsEnd) + 1_000, to));
+      print(out, "during", tally.interval(quietEnd, Math.min(to, faultsEnd)));
+      print(out, "after", tally.interval(Math.min(to, faultsEnd) + 1_000, to));
     }
     if (kills > 0) {
       double worst = 1;
       double recovered = quietEnd;
       for (double s = quietEnd; s + 1_000 <= to; s += 1_000) {
-        double share = tally.stretch(s, s + 1_000).servedShare();
+        double share = tally.interval(s, s + 1_000).servedShare();
         worst = Math.min(worst, share);
         if (share < RECOVERED * before.servedShare()) {
           recovered = s + 1_000;
@@ -210,7 +213,7 @@
     }
   }
 
-  private static void print(PrintWriter out, String name, Stretch s) {
+  private static void print(PrintWriter out, String name, IntervalStatistics s) {
     out.printf(Locale.ROOT,
         "%-7s requests %6d  tries %6d  served %.4f  refused %d  failed %d  unanswered %d  not taken %d  "
         + "p50 %.0f ms  p99 %.0f ms%n", name, s.offered(), s.tries(), s.servedShare(), s.refused(),
--- a/daemon/src/main/java/willowdoor/daemon/fleet/FleetRun.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/FleetRun.java
@@ -17,13 +17,13 @@
 import java.util.function.IntFunction;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
-import willowdoor.testkit.BackendPark;
+import willowdoor.testkit.BackendPool;
 import willowdoor.testkit.ClientFleet;
 import willowdoor.testkit.DoorProcess;
-import willowdoor.testkit.Judge.Verdict;
-import willowdoor.testkit.Launches;
-import willowdoor.testkit.Rig;
-import willowdoor.testkit.Terms;
+import willowdoor.testkit.InvariantChecker.Verdict;
+import willowdoor.testkit.LaunchRecorder;
+import willowdoor.testkit.TestEnvironment;
+import willowdoor.testkit.RunSettings;
 
 /**
  * A fleet of daemons as child processes on loopback addresses of their own, in the rig's world. Every process
@@ -47,7 +47,7 @@
   private static final long START_LIMIT_MS = 120_000;
   private static final long QUIET_LIMIT_MS = 8_000;
 
-  private final Rig rig;
+  private final TestEnvironment rig;
   private final Path folder;
   private final DoorFiles files;
   private final List<DoorProcess> doors = new ArrayList<>();
@@ -55,11 +55,12 @@
   private FileChannel netLock;
   private ClientFleet clients;
   /** Null where doors have no versions. */
-  private Launches launches;
+  private LaunchRecorder launches;
   private String version;
 
-  public FleetRun(Terms terms, BackendPark.Make backends, int doorCount, long seed) throws IOException {
-    rig = new Rig(terms, backends, seed);
+  public FleetRun(RunSettings terms, BackendPool.BackendSpec backends, int doorCount,
+      long seed) throws IOException {
+    rig = new TestEnvironment(terms, backends, seed);
     folder = Files.createTempDirectory("willowdoor-fleet");
     files = new DoorFiles(rig, folder, doorCount);
     net = network();
@@ -98,7 +99,7 @@
   private List<String> doorCommand(int door, InetSocketAddress address) {
     List<String> words = command(files.write(door, address), false);
     if (launches != null) {
-      words.addAll(0, launches.words("d" + door, version));
+      words.addAll(0, launches.launchCommand("d" + door, version));
       words.addAll(List.of("--release", version));
     }
     return words;
@@ -110,12 +111,12 @@
    * @return the words of the command that starts a version in a door's place, by the door's number: the
    *     version stands as {version}, also in its configuration's name ({@link #version})
    */
-  IntFunction<List<String>> versions(Launches kept, String first) {
+  IntFunction<List<String>> versions(LaunchRecorder kept, String first) {
     launches = kept;
     version = first;
     doors.forEach(kept::follow);
     return door -> {
-      List<String> words = new ArrayList<>(kept.words("d" + door, "{version}"));
+      List<String> words = new ArrayList<>(kept.launchCommand("d" + door, "{version}"));
       words.addAll(command(folder.resolve("d" + door + "-{version}.toml"), true));
       words.addAll(List.of("--release", "{version}"));
       return words;
@@ -152,7 +153,7 @@
     return words;
   }
 
-  public Rig rig() {
+  public TestEnvironment rig() {
     return rig;
   }
 
@@ -206,7 +207,7 @@
     clients = rig.fleet(doors, load);
     if (!until(() -> clients.doorsUp() == doors.size(), START_LIMIT_MS)) {
       for (int i = 0; i < doors.size(); i++) {
-        if (!clients.up(i)) {
+        if (!clients.isUp(i)) {
           throw new IOException("door d" + i + " is not up after " + START_LIMIT_MS + " ms; it printed: "
               + log(i));
         }
@@ -216,8 +217,8 @@
 
   /** Asks nothing new, waits until all that is out has ended, and judges. */
   public Verdict finish() {
-    clients.end();
-    until(() -> clients.out() == 0, QUIET_LIMIT_MS);
+    clients.stop();
+    until(() -> clients.outstanding() == 0, QUIET_LIMIT_MS);
     sleep(200);
     return rig.verdict();
   }
@@ -231,7 +232,7 @@
     Process old = door.process();
     door.replace(command(files.write(number, door.address()), true));
     return DoorProcess.join(old, limitMs) && old.exitValue() == 0
-        && until(() -> door.alive() && clients.up(number), limitMs);
+        && until(() -> door.isAlive() && clients.isUp(number), limitMs);
   }
 
   /** Waits for a condition, looking every 20 ms; false when the limit passed first. */
--- a/daemon/src/main/java/willowdoor/daemon/fleet/LabCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/LabCommand.java
@@ -52,8 +52,8 @@
       PrintWriter out = spec.commandLine().getOut();
       try {
         FairSweep sweep = new FairSweep(seed, seconds * 1_000);
-        sweep.apart(out);
-        sweep.all(out, chart);
+        sweep.measureSpread(out);
+        sweep.runAll(out, chart);
       } catch (IOException e) {
         throw new java.io.UncheckedIOException("cannot write " + chart, e);
       }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/ReleaseRun.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/ReleaseRun.java
@@ -17,12 +17,12 @@
 import willowdoor.steward.link.Answer;
 import willowdoor.steward.link.OperatorClient;
 import willowdoor.steward.link.FleetStatus;
-import willowdoor.testkit.BackendPark;
+import willowdoor.testkit.BackendPool;
 import willowdoor.testkit.ClientFleet;
-import willowdoor.testkit.Judge;
-import willowdoor.testkit.Launches;
-import willowdoor.testkit.Ledger;
-import willowdoor.testkit.Terms;
+import willowdoor.testkit.InvariantChecker;
+import willowdoor.testkit.LaunchRecorder;
+import willowdoor.testkit.EventHistory;
+import willowdoor.testkit.RunSettings;
 
 /**
  * Stewards and doors as processes of their own, with versions of the program, good and bad, and an operator
@@ -53,7 +53,7 @@
 
   private final FleetRun run;
   private final Stewards stewards;
-  private final Launches launches;
+  private final LaunchRecorder launches;
   private final OperatorClient operator;
   private int requests;
 
@@ -63,17 +63,18 @@
    * @param budget so many doors may be out
    */
   ReleaseRun(int keepers, int doors, int budget, double rate, long seed) throws IOException {
-    this(Terms.usual(), keepers, doors, budget, rate, seed);
+    this(RunSettings.typical(), keepers, doors, budget, rate, seed);
   }
 
   /** The same by other terms. */
-  ReleaseRun(Terms terms, int keepers, int doors, int budget, double rate, long seed) throws IOException {
-    run = new FleetRun(terms, new BackendPark.Make(8, 4, 32, 5, 10), doors, seed);
-    run.rig().budgets(new Judge.Budgets(budget, budget, x -> x.startsWith("d"), LAPSE_MS));
+  ReleaseRun(RunSettings terms, int keepers, int doors, int budget, double rate,
+      long seed) throws IOException {
+    run = new FleetRun(terms, new BackendPool.BackendSpec(8, 4, 32, 5, 10), doors, seed);
+    run.rig().budgets(new InvariantChecker.Budgets(budget, budget, x -> x.startsWith("d"), LAPSE_MS));
     stewards = new Stewards(run, keepers, "lease_ms = 1500\ndoors_out = " + budget + "\nbackends_out = "
         + budget
         + "\n");
-    launches = new Launches(run.rig().ledger(), run.folder());
+    launches = new LaunchRecorder(run.rig().ledger(), run.folder());
     IntFunction<List<String>> successor = run.versions(launches, OLD);
     stewards.more(door -> "successor = [" + successor.apply(door).stream().map(x -> '"' + x + '"')
         .collect(Collectors.joining(", ")) + "]\n");
@@ -82,7 +83,7 @@
     }
     stewards.start();
     run.start(new ClientFleet.Load(rate, 40, 0.1, 5, 1));
-    run.clients().begin();
+    run.clients().start();
     operator = stewards.operator("ana");
     if (!FleetRun.until(() -> knows(doors), 30_000)) {
       throw new IOException("not all doors are known after 30 s: " + stewards.look());
@@ -121,13 +122,13 @@
     return stewards;
   }
 
-  Launches launches() {
+  LaunchRecorder launches() {
     return launches;
   }
 
   /** Asks for a release; null where nobody answered. */
   Outcome start(Plan plan) throws InterruptedException {
-    note(Ledger.Kind.LET_ON, plan, plan.to());
+    note(EventHistory.Kind.LET_ON, plan, plan.to());
     return outcome(operator.put(new StartRelease(0, "start-" + ++requests, plan, "ana"), CALL_MS));
   }
 
@@ -135,7 +136,7 @@
   Outcome steer(Steering what) throws InterruptedException {
     Release last = awaitRelease(x -> true, CALL_MS);
     if (last != null && (what == Steering.BACK || what == Steering.RESUME)) {
-      note(Ledger.Kind.LET_ON, last.plan(),
+      note(EventHistory.Kind.LET_ON, last.plan(),
           what == Steering.BACK ? last.plan().from() : last.targetVersion());
     }
     return last == null ? null : outcome(operator.put(new SteerRelease(0, "steer-" + ++requests, last.id(),
@@ -169,23 +170,23 @@
     Release still = awaitRelease(x -> x.mode() == Mode.ENDED || x.mode() == Mode.HALTED && x.hasStopped(),
         limitMs);
     if (still != null) {
-      note(still.mode() == Mode.ENDED ? Ledger.Kind.RELEASED : Ledger.Kind.HALTED, still.plan(),
+      note(still.mode() == Mode.ENDED ? EventHistory.Kind.RELEASED : EventHistory.Kind.HALTED, still.plan(),
           still.targetVersion());
     }
     return still;
   }
 
   /** The versions that the ledger knows of are the doors'. */
-  private void note(Ledger.Kind kind, Plan plan, String version) {
+  private void note(EventHistory.Kind kind, Plan plan, String version) {
     if (plan.of() == Plan.Kind.DOORS) {
-      run.rig().ledger().machine(kind, "", version);
+      run.rig().ledger().addMachineEntry(kind, "", version);
     }
   }
 
   /** The versions that the doors' processes have, by their number. */
   List<String> versions() {
     List<String> all = new ArrayList<>();
-    run.doors().forEach(x -> all.add(launches.version(x.name())));
+    run.doors().forEach(x -> all.add(launches.runningVersion(x.name())));
     return all;
   }
 
--- a/daemon/src/main/java/willowdoor/daemon/fleet/ReleasedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/ReleasedCommand.java
@@ -22,8 +22,8 @@
 import willowdoor.rollout.Release.Mode;
 import willowdoor.steward.link.FleetStatus;
 import willowdoor.testkit.DoorProcess;
-import willowdoor.testkit.Judge.Verdict;
-import willowdoor.testkit.Relay;
+import willowdoor.testkit.InvariantChecker.Verdict;
+import willowdoor.testkit.FaultyLink;
 
 /** Releases versions, good and bad, over doors that are processes, breaks what is between, and judges. */
 @Command(name = "released", mixinStandardHelpOptions = true, description = {
@@ -97,7 +97,7 @@
               h.getTotalCount(), h.getValueAtPercentile(50), h.getMaxValue());
         }
       }
-      breaches += verdict.breaches().size();
+      breaches += verdict.violations().size();
       say("breaches %d", breaches);
       return breaches == 0 ? 0 : 1;
     }
@@ -163,7 +163,7 @@
   private void bad(ReleaseRun run, String version) throws InterruptedException {
     long from = System.nanoTime();
     begin(run, plan(ReleaseRun.OLD, version));
-    FleetRun.until(() -> run.launches().began(version) > 0, BEGIN_LIMIT_MS);
+    FleetRun.until(() -> run.launches().doorsStarted(version) > 0, BEGIN_LIMIT_MS);
     long began = System.nanoTime();
     Release still = run.awaitStill(RELEASE_LIMIT_MS);
     if (still == null || still.mode() != Mode.HALTED) {
@@ -172,7 +172,7 @@
     }
     haltedMs.recordValue(since(began));
     say("%s: halted %d ms after its first start, %d ms after it was asked for; %d doors got it: %s", version,
-        since(began), since(from), run.launches().began(version), still.why());
+        since(began), since(from), run.launches().doorsStarted(version), still.why());
   }
 
   private void broken(ReleaseRun run) throws InterruptedException {
@@ -184,12 +184,12 @@
     run.awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD) >= 4, RELEASE_LIMIT_MS);
     leader.start();
     for (int i = 1; i < doors; i += 2) {
-      run.stewards().door(i, Relay.Mode.SILENT);
+      run.stewards().door(i, FaultyLink.Mode.SILENT);
     }
     FleetRun.sleep(CUT_MS);
     run.stewards().mend();
     for (int i = 1; i < doors; i += 2) {
-      run.stewards().door(i, Relay.Mode.WHOLE);
+      run.stewards().door(i, FaultyLink.Mode.WHOLE);
     }
     Release still = run.awaitStill(RELEASE_LIMIT_MS);
     say("the leader killed, zone b cut off for %d s: %s after %d ms", CUT_MS / 1_000, still == null
--- a/daemon/src/main/java/willowdoor/daemon/fleet/Stewards.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/Stewards.java
@@ -15,7 +15,7 @@
 import willowdoor.steward.link.OperatorClient;
 import willowdoor.steward.link.FleetStatus;
 import willowdoor.testkit.DoorProcess;
-import willowdoor.testkit.Relay;
+import willowdoor.testkit.FaultyLink;
 import willowdoor.testkit.StandIns;
 
 /**
@@ -30,17 +30,17 @@
   private final String terms;
   private final List<DoorProcess> processes = new ArrayList<>();
   /** From the first steward to the second; null from each to itself. */
-  private final Relay[][] between;
+  private final FaultyLink[][] between;
   /** From the door to the steward. */
-  private final Relay[][] doors;
+  private final FaultyLink[][] doors;
   private IntFunction<String> more = door -> "";
   private boolean begun;
 
   Stewards(FleetRun run, int count, String terms) {
     this.run = run;
     this.terms = terms;
-    between = new Relay[count][count];
-    doors = new Relay[run.doors().size()][count];
+    between = new FaultyLink[count][count];
+    doors = new FaultyLink[run.doors().size()][count];
     for (int i = 0; i < count; i++) {
       for (int k = 0; k < count; k++) {
         between[i][k] = i == k ? null : run.rig().relay(address(k));
@@ -71,7 +71,7 @@
     more = lines;
   }
 
-  private static String texts(List<Relay> relays) {
+  private static String texts(List<FaultyLink> relays) {
     return relays.stream().map(r -> '"' + StandIns.text(r.address()) + '"').collect(Collectors.joining(", "));
   }
 
@@ -146,41 +146,41 @@
   }
 
   /** Has the links of a steward, to and from the others and from the doors, be so. */
-  void steward(int steward, Relay.Mode mode) {
+  void steward(int steward, FaultyLink.Mode mode) {
     for (int k = 0; k < processes.size(); k++) {
       if (k != steward) {
-        between[steward][k].set(mode);
-        between[k][steward].set(mode);
+        between[steward][k].setMode(mode);
+        between[k][steward].setMode(mode);
       }
     }
-    for (Relay[] door : doors) {
-      door[steward].set(mode);
+    for (FaultyLink[] door : doors) {
+      door[steward].setMode(mode);
     }
   }
 
   /** Has one directed link between stewards be so. */
-  void between(int from, int to, Relay.Mode mode) {
-    between[from][to].set(mode);
+  void between(int from, int to, FaultyLink.Mode mode) {
+    between[from][to].setMode(mode);
   }
 
   /** Has the links of a door to all stewards be so. */
-  void door(int door, Relay.Mode mode) {
-    for (Relay link : doors[door]) {
-      link.set(mode);
+  void door(int door, FaultyLink.Mode mode) {
+    for (FaultyLink link : doors[door]) {
+      link.setMode(mode);
     }
   }
 
   /** Bytes between doors and stewards so far, and between stewards. */
   long[] passed() {
     long[] sums = new long[2];
-    for (Relay[] door : doors) {
-      for (Relay link : door) {
-        sums[0] += link.passed();
+    for (FaultyLink[] door : doors) {
+      for (FaultyLink link : door) {
+        sums[0] += link.bytesForwarded();
       }
     }
-    for (Relay[] steward : between) {
-      for (Relay link : steward) {
-        sums[1] += link == null ? 0 : link.passed();
+    for (FaultyLink[] steward : between) {
+      for (FaultyLink link : steward) {
+        sums[1] += link == null ? 0 : link.bytesForwarded();
       }
     }
     return sums;
@@ -199,8 +199,8 @@
   /** All links whole, all processes there and going on. */
   void mend() {
     for (int i = 0; i < processes.size(); i++) {
-      steward(i, Relay.Mode.WHOLE);
-      processes.get(i).stopped(false);
+      steward(i, FaultyLink.Mode.WHOLE);
+      processes.get(i).setSuspended(false);
       processes.get(i).start();
     }
   }
--- a/daemon/src/test/java/willowdoor/daemon/fleet/AgreedTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/AgreedTest.java
@@ -32,14 +32,14 @@
 import willowdoor.steward.link.Answer;
 import willowdoor.steward.link.OperatorClient;
 import willowdoor.steward.link.FleetStatus;
-import willowdoor.testkit.BackendPark;
+import willowdoor.testkit.BackendPool;
 import willowdoor.testkit.ClientFleet;
 import willowdoor.testkit.DoorProcess;
-import willowdoor.testkit.Judge;
-import willowdoor.testkit.Ledger;
-import willowdoor.testkit.Relay;
+import willowdoor.testkit.InvariantChecker;
+import willowdoor.testkit.EventHistory;
+import willowdoor.testkit.FaultyLink;
 import willowdoor.testkit.StandIns;
-import willowdoor.testkit.Terms;
+import willowdoor.testkit.RunSettings;
 
 /** Three stewards and three doors, each a process, under load, with faults between them. */
 @Timeout(120)
@@ -56,13 +56,13 @@
 
   @BeforeEach
   void open() throws IOException {
-    run = new FleetRun(Terms.usual(), new BackendPark.Make(4, 4, 32, 5, 10), 3, 7);
-    run.rig().budgets(new Judge.Budgets(1, 1, x -> x.startsWith("d"), 15_000));
+    run = new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(4, 4, 32, 5, 10), 3, 7);
+    run.rig().budgets(new InvariantChecker.Budgets(1, 1, x -> x.startsWith("d"), 15_000));
     stewards = new Stewards(run, 3, TERMS);
     stewards.more(door -> "management = \"" + StandIns.text(run.address(MANAGED + door, 7300)) + "\"\n");
     stewards.start();
     run.start(new ClientFleet.Load(60, 20, 0.1, 5, 1));
-    run.clients().begin();
+    run.clients().start();
     operator = stewards.operator("ana");
     await("all doors and backends known", () -> {
       FleetStatus s = stewards.look();
@@ -100,11 +100,11 @@
 
   private void granted(Subject subject, String name) throws InterruptedException {
     Granted granted = assertInstanceOf(Granted.class, ask(subject));
-    run.rig().ledger().machine(Ledger.Kind.PERMITTED, name, Long.toString(granted.permit()));
+    run.rig().ledger().addMachineEntry(EventHistory.Kind.PERMITTED, name, Long.toString(granted.permit()));
   }
 
   private void giveBack(Subject subject, String name) throws InterruptedException {
-    run.rig().ledger().machine(Ledger.Kind.GIVEN_BACK, name, "");
+    run.rig().ledger().addMachineEntry(EventHistory.Kind.GIVEN_BACK, name, "");
     long permit = stewards.look().permits().stream().filter(x -> x.subject().equals(subject)).findFirst()
         .orElseThrow().id();
     assertInstanceOf(Answer.Came.class, operator.put(new ReturnPermit(0, subject, permit, "ana"), LIMIT_MS));
@@ -118,7 +118,7 @@
 
   private void awaitOut(int backend) {
     await("out", () -> stage(backend(backend)) == Stage.OUT);
-    run.rig().ledger().machine(Ledger.Kind.OUT, "b" + backend, "");
+    run.rig().ledger().addMachineEntry(EventHistory.Kind.OUT, "b" + backend, "");
   }
 
   private boolean says(int door, Activity what) {
@@ -127,22 +127,22 @@
   }
 
   private void kept() {
-    Judge.Verdict verdict = run.finish();
-    assertTrue(verdict.kept(), verdict::toString);
+    InvariantChecker.Verdict verdict = run.finish();
+    assertTrue(verdict.passed(), verdict::toString);
     assertTrue(verdict.served() > 0, verdict::toString);
   }
 
   @Test
   void doorsGoOutOneAtATimeAndBackendsAreOutWhenNobodySendsThereAnyMore() throws Exception {
     granted(door(0), "d0");
-    await("d0 sends clients away", () -> says(0, Activity.EMPTY) && !run.clients().up(0));
+    await("d0 sends clients away", () -> says(0, Activity.EMPTY) && !run.clients().isUp(0));
     assertInstanceOf(Waiting.class, ask(door(1)));
     granted(backend(2), "b2");
     awaitOut(2);
     assertInstanceOf(Waiting.class, ask(backend(3)));
     FleetRun.sleep(500);
     giveBack(door(0), "d0");
-    await("d0 back, then d1 out", () -> run.clients().up(0) && says(1, Activity.EMPTY));
+    await("d0 back, then d1 out", () -> run.clients().isUp(0) && says(1, Activity.EMPTY));
     giveBack(backend(2), "b2");
     await("b3 in its place", () -> stage(backend(3)) == Stage.OUT && stage(backend(2)) == null);
     kept();
@@ -178,7 +178,7 @@
   /** Cut off from the stewards and not from the backend: nobody is told that it is out until it knows. */
   @Test
   void aBackendIsNotOutWhileADoorThatWasCutOffMaySendThere() throws Exception {
-    stewards.door(1, Relay.Mode.SILENT);
+    stewards.door(1, FaultyLink.Mode.SILENT);
     granted(backend(0), "b0");
     await("held up by d1 alone", () -> {
       FleetStatus s = stewards.look();
@@ -186,7 +186,7 @@
     });
     FleetRun.sleep(2_500);
     assertEquals(Stage.GRANTED, stage(backend(0)));
-    stewards.door(1, Relay.Mode.WHOLE);
+    stewards.door(1, FaultyLink.Mode.WHOLE);
     awaitOut(0);
     FleetRun.sleep(500);
     kept();
@@ -196,10 +196,10 @@
   @Test
   void aLeaderIsStoppedAndGoesOn() throws Exception {
     int old = stewards.leader();
-    stewards.processes().get(old).stopped(true);
+    stewards.processes().get(old).setSuspended(true);
     granted(door(0), "d0");
     FleetRun.sleep(2_000);
-    stewards.processes().get(old).stopped(false);
+    stewards.processes().get(old).setSuspended(false);
     assertInstanceOf(Waiting.class, ask(door(1)));
     assertNotEquals(old, stewards.leader());
     kept();
@@ -211,13 +211,13 @@
     // Of its own zone, where it would send first.
     granted(backend(1), "b1");
     awaitOut(1);
-    stewards.door(1, Relay.Mode.CUT);
+    stewards.door(1, FaultyLink.Mode.CUT);
     run.doors().get(1).kill();
-    await("d1 is missed", () -> !run.clients().up(1));
+    await("d1 is missed", () -> !run.clients().isUp(1));
     run.doors().get(1).start();
-    await("d1 serves", () -> run.clients().up(1));
+    await("d1 serves", () -> run.clients().isUp(1));
     FleetRun.sleep(1_500);
-    stewards.door(1, Relay.Mode.WHOLE);
+    stewards.door(1, FaultyLink.Mode.WHOLE);
     FleetRun.sleep(500);
     giveBack(backend(1), "b1");
     await("back", () -> stage(backend(1)) == null);
@@ -251,18 +251,18 @@
       out = call(0, "/backends/disable?member=b2");
     }
     says(200, "out by permit", out);
-    run.rig().ledger().machine(Ledger.Kind.OUT, "b2", "");
+    run.rig().ledger().addMachineEntry(EventHistory.Kind.OUT, "b2", "");
     says(409, "asked for by an operator at d0", call(2, "/backends/disable?member=b2"));
     says(409, "is known", call(0, "/backends/disable?member=zz"));
     FleetRun.sleep(500);
-    run.rig().ledger().machine(Ledger.Kind.GIVEN_BACK, "b2", "");
+    run.rig().ledger().addMachineEntry(EventHistory.Kind.GIVEN_BACK, "b2", "");
     says(200, "comes back", call(2, "/backends/enable?member=b2"));
     says(200, "not out on purpose", call(2, "/backends/enable?member=b1"));
-    stewards.door(0, Relay.Mode.SILENT);
+    stewards.door(0, FaultyLink.Mode.SILENT);
     FleetRun.sleep(2_000);
     says(409, "nothing can be agreed on", call(0, "/drain"));
     says(503, "no steward says how it stands", call(0, "/undrain"));
-    stewards.door(0, Relay.Mode.WHOLE);
+    stewards.door(0, FaultyLink.Mode.WHOLE);
     await("all back", () -> stewards.look() != null && stewards.look().permits().isEmpty());
     kept();
   }
@@ -282,7 +282,7 @@
     process.kill();
     copy(copy, run.folder(), "s" + one + ".db");
     process.start();
-    await("it ends", () -> !process.alive());
+    await("it ends", () -> !process.isAlive());
     assertTrue(stewards.log(one).contains("It is an older copy, or new"), stewards.log(one));
     assertInstanceOf(Waiting.class, ask(door(1)));
     kept();
@@ -300,7 +300,7 @@
   /** Replies that are up to a second late, and then one byte at a time. */
   @Test
   void linksAreSlowAndNotCut() throws Exception {
-    for (Relay.Mode mode : new Relay.Mode[] {Relay.Mode.LATE, Relay.Mode.TRICKLE}) {
+    for (FaultyLink.Mode mode : new FaultyLink.Mode[] {FaultyLink.Mode.LATE, FaultyLink.Mode.TRICKLE}) {
       for (int i = 0; i < 3; i++) {
         stewards.door(i, mode);
       }
--- a/daemon/src/test/java/willowdoor/daemon/fleet/BackendReleaseTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/BackendReleaseTest.java
@@ -20,9 +20,9 @@
 import willowdoor.rollout.Release;
 import willowdoor.rollout.Release.Mode;
 import willowdoor.testkit.DoorProcess;
-import willowdoor.testkit.Judge;
+import willowdoor.testkit.InvariantChecker;
 import willowdoor.testkit.StandInBackend;
-import willowdoor.testkit.Terms;
+import willowdoor.testkit.RunSettings;
 
 /** Three stewards and three doors, each a process, and eight backends that are restarted a few at a time. */
 @Timeout(180)
@@ -37,7 +37,7 @@
 
   @BeforeEach
   void open() throws IOException {
-    fleet = new ReleaseRun(Terms.usual().warmAfter(1_500), 3, 3, MAY_BE_OUT, 60, 11);
+    fleet = new ReleaseRun(RunSettings.typical().withColdMs(1_500), 3, 3, MAY_BE_OUT, 60, 11);
     restarts = new BackendRestarts(fleet);
   }
 
@@ -73,8 +73,8 @@
   }
 
   private void kept() {
-    Judge.Verdict verdict = fleet.run().finish();
-    assertTrue(verdict.kept(), verdict::toString);
+    InvariantChecker.Verdict verdict = fleet.run().finish();
+    assertTrue(verdict.passed(), verdict::toString);
     assertTrue(verdict.served() > 0, verdict::toString);
     assertEquals(0, verdict.failed(), verdict::toString);
     assertTrue(restarts.most() <= MAY_BE_OUT, () -> restarts.most() + " were out");
@@ -122,14 +122,14 @@
     assertTrue(halted.why().startsWith("released doors are lost"), halted::toString);
     assertEquals(1, restarts.versions().size());
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.BACK));
-    StandInBackend dead = fleet.run().rig().park().all().stream().filter(x -> !x.alive()).findFirst()
+    StandInBackend dead = fleet.run().rig().backendPool().all().stream().filter(x -> !x.isAlive()).findFirst()
         .orElseThrow();
     // Somebody starts it once more as it was; the way back has it restarted with the old one.
-    fleet.run().rig().park().restart(dead, 100);
+    fleet.run().rig().backendPool().restart(dead, 100);
     assertEquals(Mode.ENDED, still().mode(), () -> fleet.look().toString());
     assertEquals(Set.of("b1"), startedWith());
     assertTrue(FleetRun.until(() -> fleet.stewards().awaitLook().backendsOut() == 0, LIMIT_MS));
-    Judge.Verdict verdict = fleet.run().finish();
-    assertTrue(verdict.kept(), verdict::toString);
+    InvariantChecker.Verdict verdict = fleet.run().finish();
+    assertTrue(verdict.passed(), verdict::toString);
   }
 }
--- a/daemon/src/test/java/willowdoor/daemon/fleet/DeploymentShapesTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/DeploymentShapesTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import willowdoor.testkit.BackendPark;
+import willowdoor.testkit.BackendPool;
 import willowdoor.testkit.ClientFleet;
-import willowdoor.testkit.Faults;
-import willowdoor.testkit.Faults.Fault;
-import willowdoor.testkit.Faults.What;
-import willowdoor.testkit.Judge.Verdict;
-import willowdoor.testkit.Ledger;
-import willowdoor.testkit.Ledger.Asked;
-import willowdoor.testkit.Ledger.Entry;
-import willowdoor.testkit.Terms;
-import willowdoor.testkit.Terms.PlanTerms;
+import willowdoor.testkit.FaultInjector;
+import willowdoor.testkit.FaultInjector.Fault;
+import willowdoor.testkit.FaultInjector.FaultKind;
+import willowdoor.testkit.InvariantChecker.Verdict;
+import willowdoor.testkit.EventHistory;
+import willowdoor.testkit.EventHistory.ClientRequest;
+import willowdoor.testkit.EventHistory.Entry;
+import willowdoor.testkit.RunSettings;
+import willowdoor.testkit.RunSettings.PlanTerms;
 
 /**
  * Made-up deployments that differ in all that settings may vary, each through real daemons with the same
@@ -65,25 +65,28 @@
   @ParameterizedTest
   @EnumSource(Shape.class)
   void theFiveRulesAreKept(Shape shape) throws Exception {
-    Terms terms = Terms.usual().with(shape.plans, shape.keyWindowMs);
-    try (FleetRun run = new FleetRun(terms, new BackendPark.Make(6, 2, 24, 60, 140), shape.doors, SEED);
-        Faults faults = new Faults(run.rig(), run.doors())) {
+    RunSettings terms = RunSettings.typical().withPlansAndKeyWindow(shape.plans, shape.keyWindowMs);
+    try (FleetRun run =
+        new FleetRun(terms, new BackendPool.BackendSpec(6, 2, 24, 60, 140), shape.doors, SEED);
+        FaultInjector faults = new FaultInjector(run.rig(), run.doors())) {
       if (!shape.settled) {
-        run.rig().park().exact();
+        run.rig().backendPool().chargeNamedUnits();
       }
       run.start(new ClientFleet.Load(70, 24, 0.2, 6, 4));
-      run.clients().begin();
+      run.clients().start();
       assertTrue(FleetRun.until(() -> run.clients().sent() >= 150, 30_000));
-      List<Fault> schedule = List.of(new Fault(0, What.DRAIN_BACKEND, 0, 2_500),
-          new Fault(100, What.STALLS_BACKEND, 1, 1_500), new Fault(300, What.KILL_BACKEND, 2, 1_000),
-          new Fault(600, What.LOSE_COUNTER, 0, 1_200), new Fault(2_000, What.ERRORS_BACKEND, 3, 800),
-          new Fault(2_400, What.SLOW_COUNTER, 0, 800));
-      faults.cause(schedule);
-      assertTrue(FleetRun.until(() -> faults.begun() == schedule.size(), 30_000));
+      List<Fault> schedule = List.of(new Fault(0, FaultKind.DRAIN_BACKEND, 0, 2_500),
+          new Fault(100, FaultKind.STALLS_BACKEND, 1, 1_500),
+          new Fault(300, FaultKind.KILL_BACKEND, 2, 1_000),
+          new Fault(600, FaultKind.LOSE_COUNTER, 0, 1_200),
+          new Fault(2_000, FaultKind.ERRORS_BACKEND, 3, 800),
+          new Fault(2_400, FaultKind.SLOW_COUNTER, 0, 800));
+      faults.inject(schedule);
+      assertTrue(FleetRun.until(() -> faults.startedFaults() == schedule.size(), 30_000));
       long then = run.clients().sent();
       assertTrue(FleetRun.until(() -> run.clients().sent() >= then + 150, 30_000));
       Verdict verdict = run.finish();
-      assertTrue(verdict.kept(), () -> shape + ", seed " + SEED + ": " + verdict);
+      assertTrue(verdict.passed(), () -> shape + ", seed " + SEED + ": " + verdict);
       assertTrue(verdict.served() > 100, () -> shape + ": " + verdict);
       for (PlanTerms plan : shape.plans) {
         double beyond = beyondCap(run.rig().ledger(), plan);
@@ -93,14 +96,14 @@
   }
 
   /** The share of a plan's first attempts that came to a backend while the firm had its cap or more out. */
-  private static double beyondCap(Ledger ledger, PlanTerms plan) {
+  private static double beyondCap(EventHistory ledger, PlanTerms plan) {
     Map<String, Set<String>> out = new HashMap<>();
     Set<String> sent = new HashSet<>();
     int beyond = 0;
-    List<Entry> entries = ledger.histories().values().stream().flatMap(List::stream)
+    List<Entry> entries = ledger.requestHistories().values().stream().flatMap(List::stream)
         .sorted(Comparator.comparingDouble(Entry::atMs)).toList();
     for (Entry e : entries) {
-      Asked asked = ledger.asked(e.subject());
+      ClientRequest asked = ledger.clientRequest(e.subject());
       if (asked == null || !asked.plan().equals(plan.name())) {
         continue;
       }
--- a/daemon/src/test/java/willowdoor/daemon/fleet/FleetTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/FleetTest.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.testkit.BackendPark;
+import willowdoor.testkit.BackendPool;
 import willowdoor.testkit.ClientFleet;
-import willowdoor.testkit.Faults;
-import willowdoor.testkit.Faults.Fault;
-import willowdoor.testkit.Faults.What;
-import willowdoor.testkit.Judge.Verdict;
-import willowdoor.testkit.Quotas;
-import willowdoor.testkit.Tally.Stretch;
-import willowdoor.testkit.Terms;
+import willowdoor.testkit.FaultInjector;
+import willowdoor.testkit.FaultInjector.Fault;
+import willowdoor.testkit.FaultInjector.FaultKind;
+import willowdoor.testkit.InvariantChecker.Verdict;
+import willowdoor.testkit.QuotaAudit;
+import willowdoor.testkit.LoadStatistics.IntervalStatistics;
+import willowdoor.testkit.RunSettings;
 
 /** A small fleet of real processes; the long runs are commands under bench/. */
 @Timeout(120)
@@ -26,10 +26,11 @@
   private static final double RATE = 240;
 
   private static FleetRun fleet() throws Exception {
-    FleetRun run = new FleetRun(Terms.usual(), new BackendPark.Make(12, 4, 32, 100, 160), DOORS, SEED);
+    FleetRun run =
+        new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(12, 4, 32, 100, 160), DOORS, SEED);
     try {
       run.start(new ClientFleet.Load(RATE, 120, 0.1, 5, 4));
-      run.clients().begin();
+      run.clients().start();
       return run;
     } catch (Exception e) {
       run.close();
@@ -45,22 +46,22 @@
   /** They remember nothing of what they let in before, and a backend that came back meanwhile is cold. */
   @Test
   void halfOfTheFleetIsKilledInASecondWhileTheCounterIsSlowAndAllStartAgainAtOnce() throws Exception {
-    try (FleetRun run = fleet(); Faults faults = new Faults(run.rig(), run.doors())) {
+    try (FleetRun run = fleet(); FaultInjector faults = new FaultInjector(run.rig(), run.doors())) {
       sent(run, 500);
       List<Fault> schedule = new ArrayList<>();
-      for (Fault f : Faults.kills(SEED, DOORS, DOORS / 2, 0, 1_000, 0, 0)) {
+      for (Fault f : FaultInjector.kills(SEED, DOORS, DOORS / 2, 0, 1_000, 0, 0)) {
         schedule.add(new Fault(f.atMs(), f.what(), f.target(), 2_500 - f.atMs()));
       }
-      schedule.add(new Fault(0, What.SLOW_COUNTER, 0, 5_000));
-      schedule.add(new Fault(100, What.KILL_BACKEND, 2, 1_500));
-      schedule.add(new Fault(100, What.KILL_BACKEND, 5, 1_500));
-      faults.cause(schedule);
-      assertTrue(FleetRun.until(() -> faults.begun() == schedule.size(), 30_000));
+      schedule.add(new Fault(0, FaultKind.SLOW_COUNTER, 0, 5_000));
+      schedule.add(new Fault(100, FaultKind.KILL_BACKEND, 2, 1_500));
+      schedule.add(new Fault(100, FaultKind.KILL_BACKEND, 5, 1_500));
+      faults.inject(schedule);
+      assertTrue(FleetRun.until(() -> faults.startedFaults() == schedule.size(), 30_000));
       assertTrue(FleetRun.until(() -> run.clients().doorsUp() <= DOORS / 2, 30_000));
       assertTrue(FleetRun.until(() -> run.clients().doorsUp() == DOORS, 60_000));
       sent(run, run.clients().sent() + 500);
       Verdict verdict = run.finish();
-      assertTrue(verdict.kept(), () -> "seed " + SEED + ": " + verdict);
+      assertTrue(verdict.passed(), () -> "seed " + SEED + ": " + verdict);
       assertTrue(verdict.served() > 1_000, verdict::toString);
     }
   }
@@ -71,16 +72,16 @@
     try (FleetRun run = fleet()) {
       sent(run, 500);
       double before = run.rig().ledger().now();
-      run.rig().counter().split(door -> door % 3 == 0, true);
+      run.rig().counter().splitInTwo(door -> door % 3 == 0, true);
       sent(run, run.clients().sent() + 900);
-      run.rig().counter().heal(true);
+      run.rig().counter().endSplit(true);
       double took = run.rig().ledger().now() - before;
       sent(run, run.clients().sent() + 300);
       Verdict verdict = run.finish();
-      assertTrue(verdict.kept(), () -> "seed " + SEED + ": " + verdict);
-      for (Quotas.Use u : new Quotas(run.rig().ledger(), run.rig().terms()).uses()) {
+      assertTrue(verdict.passed(), () -> "seed " + SEED + ": " + verdict);
+      for (QuotaAudit.FirmUse u : new QuotaAudit(run.rig().ledger(), run.rig().terms()).uses()) {
         double bound = CounterCommand.bound(CounterCommand.Case.split_second_wins, u.plan(), 4, took);
-        assertTrue(u.worstOver() <= bound, () -> "seed " + SEED + ": " + u + ", bound " + bound);
+        assertTrue(u.maxOverQuota() <= bound, () -> "seed " + SEED + ": " + u + ", bound " + bound);
       }
     }
   }
@@ -94,8 +95,8 @@
       }
       sent(run, run.clients().sent() + 300);
       Verdict verdict = run.finish();
-      assertTrue(verdict.kept(), () -> "seed " + SEED + ": " + verdict);
-      Stretch all = run.clients().tally().stretch(0, 1e6);
+      assertTrue(verdict.passed(), () -> "seed " + SEED + ": " + verdict);
+      IntervalStatistics all = run.clients().statistics().interval(0, 1e6);
       assertEquals(0, all.failed() + all.unanswered() + all.notTaken(), all::toString);
       assertEquals(0, verdict.excused(), verdict::toString);
     }
--- a/daemon/src/test/java/willowdoor/daemon/fleet/InnerStewardTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/InnerStewardTest.java
@@ -19,11 +19,11 @@
 import willowdoor.steward.link.Answer;
 import willowdoor.steward.link.OperatorClient;
 import willowdoor.steward.link.FleetStatus;
-import willowdoor.testkit.BackendPark;
+import willowdoor.testkit.BackendPool;
 import willowdoor.testkit.ClientFleet;
-import willowdoor.testkit.Judge;
+import willowdoor.testkit.InvariantChecker;
 import willowdoor.testkit.StandIns;
-import willowdoor.testkit.Terms;
+import willowdoor.testkit.RunSettings;
 
 /** A newcomer's fleet: one daemon, with the steward inside. */
 @Timeout(120)
@@ -45,15 +45,16 @@
   /** The process is replaced, then killed: what was agreed on is there, nothing goes to what is out. */
   @Test
   void outlivesItsDaemonsProcess() throws Exception {
-    try (FleetRun run = new FleetRun(Terms.usual(), new BackendPark.Make(3, 4, 32, 5, 10), 1, 7)) {
+    try (FleetRun run =
+        new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(3, 4, 32, 5, 10), 1, 7)) {
       String address = StandIns.text(run.address(0, 7_101));
       Path file = Files.writeString(run.folder().resolve("steward.toml"), "[steward]\nname = \"a\"\nstore = "
           + '"' + run.folder().resolve("a.db") + "\"\n[[member]]\nname = \"a\"\naddress = \"" + address
           + "\"\n[terms]\nlease_ms = 1500\n");
       run.more("[agreement]\nenabled = true\nstewards = [\"" + address + "\"]\nsteward = \"" + file + "\"\n");
-      run.rig().budgets(new Judge.Budgets(1, 1, x -> x.startsWith("d"), 15_000));
+      run.rig().budgets(new InvariantChecker.Budgets(1, 1, x -> x.startsWith("d"), 15_000));
       run.start(new ClientFleet.Load(40, 10, 0.1, 5, 1));
-      run.clients().begin();
+      run.clients().start();
       Subject b0 = new Subject(Kind.BACKEND, Long.toHexString(EndpointUpdate.idOf("b0")));
       try (OperatorClient ana = new OperatorClient("fleet", "ana", List.of(run.address(0, 7_101)))) {
         await(ana, "all known", s -> s.backends() == 3 && s.doorsOut() == 0);
@@ -61,19 +62,19 @@
         Granted granted = assertInstanceOf(Granted.class,
             assertInstanceOf(Answer.Came.class, answer).outcome());
         await(ana, "out", s -> s.permits().get(0).stage() == Stage.OUT);
-        run.rig().ledger().machine(willowdoor.testkit.Ledger.Kind.OUT, "b0", "");
+        run.rig().ledger().addMachineEntry(willowdoor.testkit.EventHistory.Kind.OUT, "b0", "");
         assertTrue(run.replace(0, LIMIT_MS), () -> "replaced");
         await(ana, "out after the upgrade",
             s -> s.permits().get(0).stage() == Stage.OUT && s.doorsOut() == 0);
         run.doors().get(0).kill();
         run.doors().get(0).start();
         await(ana, "out after the kill", s -> s.permits().get(0).stage() == Stage.OUT && s.doorsOut() == 0);
-        run.rig().ledger().machine(willowdoor.testkit.Ledger.Kind.GIVEN_BACK, "b0", "");
+        run.rig().ledger().addMachineEntry(willowdoor.testkit.EventHistory.Kind.GIVEN_BACK, "b0", "");
         ana.put(new ReturnPermit(0, b0, granted.permit(), "ana"), LIMIT_MS);
         await(ana, "back", s -> s.permits().isEmpty());
       }
-      Judge.Verdict verdict = run.finish();
-      assertTrue(verdict.kept(), verdict::toString);
+      InvariantChecker.Verdict verdict = run.finish();
+      assertTrue(verdict.passed(), verdict::toString);
     }
   }
 }
--- a/daemon/src/test/java/willowdoor/daemon/fleet/ReleaseTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/ReleaseTest.java
@@ -16,8 +16,8 @@
 import willowdoor.rollout.Release;
 import willowdoor.rollout.Release.Mode;
 import willowdoor.testkit.DoorProcess;
-import willowdoor.testkit.Judge;
-import willowdoor.testkit.Relay;
+import willowdoor.testkit.InvariantChecker;
+import willowdoor.testkit.FaultyLink;
 
 /** Three stewards and four doors, each a process, that are replaced by another version under load. */
 @Timeout(180)
@@ -48,9 +48,9 @@
     assertEquals(Collections.nCopies(DOORS, version), fleet.versions());
   }
 
-  private Judge.Verdict kept() {
-    Judge.Verdict verdict = fleet.run().finish();
-    assertTrue(verdict.kept(), verdict::toString);
+  private InvariantChecker.Verdict kept() {
+    InvariantChecker.Verdict verdict = fleet.run().finish();
+    assertTrue(verdict.passed(), verdict::toString);
     assertTrue(verdict.served() > 0, verdict::toString);
     return verdict;
   }
@@ -73,7 +73,7 @@
     assertEquals(Mode.ENDED, ended.mode(), ended::toString);
     all(ReleaseRun.GOOD);
     leader.start();
-    Judge.Verdict verdict = kept();
+    InvariantChecker.Verdict verdict = kept();
     assertEquals(0, verdict.failed(), verdict::toString);
   }
 
@@ -109,7 +109,7 @@
     Release halted = still();
     assertEquals(Mode.HALTED, halted.mode(), halted::toString);
     assertTrue(halted.why().contains("could not be replaced"), halted::toString);
-    assertEquals(1, fleet.launches().began(version));
+    assertEquals(1, fleet.launches().doorsStarted(version));
     back();
     assertEquals(0, kept().failed());
   }
@@ -119,7 +119,7 @@
     fleet.start(ReleaseRun.plan(ReleaseRun.FAINT, 10_000));
     Release halted = still();
     assertEquals(Mode.HALTED, halted.mode(), halted::toString);
-    assertEquals(1, fleet.launches().began(ReleaseRun.FAINT));
+    assertEquals(1, fleet.launches().doorsStarted(ReleaseRun.FAINT));
     fleet.run().doors().forEach(DoorProcess::start);
     back();
     kept();
@@ -131,12 +131,12 @@
     fleet.start(ReleaseRun.plan(ReleaseRun.GOOD));
     assertNotNull(fleet.awaitRelease(x -> x.steps().stream().anyMatch(s -> s.state()
         == willowdoor.rollout.Step.State.GOING), LIMIT_MS));
-    assertTrue(FleetRun.until(() -> fleet.launches().began(ReleaseRun.GOOD) == 1, LIMIT_MS));
+    assertTrue(FleetRun.until(() -> fleet.launches().doorsStarted(ReleaseRun.GOOD) == 1, LIMIT_MS));
     int door = Integer.parseInt(fleet.look().steps().get(0).door().substring(1));
-    fleet.stewards().door(door, Relay.Mode.SILENT);
+    fleet.stewards().door(door, FaultyLink.Mode.SILENT);
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.HALT));
     FleetRun.sleep(3_000);
-    fleet.stewards().door(door, Relay.Mode.WHOLE);
+    fleet.stewards().door(door, FaultyLink.Mode.WHOLE);
     assertEquals(Mode.HALTED, still().mode());
     back();
     assertEquals(0, kept().failed());
--- a/daemon/src/test/java/willowdoor/daemon/life/AuthorisedFixture.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/AuthorisedFixture.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import willowdoor.testkit.Judge;
-import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.InvariantChecker;
+import willowdoor.testkit.EventHistory.Kind;
 import willowdoor.testkit.RequestKind;
 import willowdoor.testkit.StandIns;
 import willowdoor.testkit.StandInAuthoriser;
@@ -23,7 +23,7 @@
 
   AuthorisedFixture(int backends, double workMs, boolean idempotent) throws Exception {
     daemons = new DaemonFixture(backends, workMs);
-    daemons.rig.authorise(new Judge.Authorisation(a -> a.kind() == RequestKind.BUY, idempotent));
+    daemons.rig.authorise(new InvariantChecker.Authorisation(a -> a.kind() == RequestKind.BUY, idempotent));
     log = daemons.folder.resolve("decisions.jsonl");
   }
 
--- a/daemon/src/test/java/willowdoor/daemon/life/AuthoriserTlsTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/AuthoriserTlsTest.java
@@ -132,7 +132,7 @@
     awaitStatus(daemon, 503);
     writeDoorCertificate(trusted, "door");
     awaitStatus(daemon, 200);
-    assertTrue(fixture.daemons.verdict().kept(), () -> fixture.daemons.verdict().toString());
+    assertTrue(fixture.daemons.verdict().passed(), () -> fixture.daemons.verdict().toString());
   }
 
   @Test
@@ -147,7 +147,7 @@
     awaitStatus(daemon, 200);
     Daemon other = new SecondDaemon(fixture, one, tlsKeys("policy.other")).started();
     assertEquals(503, statusOfBuy(other, "r2"));
-    assertTrue(fixture.daemons.verdict().kept(), () -> fixture.daemons.verdict().toString());
+    assertTrue(fixture.daemons.verdict().passed(), () -> fixture.daemons.verdict().toString());
   }
 
   /** A second daemon in the same fixture that expects another server name of the authoriser. */
--- a/daemon/src/test/java/willowdoor/daemon/life/CounterLossTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/CounterLossTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.EventHistory.Kind;
 import willowdoor.testkit.RequestKind;
 import willowdoor.testkit.StandInCounter;
 
@@ -30,7 +30,7 @@
   @BeforeEach
   void open() throws Exception {
     fixture = new DaemonFixture(2, 5);
-    fixture.rig.park().exact();
+    fixture.rig.backendPool().chargeNamedUnits();
     daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0), "[end]\naccept_ms = 150\n",
         text -> text.replace("doors = 1\n", "doors = 40\n")).start(false);
     DaemonFixture.awaitUp(daemon.address());
@@ -45,7 +45,7 @@
   private int ask() throws Exception {
     String id = "r" + number++;
     caller.sendRaw(caller.requestText(id, RequestKind.BUY, 2_000).replace("spread=1", "spread=40"));
-    fixture.rig.ledger().request(Kind.ASKED, id, "d0", 0, "");
+    fixture.rig.ledger().addRequestEntry(Kind.ASKED, id, "d0", 0, "");
     return caller.receiveStatus(id);
   }
 
@@ -58,7 +58,7 @@
       assertEquals(200, ask());
     }
     double before = fixture.rig.counter().total(FIRM);
-    fixture.rig.counter().lose();
+    fixture.rig.counter().stop();
     replace.run();
     double limit = fixture.rig.ledger().now() + 700;
     while (fixture.rig.ledger().now() < limit) {
@@ -77,7 +77,7 @@
   private void assertRestoredInSomeTrial(Runnable replace) throws Exception {
     for (int i = 0; i < TRIALS; i++) {
       if (isRestoredAt(replace)) {
-        assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
+        assertTrue(fixture.verdict().passed(), () -> fixture.verdict().toString());
         return;
       }
     }
@@ -86,14 +86,14 @@
 
   @Test
   void addsOfTheDoorAreRestoredAtAnEmptyCounter() throws Exception {
-    assertRestoredInSomeTrial(() -> fixture.rig.counter().comeBackEmpty());
+    assertRestoredInSomeTrial(() -> fixture.rig.counter().restartEmpty());
   }
 
   /** The copy was made before the trial, so it lacks the adds of the trial and the checks since then. */
   @Test
   void addsThatAnOldCopyLacksAreRestored() throws Exception {
     fixture.rig.counter().keepCopy();
-    assertRestoredInSomeTrial(() -> fixture.rig.counter().comeBackWithCopy());
+    assertRestoredInSomeTrial(() -> fixture.rig.counter().restartWithCopy());
   }
 
   private interface FaultSwitch {
@@ -117,7 +117,7 @@
         && fixture.rig.counter().added(FIRM) >= served - 1e-6);
     double added = fixture.rig.counter().added(FIRM);
     assertTrue(added <= number + 1e-6, () -> added + " added, " + number + " asked, " + served + " served");
-    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
+    assertTrue(fixture.verdict().passed(), () -> fixture.verdict().toString());
   }
 
   private boolean isServed() {
@@ -157,7 +157,7 @@
   /** The counter handles 20 calls per second, one after another, so that calls queue up. */
   @Test
   void queuedAddsCountOnce() throws Exception {
-    assertServedUnitsCountOnce((counter, on) -> counter.rate(on ? 20 : Double.POSITIVE_INFINITY));
+    assertServedUnitsCountOnce((counter, on) -> counter.limitRate(on ? 20 : Double.POSITIVE_INFINITY));
   }
 
   @Test
@@ -166,8 +166,8 @@
       assertEquals(200, ask());
     }
     double added = fixture.rig.counter().added(FIRM);
-    fixture.rig.counter().lose();
-    fixture.rig.counter().comeBack();
+    fixture.rig.counter().stop();
+    fixture.rig.counter().restart();
     DaemonFixture.await("counter used again", () -> {
       try {
         return ask() == 200 && fixture.rig.counter().added(FIRM) > added;
--- a/daemon/src/test/java/willowdoor/daemon/life/DaemonFixture.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/DaemonFixture.java
@@ -21,28 +21,29 @@
 import willowdoor.daemon.config.DaemonConfig;
 import willowdoor.daemon.fleet.DoorFiles;
 import willowdoor.daemon.fleet.FleetRun;
-import willowdoor.testkit.BackendPark;
-import willowdoor.testkit.Judge;
-import willowdoor.testkit.Ledger.Asked;
-import willowdoor.testkit.Ledger.Entry;
-import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.BackendPool;
+import willowdoor.testkit.InvariantChecker;
+import willowdoor.testkit.EventHistory.ClientRequest;
+import willowdoor.testkit.EventHistory.Entry;
+import willowdoor.testkit.EventHistory.Kind;
 import willowdoor.testkit.RequestKind;
-import willowdoor.testkit.Rig;
-import willowdoor.testkit.Terms;
+import willowdoor.testkit.TestEnvironment;
+import willowdoor.testkit.RunSettings;
 
 /** A test rig with daemons inside this process, and clients whose every step the test controls. */
 final class DaemonFixture implements AutoCloseable {
 
   static final long TIMEOUT_MS = 20_000;
 
-  final Rig rig;
+  final TestEnvironment rig;
   final Path folder;
   final DoorFiles files;
   private final List<Daemon> daemons = new ArrayList<>();
   private final List<Caller> callers = new ArrayList<>();
 
   DaemonFixture(int backends, double workMs) throws IOException {
-    rig = new Rig(Terms.usual(), new BackendPark.Make(backends, 4, 32, workMs, workMs + 1), 11);
+    rig = new TestEnvironment(RunSettings.typical(),
+        new BackendPool.BackendSpec(backends, 4, 32, workMs, workMs + 1), 11);
     folder = Files.createTempDirectory("willowdoor-test");
     files = new DoorFiles(rig, folder, 1);
   }
@@ -90,14 +91,14 @@
   }
 
   boolean recorded(String id, Kind kind) {
-    return rig.ledger().history(id).stream().anyMatch(e -> e.kind() == kind);
+    return rig.ledger().requestHistory(id).stream().anyMatch(e -> e.kind() == kind);
   }
 
   void awaitRecorded(String id, Kind kind) {
     await(id + " " + kind, () -> recorded(id, kind));
   }
 
-  Judge.Verdict verdict() {
+  InvariantChecker.Verdict verdict() {
     return rig.verdict();
   }
 
@@ -125,7 +126,8 @@
 
     String requestText(String id, RequestKind kind, int timeoutMs, String firm) {
       boolean post = kind.method().equals("POST");
-      rig.ledger().open(new Asked(id, firm, "full", kind, kind.keyed() ? "key-" + id : null, 1,
+      rig.ledger().registerRequest(
+          new ClientRequest(id, firm, "full", kind, kind.keyed() ? "key-" + id : null, 1,
           timeoutMs, 0, rig.ledger().now()));
       return kind.method() + " /" + kind.className() + "/1 HTTP/1.1\r\nHost: b\r\nRequest-Id: " + id
           + "\r\nRequest-Class: " + kind.className() + "\r\nX-Plan: full\r\nX-Customer: " + firm
@@ -141,7 +143,7 @@
     void send(String id, RequestKind kind, int timeoutMs, String firm) throws IOException {
       currentRequest = id;
       sendRaw(requestText(id, kind, timeoutMs, firm));
-      rig.ledger().request(Kind.ASKED, id, door, 0, kept ? "kept" : "");
+      rig.ledger().addRequestEntry(Kind.ASKED, id, door, 0, kept ? "kept" : "");
     }
 
     void sendRaw(String text) throws IOException {
@@ -183,13 +185,13 @@
         status = -1;
       }
       if (status < 0) {
-        rig.ledger().request(Kind.CUT, currentRequest, door, 0, kept ? "kept" : "");
+        rig.ledger().addRequestEntry(Kind.CUT, currentRequest, door, 0, kept ? "kept" : "");
         return -1;
       }
       body = new String(in.readNBytes(length), StandardCharsets.US_ASCII);
-      rig.ledger().request(Kind.ANSWERED, currentRequest, door, status, "");
+      rig.ledger().addRequestEntry(Kind.ANSWERED, currentRequest, door, status, "");
       if (status == 200 && !body.startsWith("made for " + currentRequest + " by")) {
-        rig.ledger().request(Kind.FORGED, currentRequest, door, 0, "");
+        rig.ledger().addRequestEntry(Kind.FORGED, currentRequest, door, 0, "");
       }
       kept = true;
       return status;
@@ -220,7 +222,7 @@
   }
 
   List<Entry> history(String id) {
-    return rig.ledger().history(id);
+    return rig.ledger().requestHistory(id);
   }
 
   @Override
--- a/daemon/src/test/java/willowdoor/daemon/life/ExternalAuthorisationTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ExternalAuthorisationTest.java
@@ -29,10 +29,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import willowdoor.life.InstanceLifecycle;
-import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.EventHistory.Kind;
 import willowdoor.testkit.RequestKind;
 import willowdoor.testkit.StandInAuthoriser;
-import willowdoor.testkit.StandInAuthoriser.Mood;
+import willowdoor.testkit.StandInAuthoriser.Behaviour;
 import willowdoor.testkit.StandInBackend;
 
 /**
@@ -56,7 +56,7 @@
   }
 
   private void assertRulesKept() {
-    assertTrue(fixture.daemons.verdict().kept(), () -> fixture.daemons.verdict().toString());
+    assertTrue(fixture.daemons.verdict().passed(), () -> fixture.daemons.verdict().toString());
   }
 
   private int statusOfBuy(DaemonFixture.Caller caller, String id, int timeoutMs) throws IOException {
@@ -89,7 +89,7 @@
     Daemon daemon = fixture.startDaemon("headers = [\"x-plan\", \"content-type\"]\nbody_bytes = 3\n", "");
     DaemonFixture.Caller caller = fixture.caller(daemon);
     assertEquals(200, statusOfBuy(caller, "r1", 2_000));
-    CheckRequest seen = authoriser.seen();
+    CheckRequest seen = authoriser.nextCheck();
     AttributeContext.HttpRequest http = seen.getAttributes().getRequest().getHttp();
     assertEquals("r1", http.getId());
     assertEquals("POST /register-buy/1 HTTP/1.1", http.getMethod() + " " + http.getPath() + " "
@@ -115,7 +115,7 @@
   @Test
   void aDenialIsSentToTheClientAndUsesNoQuota() throws Exception {
     open(false);
-    authoriser.script(r -> StandInAuthoriser.deny(402, "no credit").toBuilder().setDeniedResponse(
+    authoriser.setScript(r -> StandInAuthoriser.deny(402, "no credit").toBuilder().setDeniedResponse(
         StandInAuthoriser.deny(402, "no credit").getDeniedResponse().toBuilder()
             .addHeaders(headerOption("X-Why", "credit")).addHeaders(headerOption("Content-Length", "3"))
             .addHeaders(headerOption("X-Bad", "a\r\nSet-Cookie: b"))).build());
@@ -135,7 +135,7 @@
   @Test
   void eachRequestIsCheckedOnceEvenIfDecisionsFlip() throws Exception {
     open(false);
-    authoriser.mood(Mood.FLIPS);
+    authoriser.setBehaviour(Behaviour.FLIPS);
     Daemon daemon = fixture.startDaemon("", "");
     DaemonFixture.Caller caller = fixture.caller(daemon);
     for (int i = 0; i < 10; i++) {
@@ -149,7 +149,7 @@
   @Test
   void aCheckThatHangsIsCancelledAtTheClientsDeadline() throws Exception {
     open(false);
-    authoriser.mood(Mood.STALLS);
+    authoriser.setBehaviour(Behaviour.STALLS);
     Daemon daemon = fixture.startDaemon("limit_ms = 60000\nbackends_share = 0\n", "");
     DaemonFixture.Caller caller = fixture.caller(daemon);
     assertEquals(503, statusOfBuy(caller, "r1", 400));
@@ -163,7 +163,7 @@
   void retriesAfterABackendFailureUseTheSameAllowAndANewIdIsCheckedAgain() throws Exception {
     open(false);
     Daemon daemon = fixture.startDaemon("", "");
-    fixture.daemons.rig.park().backend(0).mood(StandInBackend.Mood.RESETS);
+    fixture.daemons.rig.backendPool().backend(0).setBehaviour(StandInBackend.Behaviour.RESETS);
     DaemonFixture.Caller caller = fixture.caller(daemon);
     int asked = 0;
     while (asked == 0 || fixture.count("r" + (asked - 1), Kind.LAST_BYTE) < 2) {
@@ -178,12 +178,12 @@
   }
 
   @ParameterizedTest
-  @EnumSource(value = Mood.class, names = {"DIES", "RESETS", "SPOILS", "OVERSIZED", "ANSWERS_TWICE",
+  @EnumSource(value = Behaviour.class, names = {"DIES", "RESETS", "SPOILS", "OVERSIZED", "ANSWERS_TWICE",
       "UNAVAILABLE", "STALLS", "LATE"})
-  void withoutAValidAnswerABuyIsRefusedAndNoOtherAuthoriserIsAsked(Mood mood) throws Exception {
+  void withoutAValidAnswerABuyIsRefusedAndNoOtherAuthoriserIsAsked(Behaviour mood) throws Exception {
     open(false);
-    authoriser.mood(mood);
-    authoriser.delay(mood == Mood.LATE ? 600 : 0);
+    authoriser.setBehaviour(mood);
+    authoriser.setDelay(mood == Behaviour.LATE ? 600 : 0);
     StandInAuthoriser two = fixture.authoriser("two", "");
     Daemon daemon = fixture.startDaemon("limit_ms = 200\n", "");
     DaemonFixture.Caller caller = fixture.caller(daemon);
@@ -192,8 +192,8 @@
     assertEquals(1, authoriser.checks());
     assertEquals(0, two.checks());
     // Once the other authoriser has been asked, any late effect of the first check has occurred.
-    authoriser.mood(Mood.ALLOWS);
-    authoriser.delay(0);
+    authoriser.setBehaviour(Behaviour.ALLOWS);
+    authoriser.setDelay(0);
     assertEquals(200, statusOfBuy(daemon, "r2"));
     assertFalse(fixture.reachedBackend("r1"), () -> fixture.daemons.history("r1").toString());
     assertTrue(fixture.awaitLogLine("r1").contains("\"decision\":\"REFUSED FAILED\""), () -> ""
@@ -202,12 +202,12 @@
   }
 
   @ParameterizedTest
-  @EnumSource(value = Mood.class, names = {"DIES", "RESETS", "SPOILS", "OVERSIZED", "ANSWERS_TWICE",
+  @EnumSource(value = Behaviour.class, names = {"DIES", "RESETS", "SPOILS", "OVERSIZED", "ANSWERS_TWICE",
       "UNAVAILABLE", "STALLS", "LATE"})
-  void whereChecksAreIdempotentTheOtherAuthoriserIsAsked(Mood mood) throws Exception {
+  void whereChecksAreIdempotentTheOtherAuthoriserIsAsked(Behaviour mood) throws Exception {
     open(true);
-    authoriser.mood(mood);
-    authoriser.delay(mood == Mood.LATE ? 600 : 0);
+    authoriser.setBehaviour(mood);
+    authoriser.setDelay(mood == Behaviour.LATE ? 600 : 0);
     StandInAuthoriser two = fixture.authoriser("two", "");
     Daemon daemon = fixture.startDaemon("limit_ms = 200\nidempotent = true\n", "");
     assertEquals(200, statusOfBuy(daemon, "r1"));
@@ -221,13 +221,13 @@
     StandInAuthoriser two = fixture.authoriser("two", "");
     Daemon daemon = fixture.startDaemon("", "");
     assertEquals(200, statusOfBuy(daemon, "r1"));
-    authoriser.die();
+    authoriser.kill();
     for (int i = 2; i < 12; i++) {
       assertEquals(200, statusOfBuy(daemon, "r" + i));
     }
     assertEquals(10, two.checks());
     // After its return a probe asks it again.
-    authoriser.comeBack();
+    authoriser.restart();
     DaemonFixture.await("asked again", () -> {
       try {
         return statusOfBuy(daemon, "p" + System.nanoTime()) == 200 && authoriser.checks() > 1;
@@ -239,18 +239,18 @@
   }
 
   @ParameterizedTest
-  @EnumSource(value = Mood.class, names = {"GOES_AWAY", "GOES_AWAY_UNSEEN", "REFUSES_STREAMS"})
-  void anOrderlyConnectionCloseLosesNoCheck(Mood mood) throws Exception {
+  @EnumSource(value = Behaviour.class, names = {"GOES_AWAY", "GOES_AWAY_UNSEEN", "REFUSES_STREAMS"})
+  void anOrderlyConnectionCloseLosesNoCheck(Behaviour mood) throws Exception {
     open(false);
     Daemon daemon = fixture.startDaemon("", "");
     assertEquals(200, statusOfBuy(daemon, "r0"));
-    authoriser.mood(mood);
+    authoriser.setBehaviour(mood);
     DaemonFixture.Caller caller = fixture.caller(daemon);
     for (int i = 1; i <= 5; i++) {
       int status = statusOfBuy(caller, "r" + i, 2_000);
-      assertTrue(mood == Mood.GOES_AWAY ? status == 200 : status == 503, mood + " " + status);
+      assertTrue(mood == Behaviour.GOES_AWAY ? status == 200 : status == 503, mood + " " + status);
     }
-    authoriser.mood(Mood.ALLOWS);
+    authoriser.setBehaviour(Behaviour.ALLOWS);
     DaemonFixture.await("allowed again", () -> {
       try {
         return statusOfBuy(daemon, "p" + System.nanoTime()) == 200;
@@ -264,12 +264,12 @@
   @Test
   void aCheckIsCancelledWhenItsClientDisconnects() throws Exception {
     open(false);
-    authoriser.mood(Mood.STALLS);
+    authoriser.setBehaviour(Behaviour.STALLS);
     Daemon daemon = fixture.startDaemon("limit_ms = 60000\n", "");
     DaemonFixture.Caller caller = fixture.caller(daemon);
     caller.send("r1", RequestKind.BUY, 4_000);
     fixture.daemons.awaitRecorded("r1", Kind.CHECKED);
-    fixture.daemons.rig.ledger().request(Kind.LEFT, "r1", "d0", 0, "");
+    fixture.daemons.rig.ledger().addRequestEntry(Kind.LEFT, "r1", "d0", 0, "");
     caller.close();
     DaemonFixture.await("the call given up", () -> authoriser.abandoned() == 1);
     assertFalse(fixture.reachedBackend("r1"));
@@ -285,9 +285,9 @@
     for (int i = 0; i < 30; i++) {
       DaemonFixture.Caller caller = fixture.caller(daemon);
       String id = "r" + i;
-      authoriser.script(r -> {
+      authoriser.setScript(r -> {
         try {
-          fixture.daemons.rig.ledger().request(Kind.LEFT, id, "d0", 0, "");
+          fixture.daemons.rig.ledger().addRequestEntry(Kind.LEFT, id, "d0", 0, "");
           caller.close();
         } catch (IOException e) {
           throw new java.io.UncheckedIOException(e);
@@ -297,7 +297,7 @@
       caller.send(id, RequestKind.BUY, 2_000);
       fixture.daemons.awaitRecorded(id, Kind.ALLOWED);
     }
-    authoriser.script(null);
+    authoriser.setScript(null);
     assertEquals(200, statusOfBuy(daemon, "last"));
     for (int i = 0; i < 30; i++) {
       fixture.awaitLogLine("r" + i);
@@ -313,13 +313,13 @@
   @Test
   void allBackendsDrainBetweenTheAllowAndTheSend() throws Exception {
     open(false);
-    authoriser.delay(1_300);
-    authoriser.script(r -> StandInAuthoriser.allow());
+    authoriser.setDelay(1_300);
+    authoriser.setScript(r -> StandInAuthoriser.allow());
     Daemon daemon = fixture.startDaemon("limit_ms = 3000\nbackends_share = 0\n", "");
     DaemonFixture.Caller caller = fixture.caller(daemon);
     caller.send("r1", RequestKind.BUY, 3_500);
     fixture.daemons.awaitRecorded("r1", Kind.CHECKED);
-    fixture.daemons.rig.park().all().forEach(b -> fixture.daemons.rig.park().drain(b));
+    fixture.daemons.rig.backendPool().all().forEach(b -> fixture.daemons.rig.backendPool().drain(b));
     int status = caller.receiveStatus();
     assertTrue(status == 503 || status == 429, () -> "status " + status);
     assertFalse(fixture.reachedBackend("r1"));
@@ -329,7 +329,7 @@
   @Test
   void shutdownWhileAHundredChecksAreOpen() throws Exception {
     open(false);
-    authoriser.mood(Mood.STALLS);
+    authoriser.setBehaviour(Behaviour.STALLS);
     Daemon daemon = fixture.startDaemon("limit_ms = 60000\nbackends_share = 0\n",
         "accept_ms = 50\nanswer_ms = 400\n");
     List<DaemonFixture.Caller> callers = new ArrayList<>();
@@ -355,7 +355,7 @@
     fixture = new AuthorisedFixture(2, 20, false);
     authoriser = fixture.authoriser("one", "most_calls = 3\n");
     StandInAuthoriser two = fixture.authoriser("two", "");
-    authoriser.mood(Mood.STALLS);
+    authoriser.setBehaviour(Behaviour.STALLS);
     Daemon daemon =
         fixture.startDaemon("[[member]]\nname = \"a\"\nfirms = [\"42\"]\nauthorisers = [\"one\"]\n"
         + "limit_ms = 60000\n[[member]]\nname = \"b\"\nfirms = [\"43-4f\"]\nauthorisers = [\"two\"]\n", "");
@@ -382,7 +382,7 @@
   @SuppressWarnings("deprecation")
   void framingAndIdentifyingHeadersStayAndOthersAreChanged() throws Exception {
     open(false);
-    authoriser.script(r -> CheckResponse.newBuilder().setOkResponse(OkHttpResponse.newBuilder()
+    authoriser.setScript(r -> CheckResponse.newBuilder().setOkResponse(OkHttpResponse.newBuilder()
         .addHeaders(headerOption("Content-Length", "2"))
         .addHeaders(headerOption("transfer-encoding", "chunked"))
         .addHeaders(headerOption("Request-Id", "forged"))
@@ -402,7 +402,8 @@
     assertEquals("7", caller.headers().get("x-policy"));
     assertTrue(caller.body().startsWith("made for r1 by"));
     String by = caller.body().substring(caller.body().lastIndexOf(' ') + 1);
-    HttpHeaders sent = fixture.daemons.rig.park().all().stream().filter(b -> b.name().equals(by)).findFirst()
+    HttpHeaders sent = fixture.daemons.rig.backendPool().all().stream().filter(b -> b.name().equals(by))
+        .findFirst()
         .orElseThrow().lastHeaders();
     assertEquals("4", sent.get("Content-Length"));
     assertNull(sent.get("Transfer-Encoding"));
@@ -426,7 +427,7 @@
     DaemonFixture.Caller caller = fixture.caller(daemon);
     for (int i = 0; i < answers.size(); i++) {
       CheckResponse answer = answers.get(i);
-      authoriser.script(r -> answer);
+      authoriser.setScript(r -> answer);
       // Protobuf rejects some of these texts before the door reads them, which is a failed call as well.
       assertEquals(503, statusOfBuy(caller, "r" + i, 2_000));
       assertFalse(fixture.reachedBackend("r" + i));
@@ -440,8 +441,8 @@
     fixture = new AuthorisedFixture(2, 20, false);
     authoriser = fixture.authoriser("one", new Http2Settings().maxConcurrentStreams(1).initialWindowSize(16)
         .maxFrameSize(16_384), "");
-    authoriser.delay(5);
-    authoriser.script(r -> ok(headerOption("X-Long", "y".repeat(3_000))));
+    authoriser.setDelay(5);
+    authoriser.setScript(r -> ok(headerOption("X-Long", "y".repeat(3_000))));
     Daemon daemon = fixture.startDaemon("limit_ms = 3000\nbody_bytes = 4\nheaders = [\"x-quota\"]\n", "");
     assertEquals(200, statusOfBuy(daemon, "first"));
     List<DaemonFixture.Caller> callers = new ArrayList<>();
@@ -462,7 +463,7 @@
   void anAllowIsCachedOnlyAsItsAnswerPermits() throws Exception {
     open(false);
     fixture.daemons.rig.authorise(null);
-    authoriser.script(r -> ok(headerOption("X-A", "a")).toBuilder()
+    authoriser.setScript(r -> ok(headerOption("X-A", "a")).toBuilder()
         .setDynamicMetadata(Struct.newBuilder().putFields(
         "allow_for_ms", Value.newBuilder().setNumberValue(60_000).build())).build());
     Daemon daemon = fixture.startDaemon("most_cached_ms = 60000\n", "");
@@ -484,14 +485,14 @@
     DaemonFixture.Caller caller = fixture.caller(daemon);
     int[][] told = {{7, 403}, {16, 401}, {8, 429}, {3, 400}, {5, 404}, {14, 503}, {13, 503}, {2, 503}};
     for (int[] t : told) {
-      authoriser.script(r -> CheckResponse.newBuilder()
+      authoriser.setScript(r -> CheckResponse.newBuilder()
           .setStatus(com.google.rpc.Status.newBuilder().setCode(t[0]))
           .build());
       assertEquals(t[1], statusOfBuy(caller, "c" + t[0], 2_000), "code " + t[0]);
     }
-    authoriser.script(r -> StandInAuthoriser.deny(200, "not served by any node").toBuilder().build());
+    authoriser.setScript(r -> StandInAuthoriser.deny(200, "not served by any node").toBuilder().build());
     assertEquals(403, statusOfBuy(caller, "odd", 2_000), "a denial never looks like an answer of a backend");
-    authoriser.script(r -> CheckResponse.newBuilder()
+    authoriser.setScript(r -> CheckResponse.newBuilder()
         .setDeniedResponse(DeniedHttpResponse.getDefaultInstance())
         .build());
     assertEquals(503, statusOfBuy(caller, "both", 2_000), "neither an allow nor a denial");
@@ -518,7 +519,7 @@
   @Test
   void withoutAReachableAuthoriserABuyIsRefusedUnlessItsClassFailsOpen() throws Exception {
     open(false);
-    authoriser.die();
+    authoriser.kill();
     fixture.daemons.rig.authorise(null);
     Daemon closed = fixture.startDaemon("", "");
     assertEquals(503, statusOfBuy(closed, "r1"));
--- a/daemon/src/test/java/willowdoor/daemon/life/FairGateTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/FairGateTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import willowdoor.fairness.FairCounts;
-import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.EventHistory.Kind;
 import willowdoor.testkit.RequestKind;
-import willowdoor.testkit.StandInBackend.Mood;
+import willowdoor.testkit.StandInBackend.Behaviour;
 
 /** The fair queue in a running daemon. */
 @Timeout(60)
@@ -37,7 +37,7 @@
   @BeforeEach
   void open() throws Exception {
     fixture = new DaemonFixture(2, 5);
-    fixture.rig.park().exact();
+    fixture.rig.backendPool().chargeNamedUnits();
   }
 
   @AfterEach
@@ -56,7 +56,7 @@
   private CompletableFuture<Integer> sendRequest(Daemon daemon, String id) throws Exception {
     DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
     caller.sendRaw(caller.requestText(id, RequestKind.QUOTE, 3_000));
-    fixture.rig.ledger().request(Kind.ASKED, id, "d0", 0, "");
+    fixture.rig.ledger().addRequestEntry(Kind.ASKED, id, "d0", 0, "");
     return CompletableFuture.supplyAsync(() -> {
       try {
         return caller.receiveStatus(id);
@@ -80,13 +80,13 @@
     assertEquals(20, c.released(), c.summary());
     assertTrue(c.released() > c.atOnce(), "no request was queued: " + c.summary());
     assertEquals(0, c.waiting() + c.out() + c.waitingBytes(), c.summary());
-    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
+    assertTrue(fixture.verdict().passed(), () -> fixture.verdict().toString());
   }
 
   @Test
   void aDrainRefusesQueuedRequests() throws Exception {
     Daemon daemon = daemon(QUEUE);
-    fixture.rig.park().all().forEach(b -> b.mood(Mood.STALLS));
+    fixture.rig.backendPool().all().forEach(b -> b.setBehaviour(Behaviour.STALLS));
     CompletableFuture<Integer> out = sendRequest(daemon, "out");
     DaemonFixture.await("one request sent to a backend", () -> counts(daemon).out() == 1);
     List<CompletableFuture<Integer>> waiting = new ArrayList<>();
@@ -99,7 +99,7 @@
       assertEquals(503, w.get(), "the request was not run, and no time for a retry is known");
     }
     out.get();
-    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
+    assertTrue(fixture.verdict().passed(), () -> fixture.verdict().toString());
   }
 
   private static FairCounts counts(Daemon daemon) {
--- a/daemon/src/test/java/willowdoor/daemon/life/ForeignAuthoriserTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ForeignAuthoriserTest.java
@@ -29,7 +29,7 @@
           assertEquals("not this one", caller.body());
         }
       }
-      assertEquals("node", at.daemons.rig.park().all().stream().filter(b -> b.lastHeaders() != null)
+      assertEquals("node", at.daemons.rig.backendPool().all().stream().filter(b -> b.lastHeaders() != null)
           .findFirst()
           .orElseThrow().lastHeaders().get("X-Approved-By"));
     }
--- a/daemon/src/test/java/willowdoor/daemon/life/GracefulShutdownTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/GracefulShutdownTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import willowdoor.life.InstanceLifecycle;
-import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.EventHistory.Kind;
 import willowdoor.testkit.RequestKind;
-import willowdoor.testkit.StandInBackend.Mood;
+import willowdoor.testkit.StandInBackend.Behaviour;
 import willowdoor.testkit.StandInDiscovery.Listed;
 
 /**
@@ -48,7 +48,7 @@
   }
 
   private void assertRulesKept() {
-    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
+    assertTrue(fixture.verdict().passed(), () -> fixture.verdict().toString());
   }
 
   /** The attempt waits for a connection that is never established, so no byte of the request is written. */
@@ -62,8 +62,9 @@
         c.connect(full.getLocalSocketAddress());
         fill.add(c);
       }
-      fixture.rig.park().all().forEach(b -> fixture.rig.discovery().state(b.name(), "left"));
-      fixture.rig.discovery().put(new Listed("full", (InetSocketAddress) full.getLocalSocketAddress(), "a",
+      fixture.rig.backendPool().all().forEach(b -> fixture.rig.discovery().setState(b.name(), "left"));
+      fixture.rig.discovery()
+          .publish(new Listed("full", (InetSocketAddress) full.getLocalSocketAddress(), "a",
           "active",
           0));
       Daemon daemon = fixture.startDaemon();
@@ -103,12 +104,12 @@
   @Test
   void endsWhileTheAnswerToABuyIsHalfWritten() throws Exception {
     Daemon daemon = fixture.startDaemon();
-    fixture.rig.park().all().forEach(b -> b.mood(Mood.HALF_ANSWERS));
+    fixture.rig.backendPool().all().forEach(b -> b.setBehaviour(Behaviour.HALF_ANSWERS));
     DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
     caller.send("r1", RequestKind.BUY, 3_000);
     fixture.awaitRecorded("r1", Kind.EFFECT);
     daemon.requestEnd();
-    fixture.rig.park().all().forEach(b -> b.mood(Mood.WELL));
+    fixture.rig.backendPool().all().forEach(b -> b.setBehaviour(Behaviour.WELL));
     assertEquals(200, caller.receiveStatus());
     assertExitCode(InstanceLifecycle.EXIT_ORDERLY, daemon);
     assertEquals(1, fixture.history("r1").stream().filter(e -> e.kind() == Kind.EFFECT).count());
@@ -120,7 +121,7 @@
     Daemon daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0),
         "[end]\naccept_ms = 50\nanswer_ms = 400\n").start(false);
     DaemonFixture.awaitUp(daemon.address());
-    fixture.rig.park().all().forEach(b -> b.mood(Mood.SLOW));
+    fixture.rig.backendPool().all().forEach(b -> b.setBehaviour(Behaviour.SLOW));
     DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
     caller.send("r1", RequestKind.TRANSFER, 4_000);
     fixture.awaitRecorded("r1", Kind.LAST_BYTE);
@@ -135,7 +136,7 @@
     Daemon daemon = fixture.createDaemon(new InetSocketAddress("127.0.0.1", 0),
         "[end]\naccept_ms = 50\nanswer_ms = 60000\nhurried_ms = 100\n").start(false);
     DaemonFixture.awaitUp(daemon.address());
-    fixture.rig.park().all().forEach(b -> b.mood(Mood.SLOW));
+    fixture.rig.backendPool().all().forEach(b -> b.setBehaviour(Behaviour.SLOW));
     DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
     caller.send("r1", RequestKind.TRANSFER, 4_000);
     fixture.awaitRecorded("r1", Kind.LAST_BYTE);
@@ -180,7 +181,7 @@
   void endsWhileTheCounterAndDiscoveryHang() throws Exception {
     Daemon daemon = fixture.startDaemon();
     fixture.rig.counter().hang(true);
-    fixture.rig.discovery().hang(true);
+    fixture.rig.discovery().setHanging(true);
     DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
     caller.send("r1", RequestKind.BUY, 3_000);
     daemon.requestEnd();
--- a/daemon/src/test/java/willowdoor/daemon/life/HandoverTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/HandoverTest.java
@@ -30,7 +30,7 @@
 import willowdoor.daemon.config.DaemonConfig;
 import willowdoor.life.InstanceLifecycle;
 import willowdoor.policy.LearnedState;
-import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.EventHistory.Kind;
 import willowdoor.testkit.RequestKind;
 
 /** Handovers from one instance to its successor, including failures at every step of the protocol. */
@@ -66,7 +66,7 @@
   }
 
   private void assertRulesKept() {
-    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
+    assertTrue(fixture.verdict().passed(), () -> fixture.verdict().toString());
   }
 
   private static void assertExitCode(int code, Daemon daemon) throws Exception {
@@ -144,7 +144,7 @@
   private int statusOfBuyWithCeiling(DaemonFixture.Caller caller, String id) throws IOException {
     caller.sendRaw(caller.requestText(id, RequestKind.BUY, 3_000).replace("X-Plan: full", "X-Plan: basic")
         .replace("spread=1", "spread=2"));
-    fixture.rig.ledger().request(Kind.ASKED, id, "d0", 0, "");
+    fixture.rig.ledger().addRequestEntry(Kind.ASKED, id, "d0", 0, "");
     return caller.receiveStatus(id);
   }
 
--- a/daemon/src/test/java/willowdoor/daemon/life/ProcessTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ProcessTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import willowdoor.daemon.fleet.FleetRun;
 import willowdoor.testkit.DoorProcess;
-import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.EventHistory.Kind;
 import willowdoor.testkit.RequestKind;
 
 /** Behaviour that needs real processes and real signals. */
@@ -65,7 +65,7 @@
   }
 
   private void assertRulesKept() {
-    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
+    assertTrue(fixture.verdict().passed(), () -> fixture.verdict().toString());
   }
 
   @Test
@@ -172,12 +172,12 @@
   @Test
   void aContinuedDoorSendsNothingForGoneClientsNorToDrainedBackends() throws Exception {
     startAndAwaitUp();
-    DaemonFixture.await("watch", () -> fixture.rig.discovery().watches() == 1);
-    door.stopped(true);
+    DaemonFixture.await("watch", () -> fixture.rig.discovery().watchCount() == 1);
+    door.setSuspended(true);
     DaemonFixture.Caller gone = fixture.new Caller(address, "d0");
     gone.send("gone", RequestKind.BUY, 1_000);
-    fixture.rig.park().drain(fixture.rig.park().backend(0));
-    DaemonFixture.await("told", () -> fixture.rig.ledger().machines().stream()
+    fixture.rig.backendPool().drain(fixture.rig.backendPool().backend(0));
+    DaemonFixture.await("told", () -> fixture.rig.ledger().machineEntries().stream()
         .anyMatch(e -> e.kind() == Kind.TOLD_DRAIN && e.other().equals("b0")));
     double toldAt = fixture.rig.ledger().now();
     gone.close();
@@ -187,14 +187,14 @@
       waiting[i] = fixture.new Caller(address, "d0");
       waiting[i].send("w" + i, i % 2 == 0 ? RequestKind.BUY : RequestKind.QUOTE, 3_000);
     }
-    door.stopped(false);
+    door.setSuspended(false);
     for (int i = 0; i < waiting.length; i++) {
       assertEquals(200, waiting[i].receiveStatus(), "w" + i);
     }
     assertFalse(fixture.recorded("gone", Kind.FIRST_BYTE), () -> fixture.history("gone").toString());
-    assertTrue(fixture.rig.ledger().histories().values().stream().flatMap(List::stream)
+    assertTrue(fixture.rig.ledger().requestHistories().values().stream().flatMap(List::stream)
         .noneMatch(e -> e.kind() == Kind.FIRST_BYTE && e.other().equals("b0")),
-        () -> fixture.rig.ledger().machines() + "\n" + fixture.rig.ledger().histories());
+        () -> fixture.rig.ledger().machineEntries() + "\n" + fixture.rig.ledger().requestHistories());
     assertRulesKept();
   }
 
--- a/daemon/src/test/java/willowdoor/daemon/life/ValkeyCountsTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ValkeyCountsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.EventHistory.Kind;
 import willowdoor.testkit.StandIns;
 import willowdoor.testkit.StandInValkey;
 import willowdoor.testkit.RequestKind;
@@ -31,7 +31,7 @@
   void open() throws Exception {
     server = new StandInValkey();
     fixture = new DaemonFixture(2, 5);
-    fixture.rig.park().exact();
+    fixture.rig.backendPool().chargeNamedUnits();
   }
 
   @AfterEach
@@ -55,7 +55,7 @@
     String id = "r" + number++;
     caller.sendRaw(caller.requestText(id, RequestKind.BUY, 2_000)
         .replace("units=1,spread=1", "units=" + units + ",spread=40"));
-    fixture.rig.ledger().request(Kind.ASKED, id, caller.door, 0, "");
+    fixture.rig.ledger().addRequestEntry(Kind.ASKED, id, caller.door, 0, "");
     return caller.receiveStatus(id);
   }
 
@@ -86,7 +86,7 @@
       refused += ask(i % 2 == 0 ? one : other, 8) == 200 ? 0 : 1;
     }
     assertEquals(1, refused, "400 units in some 3 s, " + countedUnits() + " counted");
-    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
+    assertTrue(fixture.verdict().passed(), () -> fixture.verdict().toString());
   }
 
   /**
@@ -133,6 +133,6 @@
         throw new AssertionError(e);
       }
     });
-    assertTrue(fixture.verdict().kept(), () -> fixture.verdict().toString());
+    assertTrue(fixture.verdict().passed(), () -> fixture.verdict().toString());
   }
 }
--- a/emulator/src/main/java/willowdoor/emulator/SimClock.java
+++ b/emulator/src/main/java/willowdoor/emulator/SimClock.java
@@ -6,29 +6,30 @@
 /** Simulated time in milliseconds: what is due happens in order of its time, and of its entry at one time. */
 public final class SimClock {
 
-  private record Due(double atMs, long number, Runnable what) { }
+  private record ScheduledTask(double atMs, long number, Runnable action) { }
 
-  private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::atMs)
-      .thenComparingLong(Due::number));
-  private double now;
-  private long number;
+  private final PriorityQueue<ScheduledTask> pending =
+      new PriorityQueue<>(Comparator.comparingDouble(ScheduledTask::atMs)
+      .thenComparingLong(ScheduledTask::number));
+  private double nowMs;
+  private long nextNumber;
 
   public double now() {
-    return now;
+    return nowMs;
   }
 
   /** Has that happen so many milliseconds from now; less than 0 is now. */
-  public void after(double ms, Runnable what) {
-    due.add(new Due(now + Math.max(0, ms), number++, what));
+  public void after(double delayMs, Runnable action) {
+    pending.add(new ScheduledTask(nowMs + Math.max(0, delayMs), nextNumber++, action));
   }
 
   /** Runs until that time; what is due later stays. */
-  public void runUntil(double ms) {
-    while (!due.isEmpty() && due.peek().atMs <= ms) {
-      Due next = due.poll();
-      now = next.atMs;
-      next.what.run();
+  public void runUntil(double untilMs) {
+    while (!pending.isEmpty() && pending.peek().atMs <= untilMs) {
+      ScheduledTask next = pending.poll();
+      nowMs = next.atMs;
+      next.action.run();
     }
-    now = Math.max(now, ms);
+    nowMs = Math.max(nowMs, untilMs);
   }
 }
--- a/emulator/src/main/java/willowdoor/emulator/agreement/Choices.java
+++ b/emulator/src/main/java/willowdoor/emulator/agreement/Choices.java
@@ -12,28 +12,28 @@
 
   private record Choice(int taken, int options) { }
 
-  private final int most;
+  private final int maxFaults;
   private final List<Choice> path = new ArrayList<>();
-  private int at;
+  private int position;
   private int faults;
 
-  Choices(int most) {
-    this.most = most;
+  Choices(int maxFaults) {
+    this.maxFaults = maxFaults;
   }
 
   /** Which of so many ways: 0 is how it should be, any other is a fault. */
   int pick(int options) {
-    if (at == path.size()) {
-      path.add(new Choice(0, faults < most ? options : 1));
+    if (position == path.size()) {
+      path.add(new Choice(0, faults < maxFaults ? options : 1));
     }
-    int taken = path.get(at++).taken();
+    int taken = path.get(position++).taken();
     faults += taken > 0 ? 1 : 0;
     return taken;
   }
 
   /** The next schedule; false where all were played. */
   boolean next() {
-    at = 0;
+    position = 0;
     faults = 0;
     while (!path.isEmpty()) {
       Choice last = path.remove(path.size() - 1);
--- a/emulator/src/main/java/willowdoor/emulator/agreement/FleetWorld.java
+++ b/emulator/src/main/java/willowdoor/emulator/agreement/FleetSimulation.java
@@ -36,7 +36,7 @@
  * A fleet that agrees on what goes out, in simulated time: the real record and the real doors' sides, with
  * leaders that change and whose clocks have nothing to do with each other, links that lose, delay and repeat,
  * processes that are killed, stopped and replaced, and operators who die. The log itself is taken for whole
- * here; that it is, {@link StewardWorld} shows with the real library.
+ * here; that it is, {@link StewardSimulation} shows with the real library.
  *
  * <p>What must hold is looked at from above, by true time and by what each process truly does.
  *
@@ -45,7 +45,7 @@
  * lost, late or heard twice, and at each of a few moments the leader or an operator may die or a door be
  * stopped.
  */
-public final class FleetWorld {
+public final class FleetSimulation {
 
   /** Mistakes that may be planted, to see that each is found. */
   public enum Bug {
@@ -58,71 +58,71 @@
 
   private static final double LEASE_MS = 1_500;
   private static final double DRIFT = 0.02;
-  private static final double MOST_DELAY_MS = 60;
-  private static final double TRAFFIC_MS = 40;
-  private static final int OUT_AT_ONCE = 2;
-  private static final int DOORS_FOR_ONE_MORE = 8;
+  private static final double MAX_DELAY_MS = 60;
+  private static final double MEAN_REQUEST_INTERVAL_MS = 40;
+  private static final int MIN_BUDGET = 2;
+  private static final int DOORS_PER_BUDGET_UNIT = 8;
   private static final int BACKENDS = 6;
-  private static final String OLD = "1.0";
-  private static final String NEW = "2.0";
+  private static final String OLD_VERSION = "1.0";
+  private static final String NEW_VERSION = "2.0";
   /** Of it no process is ever ready. */
-  private static final String MUTE = "2.0-mute";
+  private static final String NEVER_READY_VERSION = "2.0-mute";
   /** Each process of it dies once it has served for a while. */
-  private static final String FAINT = "2.0-faint";
+  private static final String CRASHING_VERSION = "2.0-faint";
   private static final double READY_LIMIT_MS = 3_000;
-  private static final double COLD_MS = 1_200;
-  private static final double LIST_MS = 250;
-  private static final int MOST_TIDYING_S = 90;
+  private static final double WARM_UP_MS = 1_200;
+  private static final double DISCOVERY_POLL_MS = 250;
+  private static final int MAX_CLEANUP_S = 90;
 
   private final SimClock clock = new SimClock();
   private final Random random;
   /** Null where chance decides. */
   private final Choices choices;
-  private final Set<String> goneOperators = new HashSet<>();
-  private boolean choosing;
+  private final Set<String> deadOperators = new HashSet<>();
+  private boolean injectsChosenFaults;
   /** Those of the record that were seen; null where they aren't counted. */
-  private Set<Integer> states;
+  private Set<Integer> stateHashes;
   private final Bug bug;
   private final int doors;
-  private final int atOnce;
+  private final int maxOut;
   private final FleetStateMachine record;
   private final List<Process> processes = new ArrayList<>();
   private final Map<String, Map<String, Map<String, Long>>> files = new HashMap<>();
-  private final Map<String, Process> holders = new HashMap<>();
+  private final Map<String, Process> lockHolders = new HashMap<>();
   /** Processes that have ended, by their doors, until somebody has told of them. */
-  private final Map<String, Set<String>> ends = new HashMap<>();
+  private final Map<String, Set<String>> unreportedEnds = new HashMap<>();
   private final Map<String, Long> generations = new HashMap<>();
-  private final Set<String> cut = new HashSet<>();
+  private final Set<String> cutLinks = new HashSet<>();
   private final List<String> breaches = new ArrayList<>();
   /** Permits that operators were told and have not asked back, with their subjects. */
-  private final Map<Long, Subject> held = new LinkedHashMap<>();
-  private final Map<String, Double> countsAsDead = new HashMap<>();
+  private final Map<Long, Subject> heldPermits = new LinkedHashMap<>();
+  private final Map<String, Double> countsAsDeadFromMs = new HashMap<>();
   private final Map<String, Server> servers = new LinkedHashMap<>();
   private long listVersion = 1;
   /** Permits under which a backend was restarted. */
-  private final Set<Long> restarted = new HashSet<>();
-  private final Set<Long> seenGranted = new HashSet<>();
-  private Set<String> out = Set.of();
+  private final Set<Long> restartedPermitIds = new HashSet<>();
+  private final Set<Long> grantedPermitIds = new HashSet<>();
+  private Set<String> backendsOut = Set.of();
   private double leaderRate = 1;
-  private double leaderAhead;
-  private boolean led;
+  private double leaderClockOffsetMs;
+  private boolean hasLeader;
   private int term;
-  private boolean quiet;
+  private boolean faultsEnded;
   private int incarnations;
   private int granted;
-  private int told;
+  private int backendsTakenOut;
   private int served;
   private int halts;
   /** What a supervisor starts a door by. */
-  private final Map<String, String> installed = new HashMap<>();
+  private final Map<String, String> installedVersions = new HashMap<>();
 
-  private FleetWorld(Random random, Choices choices, int doors, Bug bug) {
+  private FleetSimulation(Random random, Choices choices, int doors, Bug bug) {
     this.random = random;
     this.choices = choices;
     this.doors = doors;
     this.bug = bug;
-    atOnce = Math.max(OUT_AT_ONCE, doors / DOORS_FOR_ONE_MORE);
-    Budget budget = new Budget(OutageLimit.of(atOnce), OutageLimit.UNLIMITED, 0);
+    maxOut = Math.max(MIN_BUDGET, doors / DOORS_PER_BUDGET_UNIT);
+    Budget budget = new Budget(OutageLimit.of(maxOut), OutageLimit.UNLIMITED, 0);
     record = new FleetStateMachine(new FleetSettings(budget, budget, LEASE_MS));
     for (int i = 0; i < BACKENDS; i++) {
       servers.put("b" + i, new Server("b" + i));
@@ -132,10 +132,10 @@
   /** A backend as it truly is, and as discovery lists it. */
   private static final class Server {
     private final String name;
-    private String version = OLD;
+    private String version = OLD_VERSION;
     private boolean listed = true;
     /** Away, or cold. */
-    private boolean out;
+    private boolean unavailable;
     private double startedMs;
 
     Server(String name) {
@@ -148,15 +148,15 @@
    *
    * @param breaches none if all held
    * @param granted permits that were given
-   * @param told how often a backend was out
+   * @param backendsTakenOut how often a backend was out
    * @param served how often a process that a release started began to serve
    * @param halts whether a release was halted in the end, or went back, 0 or 1
    */
-  public record Result(List<String> breaches, int granted, int told, int served, int halts) { }
+  public record Result(List<String> breaches, int granted, int backendsTakenOut, int served, int halts) { }
 
   /** Plays one schedule of some 30 s, with so many faults as chance has it. */
   public static Result play(long seed, int doors, Bug bug) {
-    return new FleetWorld(new Random(seed), null, doors, bug).run();
+    return new FleetSimulation(new Random(seed), null, doors, bug).run();
   }
 
   /** What an exploration has two operators do: take out what two want, or release and halt. */
@@ -177,9 +177,9 @@
     Set<Integer> states = new HashSet<>();
     long schedules = 0;
     do {
-      FleetWorld world = new FleetWorld(new Means(), choices, doors, bug);
-      world.states = states;
-      world.small(script);
+      FleetSimulation world = new FleetSimulation(new MeanRandom(), choices, doors, bug);
+      world.stateHashes = states;
+      world.runExploration(script);
       schedules++;
       if (!world.breaches.isEmpty()) {
         return new Explored(schedules, states.size(), List.of(choices + ": " + world.breaches));
@@ -189,7 +189,7 @@
   }
 
   /** Chance that always has the mean. */
-  private static final class Means extends Random {
+  private static final class MeanRandom extends Random {
     private static final long serialVersionUID = 1;
 
     @Override
@@ -198,96 +198,99 @@
     }
   }
 
-  private static final double SMALL_FROM_MS = 1_500;
-  private static final double SMALL_UNTIL_MS = 3_500;
-  private static final double SMALL_MOMENT_MS = 400;
-  private static final double SMALL_AWAY_MS = 2_000;
+  private static final double EXPLORE_FROM_MS = 1_500;
+  private static final double EXPLORE_UNTIL_MS = 3_500;
+  private static final double EXPLORE_FAULT_INTERVAL_MS = 400;
+  private static final double EXPLORE_DELAY_MS = 2_000;
 
-  private void small(Script script) {
-    lead();
+  private void runExploration(Script script) {
+    electLeader();
     for (int i = 0; i < doors; i++) {
-      begin("d" + i, true);
+      startProcess("d" + i, true);
     }
-    clock.after(100, this::look);
-    clock.runUntil(SMALL_FROM_MS);
-    choosing = true;
+    clock.after(100, this::checkLeases);
+    clock.runUntil(EXPLORE_FROM_MS);
+    injectsChosenFaults = true;
     if (script == Script.DRAINS) {
-      attempt("ana", "ana1", new Subject(Kind.DOOR, "d0"), clock.now() + 2_500, 0);
-      attempt("rui", "rui1", new Subject(Kind.BACKEND, "b" + random.nextInt(BACKENDS)), clock.now() + 2_500,
+      requestPermit("ana", "ana1", new Subject(Kind.DOOR, "d0"), clock.now() + 2_500, 0);
+      requestPermit("rui", "rui1", new Subject(Kind.BACKEND, "b" + random.nextInt(BACKENDS)),
+          clock.now() + 2_500,
           0);
     } else {
-      persist("ana",
+      askUntilAnswered("ana",
           new Command.StartRelease(0, "release", new Plan(script == Script.RELEASE ? Plan.Kind.DOORS
-          : Plan.Kind.BACKENDS, OLD, NEW, List.of(1.0), 0, 200, 12_000, 500, Comparison.DEFAULT), "ana"), 0);
-      clock.after(1_200, () -> persist("rui", new Command.SteerRelease(0, "halt", 1, Command.Steering.HALT,
+          : Plan.Kind.BACKENDS, OLD_VERSION, NEW_VERSION, List.of(1.0), 0, 200, 12_000, 500,
+          Comparison.DEFAULT), "ana"), 0);
+      clock.after(1_200,
+          () -> askUntilAnswered("rui", new Command.SteerRelease(0, "halt", 1, Command.Steering.HALT,
           "rui"), 0));
     }
-    for (double at = 0; at < SMALL_UNTIL_MS - SMALL_FROM_MS; at += SMALL_MOMENT_MS) {
-      clock.after(at, this::moment);
+    for (double at = 0; at < EXPLORE_UNTIL_MS - EXPLORE_FROM_MS; at += EXPLORE_FAULT_INTERVAL_MS) {
+      clock.after(at, this::chooseFault);
     }
-    clock.runUntil(SMALL_UNTIL_MS);
-    choosing = false;
-    clock.runUntil(SMALL_UNTIL_MS + SMALL_AWAY_MS);
-    goneOperators.clear();
-    tidy(clock.now(), 0);
+    clock.runUntil(EXPLORE_UNTIL_MS);
+    injectsChosenFaults = false;
+    clock.runUntil(EXPLORE_UNTIL_MS + EXPLORE_DELAY_MS);
+    deadOperators.clear();
+    cleanUp(clock.now(), 0);
   }
 
-  private void moment() {
-    int what = choices.pick(doors + 4);
-    if (what == 1) {
-      led = false;
-      clock.after(600, this::lead);
-    } else if (what == 2 || what == 3) {
-      goneOperators.add(what == 2 ? "ana" : "rui");
-    } else if (what > 3) {
-      Process p = last("d" + (what - 4));
-      p.stop(true);
-      clock.after(SMALL_AWAY_MS, () -> p.stop(false));
+  private void chooseFault() {
+    int fault = choices.pick(doors + 4);
+    if (fault == 1) {
+      hasLeader = false;
+      clock.after(600, this::electLeader);
+    } else if (fault == 2 || fault == 3) {
+      deadOperators.add(fault == 2 ? "ana" : "rui");
+    } else if (fault > 3) {
+      Process p = last("d" + (fault - 4));
+      p.setStopped(true);
+      clock.after(EXPLORE_DELAY_MS, () -> p.setStopped(false));
     }
   }
 
   private Result run() {
-    lead();
+    electLeader();
     for (int i = 0; i < doors; i++) {
-      begin("d" + i, true);
+      startProcess("d" + i, true);
     }
     clock.after(3_000, () -> {
-      operate("ana", 0);
-      operate("rui", 0);
+      runOperator("ana", 0);
+      runOperator("rui", 0);
     });
-    clock.after(100, this::look);
-    clock.after(3_500, this::release);
+    clock.after(100, this::checkLeases);
+    clock.after(3_500, this::startRelease);
     int faults = 2 + random.nextInt(8);
     for (int i = 0; i < faults; i++) {
-      clock.after(3_000 + random.nextInt(15_000), this::fault);
+      clock.after(3_000 + random.nextInt(15_000), this::injectFault);
     }
     clock.runUntil(22_000);
-    tidy(26_000, 20);
-    return new Result(List.copyOf(breaches), granted, told, served, halts);
+    cleanUp(26_000, 20);
+    return new Result(List.copyOf(breaches), granted, backendsTakenOut, served, halts);
   }
 
   /** All is whole from here on, and everything comes back. */
-  private void tidy(double from, int leastS) {
-    quiet = true;
-    cut.clear();
-    processes.forEach(p -> p.stop(false));
+  private void cleanUp(double from, int minCleanupS) {
+    faultsEnded = true;
+    cutLinks.clear();
+    processes.forEach(p -> p.setStopped(false));
     clock.runUntil(from);
-    for (int i = 0; i < leastS || i < MOST_TIDYING_S && (underWay() || !allBack()); i++) {
-      giveAllBack();
-      wayBack();
+    for (int i = 0; i < minCleanupS || i < MAX_CLEANUP_S && (isReleaseUnderWay() || !allReturned()); i++) {
+      returnAllPermits();
+      rollBackRelease();
       clock.runUntil(clock.now() + 1_000);
     }
     State end = record.state();
-    if (underWay()) {
-      breach("a release has not ended: " + end.releases());
+    if (isReleaseUnderWay()) {
+      addBreach("a release has not ended: " + end.releases());
     }
-    if (!allBack()) {
-      breach("not all is back: " + end.permits() + ", doors out " + record.out(Kind.DOOR) + ", held up by "
+    if (!allReturned()) {
+      addBreach("not all is back: " + end.permits() + ", doors out " + record.out(Kind.DOOR) + ", held up by "
           + end.permits().stream().map(x -> record.blockingProcesses(x.subject())).toList());
     }
   }
 
-  private boolean allBack() {
+  private boolean allReturned() {
     return record.state().permits().isEmpty() && record.out(Kind.DOOR) == 0 && record.out(Kind.BACKEND) == 0;
   }
 
@@ -296,165 +299,173 @@
     return all.isEmpty() ? null : all.get(all.size() - 1);
   }
 
-  private boolean underWay() {
+  private boolean isReleaseUnderWay() {
     return last() != null && last().mode() != Release.Mode.ENDED;
   }
 
   /** Somebody begins one, and others do with it what comes to their minds. */
-  private void release() {
-    String to = List.of(NEW, NEW, MUTE, FAINT).get(random.nextInt(4));
+  private void startRelease() {
+    String to = List.of(NEW_VERSION, NEW_VERSION, NEVER_READY_VERSION, CRASHING_VERSION)
+        .get(random.nextInt(4));
     Plan.Kind of = random.nextInt(3) > 0 ? Plan.Kind.DOORS : Plan.Kind.BACKENDS;
-    persist("mia", new Command.StartRelease(0, "release", new Plan(of, OLD, of == Plan.Kind.DOORS ? to : NEW,
+    askUntilAnswered("mia",
+        new Command.StartRelease(0, "release",
+        new Plan(of, OLD_VERSION, of == Plan.Kind.DOORS ? to : NEW_VERSION,
         List.of(0.01, 0.5, 1.0), 500, 800, 12_000, 500, Comparison.DEFAULT), "mia"), 0);
     for (int i = 0; i < 3; i++) {
       Command.Steering what = Command.Steering.values()[random.nextInt(4)];
       int number = i;
-      clock.after(2_000 + random.nextInt(12_000), () -> persist("mia", new Command.SteerRelease(0, "steer"
+      clock.after(2_000 + random.nextInt(12_000),
+          () -> askUntilAnswered("mia", new Command.SteerRelease(0, "steer"
           + number, 1, what, "mia"), 0));
     }
   }
 
   /** Asked until it is answered. */
-  private void persist(String from, Command command, int tries) {
-    if (goneOperators.contains(from)) {
+  private void askUntilAnswered(String from, Command command, int tries) {
+    if (deadOperators.contains(from)) {
       return;
     }
     boolean[] answered = {false};
     ask(from, command, outcome -> answered[0] = true);
     clock.after(400, () -> {
       if (!answered[0] && tries < 20) {
-        persist(from, command, tries + 1);
+        askUntilAnswered(from, command, tries + 1);
       }
     });
   }
 
-  private void wayBack() {
-    if (underWay() && (last().course() == Release.Course.FORWARD || last().mode() != Release.Mode.GOING)) {
+  private void rollBackRelease() {
+    if (isReleaseUnderWay()
+        && (last().course() == Release.Course.FORWARD || last().mode() != Release.Mode.GOING)) {
       halts = 1;
-      persist("mia", new Command.SteerRelease(0, "back" + clock.now(), last().id(), Command.Steering.BACK,
+      askUntilAnswered("mia",
+          new Command.SteerRelease(0, "back" + clock.now(), last().id(), Command.Steering.BACK,
           "mia"), 0);
     }
   }
 
   /** A process that a release started begins to serve: only while its step is under way. */
-  private void begins(Process p) {
+  private void onReleasedProcessServing(Process p) {
     served++;
     Release r = last();
     if (r.steps().stream().noneMatch(x -> x.attempt() == p.attempt && x.state() != Step.State.RETURNING
         && x.state() != Step.State.WAITING)) {
-      breach(p.door + " begins to serve with " + p.version + " by attempt " + p.attempt + ", which is over: "
+      addBreach(p.door + " begins to serve with " + p.version + " by attempt " + p.attempt
+          + ", which is over: "
           + r);
     }
   }
 
   /** Whoever restarts backends does so once a release has one out; discovery tells late what it sees. */
-  private void restart(Permit permit) {
+  private void restartIfOut(Permit permit) {
     boolean out = permit.stage() == Stage.OUT || bug == Bug.RESTARTED_BEFORE_OUT
         && permit.stage() == Stage.GRANTED;
     if (!out || permit.subject().kind() != Kind.BACKEND || !permit.request().startsWith("release-")
-        || !restarted.add(permit.id())) {
+        || !restartedPermitIds.add(permit.id())) {
       return;
     }
     Server server = servers.get(permit.subject().name());
     clock.after(100 + random.nextInt(800), () -> {
-      goes(server);
-      clock.after(300 + random.nextInt(700), () -> comes(server, permit.reason()));
+      takeServerDown(server);
+      clock.after(300 + random.nextInt(700), () -> bringServerUp(server, permit.reason()));
     });
   }
 
-  private void goes(Server server) {
-    server.out = true;
+  private void takeServerDown(Server server) {
+    server.unavailable = true;
     server.listed = false;
     listVersion++;
   }
 
-  private void comes(Server server, String version) {
+  private void bringServerUp(Server server, String version) {
     server.listed = true;
     server.version = version;
     server.startedMs = bug == Bug.START_UNTOLD ? server.startedMs : clock.now();
     listVersion++;
-    clock.after(COLD_MS, () -> {
-      server.out = false;
+    clock.after(WARM_UP_MS, () -> {
+      server.unavailable = false;
       listVersion++;
     });
   }
 
   /** A backend that nobody has out dies by itself, and comes back as it was. */
-  private void dies(Server server) {
-    if (!server.out && record.state().permits().stream()
+  private void crashServer(Server server) {
+    if (!server.unavailable && record.state().permits().stream()
         .noneMatch(x -> x.subject().name().equals(server.name))) {
-      goes(server);
-      clock.after(300 + random.nextInt(1_500), () -> comes(server, server.version));
+      takeServerDown(server);
+      clock.after(300 + random.nextInt(1_500), () -> bringServerUp(server, server.version));
     }
   }
 
   private List<Command.Backend> listed() {
     return servers.values().stream().filter(x -> x.listed)
-        .map(x -> new Command.Backend(x.name, "z", 1, !x.out, x.startedMs)).toList();
+        .map(x -> new Command.Backend(x.name, "z", 1, !x.unavailable, x.startedMs)).toList();
   }
 
   /** Whoever is told that all doors have it can rely on that. */
-  private void ended(Release r) {
+  private void onReleaseEnded(Release r) {
     if (r.plan().of() == Plan.Kind.BACKENDS) {
       servers.values().stream().filter(x -> x.listed && !x.version.equals(r.targetVersion()))
-          .forEach(x -> breach(x.name + " has " + x.version + ", and release " + r.id() + " has ended with "
+          .forEach(x ->
+          addBreach(x.name + " has " + x.version + ", and release " + r.id() + " has ended with "
               + r.targetVersion()));
       return;
     }
     for (Process p : processes) {
       if (!p.dead && p.serving && !p.ending && !p.version.equals(r.targetVersion())) {
-        breach(p.door + " has " + p.version + ", and release " + r.id() + " has ended with "
+        addBreach(p.door + " has " + p.version + ", and release " + r.id() + " has ended with "
             + r.targetVersion());
       }
     }
   }
 
-  private void breach(String what) {
+  private void addBreach(String what) {
     if (breaches.size() < 5) {
       breaches.add(Math.round(clock.now()) + " ms: " + what);
     }
   }
 
   private double leaderClock() {
-    return leaderAhead + leaderRate * clock.now();
+    return leaderClockOffsetMs + leaderRate * clock.now();
   }
 
-  private double drifting(double most) {
-    return 1 + most * (2 * random.nextDouble() - 1);
+  private double randomClockRate(double maxDrift) {
+    return 1 + maxDrift * (2 * random.nextDouble() - 1);
   }
 
-  private void lead() {
+  private void electLeader() {
     term++;
-    led = true;
-    leaderRate = drifting(DRIFT);
-    leaderAhead = random.nextInt(1_000_000);
-    agree(bug == Bug.LEADER_TRUSTS_OLD_LEASES && term > 1 ? new Command.Tick(leaderClock())
+    hasLeader = true;
+    leaderRate = randomClockRate(DRIFT);
+    leaderClockOffsetMs = random.nextInt(1_000_000);
+    apply(bug == Bug.LEADER_TRUSTS_OLD_LEASES && term > 1 ? new Command.Tick(leaderClock())
         : new Command.LeaderElected(leaderClock()));
     // Whoever is dead and was not known to be was given a whole lease anew.
     State state = record.state();
-    countsAsDead.replaceAll((door, from) -> state.lives().stream().anyMatch(x -> x.door().equals(door)
+    countsAsDeadFromMs.replaceAll((door, from) -> state.lives().stream().anyMatch(x -> x.door().equals(door)
         && x.untilMs() > state.nowMs()) ? Math.max(from, clock.now() + LEASE_MS * (1 + 3 * DRIFT)) : from);
   }
 
-  private void fault() {
-    int one = random.nextInt(doors);
-    double lasts = 200 + random.nextInt(5_000);
-    Process p = last("d" + one);
+  private void injectFault() {
+    int doorIndex = random.nextInt(doors);
+    double durationMs = 200 + random.nextInt(5_000);
+    Process p = last("d" + doorIndex);
     switch (random.nextInt(7)) {
-      case 6 -> dies(servers.get("b" + random.nextInt(BACKENDS)));
+      case 6 -> crashServer(servers.get("b" + random.nextInt(BACKENDS)));
       case 0 -> {
-        led = false;
-        clock.after(200 + random.nextInt(1_500), this::lead);
+        hasLeader = false;
+        clock.after(200 + random.nextInt(1_500), this::electLeader);
       }
       case 1 -> {
         if (!p.dead) {
           p.kill();
-          clock.after(500 + random.nextInt(12_000), () -> begin(p.door, true));
+          clock.after(500 + random.nextInt(12_000), () -> startProcess(p.door, true));
         }
       }
       case 2 -> {
-        p.stop(true);
-        clock.after(lasts, () -> p.stop(false));
+        p.setStopped(true);
+        clock.after(durationMs, () -> p.setStopped(false));
       }
       case 3 -> {
         if (!p.dead && p.serving) {
@@ -462,8 +473,8 @@
         }
       }
       default -> {
-        cut.add(p.door);
-        clock.after(lasts, () -> cut.remove(p.door));
+        cutLinks.add(p.door);
+        clock.after(durationMs, () -> cutLinks.remove(p.door));
       }
     }
   }
@@ -472,69 +483,70 @@
     return processes.stream().filter(x -> x.door.equals(door)).reduce((a, b) -> b).orElseThrow();
   }
 
-  private boolean lives(String door) {
+  private boolean hasLiveProcess(String door) {
     return processes.stream().anyMatch(x -> x.door.equals(door) && !x.dead);
   }
 
-  private Process begin(String door, boolean alone) {
-    return lives(door) && alone ? null : begin(door, installed.getOrDefault(door, OLD), 0);
+  private Process startProcess(String door, boolean onlyIfNoneLives) {
+    return hasLiveProcess(door) && onlyIfNoneLives ? null
+        : startProcess(door, installedVersions.getOrDefault(door, OLD_VERSION), 0);
   }
 
-  private Process begin(String door, String version, long attempt) {
+  private Process startProcess(String door, String version, long attempt) {
     processes.removeIf(x -> x.door.equals(door) && x.dead);
     Process p = new Process(door, "i" + ++incarnations, version, attempt);
     processes.add(p);
-    countsAsDead.remove(door);
+    countsAsDeadFromMs.remove(door);
     p.start();
     return p;
   }
 
   private void replace(Process old) {
-    begin(old.door, false);
-    clock.after(1_500 + random.nextInt(1_000), old::end);
+    startProcess(old.door, false);
+    clock.after(1_500 + random.nextInt(1_000), old::shutDown);
   }
 
   /** Has a command agreed on, over a link of this name; both ways may lose it, and it may come twice. */
   private void ask(String from, Command command, Consumer<Outcome> then) {
-    if (choosing) {
-      chosen(from, command, then);
+    if (injectsChosenFaults) {
+      askWithChosenFault(from, command, then);
       return;
     }
-    double late = !quiet && random.nextDouble() < 0.05 ? random.nextInt(5_000) : -1;
-    deliver(from, command, then, random.nextDouble() * MOST_DELAY_MS);
+    double late = !faultsEnded && random.nextDouble() < 0.05 ? random.nextInt(5_000) : -1;
+    deliver(from, command, then, random.nextDouble() * MAX_DELAY_MS);
     if (late >= 0) {
       deliver(from, command, x -> { }, late);
     }
   }
 
   /** Lost, heard with its answer lost, late, or heard twice; as it should be where nothing is chosen. */
-  private void chosen(String from, Command command, Consumer<Outcome> then) {
-    int how = choices.pick(5);
-    if (how == 0 || how == 4) {
-      deliver(from, command, then, MOST_DELAY_MS / 2);
+  private void askWithChosenFault(String from, Command command, Consumer<Outcome> then) {
+    int fault = choices.pick(5);
+    if (fault == 0 || fault == 4) {
+      deliver(from, command, then, MAX_DELAY_MS / 2);
     }
-    if (how == 2) {
-      deliver(from, command, x -> { }, MOST_DELAY_MS / 2);
+    if (fault == 2) {
+      deliver(from, command, x -> { }, MAX_DELAY_MS / 2);
     }
-    if (how == 3) {
-      deliver(from, command, then, SMALL_AWAY_MS);
-    } else if (how == 4) {
-      deliver(from, command, x -> { }, SMALL_AWAY_MS);
+    if (fault == 3) {
+      deliver(from, command, then, EXPLORE_DELAY_MS);
+    } else if (fault == 4) {
+      deliver(from, command, x -> { }, EXPLORE_DELAY_MS);
     }
   }
 
   private void deliver(String from, Command command, Consumer<Outcome> then, double delay) {
-    if (lost(from)) {
+    if (isLost(from)) {
       return;
     }
     clock.after(delay, () -> {
       int asked = term;
-      if (led) {
+      if (hasLeader) {
         clock.after(random.nextDouble() * 10, () -> {
-          if (led && term == asked) {
-            Outcome outcome = agree(returnOfAny(command.withLeaderTime(leaderClock())));
-            if (!lost(from)) {
-              clock.after(random.nextDouble() * MOST_DELAY_MS, () -> then.accept(outcome));
+          if (hasLeader && term == asked) {
+            Outcome outcome = apply(withAnyPermit(command.withLeaderTime(leaderClock())));
+            if (!isLost(from)) {
+              clock.after(random.nextDouble() * MAX_DELAY_MS, () -> then.accept(outcome));
             }
           }
         });
@@ -542,7 +554,7 @@
     });
   }
 
-  private Command returnOfAny(Command command) {
+  private Command withAnyPermit(Command command) {
     if (bug == Bug.RETURN_OF_ANY && command instanceof Command.ReturnPermit e) {
       return record.state().permits().stream().filter(x -> x.subject().equals(e.subject())).findFirst()
           .<Command>map(x -> new Command.ReturnPermit(e.atMs(), e.subject(), x.id(), e.by())).orElse(command);
@@ -550,76 +562,77 @@
     return command;
   }
 
-  private boolean lost(String from) {
-    return cut.contains(from) || choices == null && !quiet && random.nextDouble() < 0.03;
+  private boolean isLost(String from) {
+    return cutLinks.contains(from) || choices == null && !faultsEnded && random.nextDouble() < 0.03;
   }
 
-  private Outcome agree(Command command) {
-    boolean before = underWay();
+  private Outcome apply(Command command) {
+    boolean before = isReleaseUnderWay();
     Outcome outcome = record.apply(command);
-    if (before && !underWay()) {
-      ended(last());
+    if (before && !isReleaseUnderWay()) {
+      onReleaseEnded(last());
     }
     State state = record.state();
-    if (states != null) {
-      states.add(List.of(state.lives(), state.permits(), state.releases()).hashCode());
+    if (stateHashes != null) {
+      stateHashes.add(List.of(state.lives(), state.permits(), state.releases()).hashCode());
     }
     Set<String> now = new HashSet<>();
     for (Permit x : state.permits()) {
       if (x.stage() == Stage.OUT && x.subject().kind() == Kind.BACKEND) {
         now.add(x.subject().name());
       }
-      if (x.stage() != Stage.WAITING && seenGranted.add(x.id())) {
+      if (x.stage() != Stage.WAITING && grantedPermitIds.add(x.id())) {
         granted++;
-        budget(state, x);
+        checkBudget(state, x);
       }
-      restart(x);
+      restartIfOut(x);
     }
-    told += now.stream().filter(x -> !out.contains(x)).count();
-    out = now;
-    held.forEach((id, subject) -> {
+    backendsTakenOut += now.stream().filter(x -> !backendsOut.contains(x)).count();
+    backendsOut = now;
+    heldPermits.forEach((id, subject) -> {
       if (state.permits().stream().noneMatch(x -> x.id() == id && x.subject().equals(subject)
           && x.stage() != Stage.WAITING)) {
-        breach("permit " + id + " of " + subject + " is over, and nobody gave it back: " + command);
+        addBreach("permit " + id + " of " + subject + " is over, and nobody gave it back: " + command);
       }
     });
     return outcome;
   }
 
-  private void budget(State state, Permit given) {
+  private void checkBudget(State state, Permit given) {
     Set<String> all = new HashSet<>();
     state.permits().stream().filter(x -> x.stage() != Stage.WAITING
         && x.subject().kind() == given.subject().kind()).forEach(x -> all.add(x.subject().name()));
     if (given.subject().kind() == Kind.DOOR) {
-      countsAsDead.forEach((door, from) -> {
+      countsAsDeadFromMs.forEach((door, from) -> {
         if (clock.now() > from) {
           all.add(door);
         }
       });
     }
     if (given.subject().kind() == Kind.BACKEND) {
-      servers.values().stream().filter(x -> x.out && restarts(x.name)).forEach(x -> all.add(x.name));
+      servers.values().stream().filter(x -> x.unavailable && isRestarted(x.name))
+          .forEach(x -> all.add(x.name));
     }
-    if (all.size() > atOnce) {
-      breach(given.subject() + " was let go while these are out: " + all);
+    if (all.size() > maxOut) {
+      addBreach(given.subject() + " was let go while these are out: " + all);
     }
   }
 
-  private boolean restarts(String backend) {
+  private boolean isRestarted(String backend) {
     return record.state().permits().stream().anyMatch(x -> x.subject().name().equals(backend)
-        && restarted.contains(x.id()));
+        && restartedPermitIds.contains(x.id()));
   }
 
   /** No door believes in a lease that the stewards hold for over. */
-  private void look() {
+  private void checkLeases() {
     State state = record.state();
-    double now = state.nowMs() + Math.max(0, led ? leaderClock() - state.leaderMs() : 0);
+    double now = state.nowMs() + Math.max(0, hasLeader ? leaderClock() - state.leaderMs() : 0);
     for (Process p : processes) {
       if (!p.dead && p.side.hasLease(p.clock())) {
         DoorProcessState life = state.lives().stream().filter(x -> x.door().equals(p.door)
             && x.incarnation().equals(p.incarnation)).findFirst().orElse(null);
         if (life != null && now >= life.untilMs()) {
-          breach(p.door + " believes in its lease, over for " + (now - life.untilMs()) + " ms");
+          addBreach(p.door + " believes in its lease, over for " + (now - life.untilMs()) + " ms");
         }
       }
     }
@@ -627,22 +640,22 @@
       state.lives().stream().filter(x -> now >= x.untilMs()).findFirst().ifPresent(x -> ask("bug",
           new Command.Forget(0, "forget" + clock.now(), x.door(), "bug"), y -> { }));
     }
-    clock.after(50, this::look);
+    clock.after(50, this::checkLeases);
   }
 
-  private void operate(String name, int number) {
-    if (quiet) {
+  private void runOperator(String name, int number) {
+    if (faultsEnded) {
       return;
     }
     Subject subject = random.nextBoolean() ? new Subject(Kind.DOOR, "d" + random.nextInt(doors))
         : new Subject(Kind.BACKEND, "b" + random.nextInt(BACKENDS));
-    attempt(name, name + number, subject, clock.now() + 2_500, 0);
-    clock.after(1_500 + random.nextInt(3_000), () -> operate(name, number + 1));
+    requestPermit(name, name + number, subject, clock.now() + 2_500, 0);
+    clock.after(1_500 + random.nextInt(3_000), () -> runOperator(name, number + 1));
   }
 
   /** Asks again until it is answered; gives up on waiting after a time; now and then its command dies. */
-  private void attempt(String name, String request, Subject subject, double until, int tries) {
-    if (goneOperators.contains(name)) {
+  private void requestPermit(String name, String request, Subject subject, double until, int tries) {
+    if (deadOperators.contains(name)) {
       return;
     }
     boolean[] answered = {false};
@@ -653,50 +666,50 @@
           }
           answered[0] = true;
           if (outcome instanceof Outcome.Granted e) {
-            if (seenGranted.contains(e.permit()) && stands(e.permit())) {
-              held.put(e.permit(), subject);
+            if (grantedPermitIds.contains(e.permit()) && isActive(e.permit())) {
+              heldPermits.put(e.permit(), subject);
               if (random.nextDouble() > 0.1) {
-                clock.after(500 + random.nextInt(2_000), () -> giveBack(name, subject, e.permit(), 0));
+                clock.after(500 + random.nextInt(2_000), () -> returnPermit(name, subject, e.permit(), 0));
               }
             }
           } else if (outcome instanceof Outcome.Waiting e) {
             if (clock.now() > until) {
-              giveBack(name, subject, e.permit(), 0);
+              returnPermit(name, subject, e.permit(), 0);
             } else {
-              clock.after(200, () -> attempt(name, request, subject, until, tries));
+              clock.after(200, () -> requestPermit(name, request, subject, until, tries));
             }
           }
         });
     clock.after(400, () -> {
       if (!answered[0] && tries < 10) {
         answered[0] = true;
-        attempt(name, request, subject, until, tries + 1);
+        requestPermit(name, request, subject, until, tries + 1);
       }
     });
   }
 
   /** An answer may come after others gave back what a dead command had left. */
-  private boolean stands(long permit) {
+  private boolean isActive(long permit) {
     return record.state().permits().stream().anyMatch(x -> x.id() == permit && x.stage() != Stage.WAITING
         && x.stage() != Stage.RETURNING);
   }
 
-  private void giveBack(String name, Subject subject, long permit, int tries) {
-    if (goneOperators.contains(name)) {
+  private void returnPermit(String name, Subject subject, long permit, int tries) {
+    if (deadOperators.contains(name)) {
       return;
     }
-    held.remove(permit);
+    heldPermits.remove(permit);
     boolean[] answered = {false};
     ask(name, new Command.ReturnPermit(0, subject, permit, name), outcome -> answered[0] = true);
     clock.after(400, () -> {
       if (!answered[0] && tries < 10) {
-        giveBack(name, subject, permit, tries + 1);
+        returnPermit(name, subject, permit, tries + 1);
       }
     });
   }
 
-  private void giveAllBack() {
-    held.clear();
+  private void returnAllPermits() {
+    heldPermits.clear();
     if (bug != Bug.ASKED_ANEW) {
       record.state().permits().stream().filter(x -> x.stage() != Stage.RETURNING
           && !x.request().startsWith("release-"))
@@ -709,12 +722,12 @@
     private final String door;
     private final String incarnation;
     private final double rate;
-    private final double ahead = random.nextInt(1_000_000);
+    private final double clockOffsetMs = random.nextInt(1_000_000);
     private final DoorParticipant side;
-    private final Set<String> away = new HashSet<>();
+    private final Set<String> backendsTakenOut = new HashSet<>();
     private final Map<String, Integer> pending = new HashMap<>();
-    private final List<Runnable> held = new ArrayList<>();
-    private final boolean knows;
+    private final List<Runnable> deferredTasks = new ArrayList<>();
+    private final boolean mayServeAtStart;
     private final String version;
     private final long attempt;
     private boolean ending;
@@ -723,118 +736,119 @@
     private boolean dead;
     private boolean serving;
     private boolean ready;
-    private boolean drains;
+    private boolean drainRequested;
     private long generation;
-    private boolean taken;
-    private long seesList;
-    private List<Command.Backend> sees = List.of();
-    private boolean told;
-    private double wakeAt;
+    private boolean joined;
+    private long seenListVersion;
+    private List<Command.Backend> seenBackends = List.of();
+    private boolean allowedToServe;
+    private double wakeAtMs;
 
     Process(String door, String incarnation, String version, long attempt) {
       this.version = version;
       this.attempt = attempt;
       this.door = door;
       this.incarnation = incarnation;
-      rate = bug == Bug.CLOCK_BEYOND_DRIFT ? 0.7 : drifting(DRIFT);
-      Map<String, Long> before = new HashMap<>();
-      boolean holds = takesLock();
-      if (holds && bug != Bug.NOTHING_REMEMBERED) {
-        files.getOrDefault(door, Map.of()).values().forEach(before::putAll);
+      rate = bug == Bug.CLOCK_BEYOND_DRIFT ? 0.7 : randomClockRate(DRIFT);
+      Map<String, Long> remembered = new HashMap<>();
+      boolean hasLock = tryLock();
+      if (hasLock && bug != Bug.NOTHING_REMEMBERED) {
+        files.getOrDefault(door, Map.of()).values().forEach(remembered::putAll);
       }
-      knows = (holds || bug == Bug.SUCCESSOR_GOES_BY_FILES) && files.containsKey(door)
+      mayServeAtStart = (hasLock || bug == Bug.SUCCESSOR_GOES_BY_FILES) && files.containsKey(door)
           || bug == Bug.SERVES_BEFORE_TOLD || bug == Bug.SUCCESSOR_UNASKED && attempt > 0;
-      side = new DoorParticipant(door, incarnation, DRIFT, before, version,
-          holds && !before.isEmpty() ? 0 : attempt);
-      away.addAll(before.keySet());
-      before.keySet().forEach(x -> clock.after(0, () -> on(() -> lookWhetherLeft(x))));
+      side = new DoorParticipant(door, incarnation, DRIFT, remembered, version,
+          hasLock && !remembered.isEmpty() ? 0 : attempt);
+      backendsTakenOut.addAll(remembered.keySet());
+      remembered.keySet().forEach(x -> clock.after(0, () -> runWhenResumed(() -> checkBackendIdle(x))));
     }
 
     double clock() {
-      return ahead + rate * clock.now();
+      return clockOffsetMs + rate * clock.now();
     }
 
     /** Has this process do it, when it goes on. */
-    void on(Runnable what) {
+    void runWhenResumed(Runnable what) {
       if (stopped) {
-        held.add(what);
+        deferredTasks.add(what);
       } else if (!dead) {
         what.run();
       }
     }
 
-    private void tell(DoorEvent event) {
+    private void dispatch(DoorEvent event) {
       side.handle(clock(), event).forEach(this::execute);
     }
 
     void start() {
-      tell(new DoorEvent.TimerFired());
-      sight();
-      waitForLock();
-      vouch();
-      if (attempt > 0 && version.equals(MUTE)) {
+      dispatch(new DoorEvent.TimerFired());
+      pollDiscovery();
+      awaitLock();
+      reportEndedProcesses();
+      if (attempt > 0 && version.equals(NEVER_READY_VERSION)) {
         return;
       }
-      clock.after(300 + random.nextInt(600), () -> on(() -> {
+      clock.after(300 + random.nextInt(600), () -> runWhenResumed(() -> {
         ready = true;
-        serveIfTold();
+        serveIfAllowed();
       }));
     }
 
-    private void serveIfTold() {
-      if (ready && !serving && (knows || told)) {
+    private void serveIfAllowed() {
+      if (ready && !serving && (mayServeAtStart || allowedToServe)) {
         serving = true;
-        installed.put(door, version);
+        installedVersions.put(door, version);
         if (attempt > 0) {
-          begins(this);
-          processes.stream().filter(x -> x.door.equals(door) && x != this && !x.dead).forEach(Process::end);
+          onReleasedProcessServing(this);
+          processes.stream().filter(x -> x.door.equals(door) && x != this && !x.dead)
+              .forEach(Process::shutDown);
         }
-        if (attempt > 0 && version.equals(FAINT)) {
+        if (attempt > 0 && version.equals(CRASHING_VERSION)) {
           clock.after(500 + random.nextInt(1_500), () -> {
-            installed.put(door, OLD);
+            installedVersions.put(door, OLD_VERSION);
             kill();
-            clock.after(700, () -> begin(door, true));
+            clock.after(700, () -> startProcess(door, true));
           });
         }
-        tell(new DoorEvent.ActivityChanged(doing()));
+        dispatch(new DoorEvent.ActivityChanged(doing()));
         traffic();
       }
     }
 
     private Activity doing() {
-      return !serving ? Activity.STARTING : drains ? Activity.EMPTY : Activity.READY;
+      return !serving ? Activity.STARTING : drainRequested ? Activity.EMPTY : Activity.READY;
     }
 
     /** Held by one process of the door until that is dead. */
-    private boolean takesLock() {
-      Process holder = holders.get(door);
+    private boolean tryLock() {
+      Process holder = lockHolders.get(door);
       if (holder != null && !holder.dead && bug != Bug.ALONE_TOO_SOON) {
         return false;
       }
-      holders.put(door, this);
+      lockHolders.put(door, this);
       generation = generations.merge(door, 1L, Long::sum);
       return true;
     }
 
-    private void waitForLock() {
-      if (generation == 0 && takesLock()) {
-        holds();
+    private void awaitLock() {
+      if (generation == 0 && tryLock()) {
+        onLockAcquired();
       } else if (generation == 0) {
-        clock.after(50, () -> on(this::waitForLock));
+        clock.after(50, () -> runWhenResumed(this::awaitLock));
       }
     }
 
     /** Sees by their locks which processes of the door have ended, and says so until it is answered. */
-    private void vouch() {
-      if (generation > 0 && (taken || bug == Bug.VOUCHES_UNKNOWN)) {
-        for (String ended : List.copyOf(ends.getOrDefault(door, Set.of()))) {
-          ask(door, new Command.Leave(0, door, ended), x -> ends.get(door).remove(ended));
+    private void reportEndedProcesses() {
+      if (generation > 0 && (joined || bug == Bug.VOUCHES_UNKNOWN)) {
+        for (String ended : List.copyOf(unreportedEnds.getOrDefault(door, Set.of()))) {
+          ask(door, new Command.Leave(0, door, ended), x -> unreportedEnds.get(door).remove(ended));
         }
       }
-      clock.after(500, () -> on(this::vouch));
+      clock.after(500, () -> runWhenResumed(this::reportEndedProcesses));
     }
 
-    private void holds() {
+    private void onLockAcquired() {
       files.computeIfPresent(door, (name, all) -> all.containsKey(incarnation)
           ? new HashMap<>(Map.of(incarnation, all.get(incarnation))) : all);
       join();
@@ -843,13 +857,13 @@
     /** Until it is answered, or another is said. */
     private void join() {
       long said = generation;
-      boolean[] answered = {choosing};
+      boolean[] answered = {injectsChosenFaults};
       ask(door, new Command.Join(0, door, incarnation, "z", 1, said,
-          bug == Bug.VERSION_UNSAID ? OLD : version), x -> {
+          bug == Bug.VERSION_UNSAID ? OLD_VERSION : version), x -> {
             answered[0] = true;
-            taken |= x instanceof Outcome.Done;
+            joined |= x instanceof Outcome.Done;
           });
-      clock.after(400, () -> on(() -> {
+      clock.after(400, () -> runWhenResumed(() -> {
         if (!answered[0] && said == generation) {
           join();
         }
@@ -857,59 +871,59 @@
     }
 
     /** Looks at the list now and then, and says once what has changed. */
-    private void sight() {
-      if (seesList < listVersion) {
-        seesList = listVersion;
-        sees = listed();
-        tell(new DoorEvent.BackendListChanged(Command.BackendListId.of(seesList, sees)));
-        tellList();
+    private void pollDiscovery() {
+      if (seenListVersion < listVersion) {
+        seenListVersion = listVersion;
+        seenBackends = listed();
+        dispatch(new DoorEvent.BackendListChanged(Command.BackendListId.of(seenListVersion, seenBackends)));
+        reportBackendList();
       }
-      clock.after(LIST_MS, () -> on(this::sight));
+      clock.after(DISCOVERY_POLL_MS, () -> runWhenResumed(this::pollDiscovery));
     }
 
-    private void tellList() {
-      ask(door, new Command.UpdateBackends(0, seesList, sees), x -> { });
+    private void reportBackendList() {
+      ask(door, new Command.UpdateBackends(0, seenListVersion, seenBackends), x -> { });
     }
 
     void kill() {
       dead = true;
-      lockIsFree();
-      held.clear();
-      if (!lives(door)) {
-        countsAsDead.put(door, clock.now() + LEASE_MS * (1 + 3 * DRIFT) + 3 * MOST_DELAY_MS + 5_000);
+      markLockReleased();
+      deferredTasks.clear();
+      if (!hasLiveProcess(door)) {
+        countsAsDeadFromMs.put(door, clock.now() + LEASE_MS * (1 + 3 * DRIFT) + 3 * MAX_DELAY_MS + 5_000);
       }
       if (bug == Bug.ZOMBIE_BEATS) {
-        zombie(1_000_000);
+        sendZombieBeats(1_000_000);
       }
     }
 
-    private void zombie(long number) {
-      if (!quiet) {
+    private void sendZombieBeats(long number) {
+      if (!faultsEnded) {
         ask(door, new Command.Heartbeats(0, List.of(new Heartbeat(door, incarnation, Activity.READY, number,
             record.state().index(), Set.of(), Command.Report.NONE))), x -> { });
-        clock.after(300, () -> zombie(number + 1));
+        clock.after(300, () -> sendZombieBeats(number + 1));
       }
     }
 
-    void stop(boolean on) {
-      stopped = on && !dead;
-      if (!on) {
-        List<Runnable> all = List.copyOf(held);
-        held.clear();
-        all.forEach(this::on);
+    void setStopped(boolean stop) {
+      stopped = stop && !dead;
+      if (!stop) {
+        List<Runnable> all = List.copyOf(deferredTasks);
+        deferredTasks.clear();
+        all.forEach(this::runWhenResumed);
       }
     }
 
     /** Ends in order, in favour of another process. */
-    void end() {
-      on(() -> {
+    void shutDown() {
+      runWhenResumed(() -> {
         if (bug == Bug.LEAVES_TOO_SOON) {
           ask(door, new Command.Leave(0, door, incarnation), x -> { });
-          clock.after(2_000, () -> on(this::ended));
+          clock.after(2_000, () -> runWhenResumed(this::onEnded));
         } else {
           serving = false;
           ending = true;
-          tell(new DoorEvent.ActivityChanged(Activity.DRAINING));
+          dispatch(new DoorEvent.ActivityChanged(Activity.DRAINING));
           endWhenEmpty();
         }
       });
@@ -918,22 +932,22 @@
     private void endWhenEmpty() {
       if (pending.isEmpty()) {
         ask(door, new Command.Leave(0, door, incarnation), x -> { });
-        ended();
+        onEnded();
       } else {
-        clock.after(20, () -> on(this::endWhenEmpty));
+        clock.after(20, () -> runWhenResumed(this::endWhenEmpty));
       }
     }
 
     /** Seen twice by then: what it had written is there. */
-    private void lockIsFree() {
-      clock.after(500, () -> ends.computeIfAbsent(door, x -> new HashSet<>()).add(incarnation));
+    private void markLockReleased() {
+      clock.after(500, () -> unreportedEnds.computeIfAbsent(door, x -> new HashSet<>()).add(incarnation));
     }
 
-    private void ended() {
+    private void onEnded() {
       dead = true;
-      lockIsFree();
-      if (!lives(door)) {
-        clock.after(500, () -> begin(door, true));
+      markLockReleased();
+      if (!hasLiveProcess(door)) {
+        clock.after(500, () -> startProcess(door, true));
       }
     }
 
@@ -942,13 +956,13 @@
         return;
       }
       String backend = "b" + random.nextInt(BACKENDS);
-      if (!away.contains(backend)) {
+      if (!backendsTakenOut.contains(backend)) {
         pending.merge(backend, 1, Integer::sum);
         Runnable arrives = () -> {
-          if (out.contains(backend)) {
-            breach(door + "/" + incarnation + " sends to " + backend + ", which is out");
+          if (backendsOut.contains(backend)) {
+            addBreach(door + "/" + incarnation + " sends to " + backend + ", which is out");
           }
-          clock.after(random.nextInt(60), () -> on(() -> {
+          clock.after(random.nextInt(60), () -> runWhenResumed(() -> {
             if (pending.merge(backend, -1, Integer::sum) == 0) {
               pending.remove(backend);
             }
@@ -956,19 +970,19 @@
         };
         // Written already, or when its connection is there.
         double delay = random.nextDouble() * 60;
-        clock.after(delay, random.nextBoolean() ? arrives : () -> on(arrives));
+        clock.after(delay, random.nextBoolean() ? arrives : () -> runWhenResumed(arrives));
       }
-      clock.after(random.nextDouble() * 2 * TRAFFIC_MS, () -> on(this::traffic));
+      clock.after(random.nextDouble() * 2 * MEAN_REQUEST_INTERVAL_MS, () -> runWhenResumed(this::traffic));
     }
 
-    private void lookWhetherLeft(String backend) {
-      if (!away.contains(backend)) {
+    private void checkBackendIdle(String backend) {
+      if (!backendsTakenOut.contains(backend)) {
         return;
       }
       if (!pending.containsKey(backend) || bug == Bug.LET_GO_AT_ONCE) {
-        tell(new DoorEvent.BackendVacated(backend));
+        dispatch(new DoorEvent.BackendVacated(backend));
       } else {
-        clock.after(20, () -> on(() -> lookWhetherLeft(backend)));
+        clock.after(20, () -> runWhenResumed(() -> checkBackendIdle(backend)));
       }
     }
 
@@ -978,12 +992,12 @@
       } else if (action instanceof DoorAction.SendJoin) {
         join();
       } else if (action instanceof DoorAction.SendBackendList && bug != Bug.LIST_TOLD_ONCE) {
-        tellList();
+        reportBackendList();
       } else if (action instanceof DoorAction.WakeAt e) {
-        wakeAt = e.atMs();
-        clock.after((e.atMs() - clock()) / rate + 0.01, () -> on(() -> {
-          if (wakeAt == e.atMs()) {
-            tell(new DoorEvent.TimerFired());
+        wakeAtMs = e.atMs();
+        clock.after((e.atMs() - clock()) / rate + 0.01, () -> runWhenResumed(() -> {
+          if (wakeAtMs == e.atMs()) {
+            dispatch(new DoorEvent.TimerFired());
           }
         }));
       } else if (action instanceof DoorAction.StartSuccessor e) {
@@ -991,16 +1005,17 @@
       } else if (action instanceof DoorAction.PersistOutBackends e) {
         files.computeIfAbsent(door, x -> new HashMap<>()).put(incarnation, e.out());
       } else if (action instanceof DoorAction.TakeOut e) {
-        away.add(e.backend());
-        lookWhetherLeft(e.backend());
+        backendsTakenOut.add(e.backend());
+        checkBackendIdle(e.backend());
       } else if (action instanceof DoorAction.PutBack e) {
-        away.remove(e.backend());
+        backendsTakenOut.remove(e.backend());
       } else if (action instanceof DoorAction.AllowServing) {
-        told = true;
-        serveIfTold();
+        allowedToServe = true;
+        serveIfAllowed();
       } else if (action instanceof DoorAction.Drain || action instanceof DoorAction.Undrain) {
-        drains = action instanceof DoorAction.Drain;
-        clock.after(100 + random.nextInt(300), () -> on(() -> tell(new DoorEvent.ActivityChanged(doing()))));
+        drainRequested = action instanceof DoorAction.Drain;
+        clock.after(100 + random.nextInt(300),
+            () -> runWhenResumed(() -> dispatch(new DoorEvent.ActivityChanged(doing()))));
       }
     }
 
@@ -1009,12 +1024,12 @@
       if (ending || dead) {
         return;
       }
-      Process next = begin(door, e.version(), e.attempt());
+      Process next = startProcess(door, e.version(), e.attempt());
       clock.after(READY_LIMIT_MS, () -> {
         if (!next.serving && !next.dead) {
           // By the one that started it, or by itself where that is gone; then its supervisor starts the door.
           next.kill();
-          clock.after(700, () -> begin(door, true));
+          clock.after(700, () -> startProcess(door, true));
         }
       });
       awaitSuccessor(next, e.attempt());
@@ -1023,10 +1038,10 @@
     private void awaitSuccessor(Process next, long of) {
       if (next.dead && !ending) {
         if (bug != Bug.FAILURE_UNSAID) {
-          tell(new DoorEvent.SuccessorFailed(of));
+          dispatch(new DoorEvent.SuccessorFailed(of));
         }
       } else if (!ending) {
-        clock.after(50, () -> on(() -> awaitSuccessor(next, of)));
+        clock.after(50, () -> runWhenResumed(() -> awaitSuccessor(next, of)));
       }
     }
 
@@ -1047,8 +1062,8 @@
       ask(door, command, outcome -> {
         if (outcome instanceof Outcome.HeartbeatsRecorded e) {
           var view = record.view(door, incarnation, e.leaseMs()
-              + (bug == Bug.LEASE_FROM_RECEIPT ? clock() - sentAt + MOST_DELAY_MS : 0));
-          on(() -> tell(new DoorEvent.HeartbeatAnswered(beat.number(), view)));
+              + (bug == Bug.LEASE_FROM_RECEIPT ? clock() - sentAt + MAX_DELAY_MS : 0));
+          runWhenResumed(() -> dispatch(new DoorEvent.HeartbeatAnswered(beat.number(), view)));
         }
       });
     }
--- a/emulator/src/main/java/willowdoor/emulator/agreement/StewardWorld.java
+++ b/emulator/src/main/java/willowdoor/emulator/agreement/StewardSimulation.java
@@ -26,28 +26,28 @@
 import willowdoor.steward.StewardEnvironment;
 
 /** The real library in simulated time: links that lose and delay, processes that stand still. */
-final class StewardWorld implements AutoCloseable {
+final class StewardSimulation implements AutoCloseable {
 
-  private static final long ROOM = 100_000;
+  private static final long DISK_PAGES = 100_000;
   /** Its lines, many to each message, would hide a failure's. */
-  private static final Logger LIBRARY = Logger.getLogger("io.microraft");
+  private static final Logger RAFT_LOGGER = Logger.getLogger("io.microraft");
 
-  private record Task(double at, long order, int owner, Runnable run) { }
+  private record Task(double atMs, long order, int owner, Runnable action) { }
 
   final List<StewardId> ids = new ArrayList<>();
   final List<Steward> stewards = new ArrayList<>();
   /** Those whose process is stopped: what falls due waits. */
   final Set<Integer> stopped = new HashSet<>();
   /** Directed links that carry nothing, as from * 10 + to. */
-  final Set<Integer> cut = new HashSet<>();
-  double lost;
-  double mostDelayMs = 5;
-  double now;
+  final Set<Integer> cutLinks = new HashSet<>();
+  double lossProbability;
+  double maxDelayMs = 5;
+  double nowMs;
   private final Random random;
   private long order;
   private final PriorityQueue<Task> tasks =
-      new PriorityQueue<>(Comparator.comparingDouble(Task::at).thenComparingLong(Task::order));
-  private final List<Task> held = new ArrayList<>();
+      new PriorityQueue<>(Comparator.comparingDouble(Task::atMs).thenComparingLong(Task::order));
+  private final List<Task> deferredTasks = new ArrayList<>();
 
   private List<StewardId> initial = List.of();
   private final Path folder;
@@ -55,10 +55,10 @@
   private final FleetSettings terms;
   private final List<DiskStore> disks = new ArrayList<>();
   /** How often each process was begun. */
-  private final List<Integer> lives = new ArrayList<>();
+  private final List<Integer> launches = new ArrayList<>();
 
-  StewardWorld(Path folder, int n, long seed, int budget, int snapshotAfter) throws IOException {
-    LIBRARY.setLevel(Level.OFF);
+  StewardSimulation(Path folder, int n, long seed, int budget, int snapshotAfter) throws IOException {
+    RAFT_LOGGER.setLevel(Level.OFF);
     random = new Random(seed);
     this.folder = Files.createTempDirectory(folder, "seed" + seed + "-");
     this.snapshotAfter = snapshotAfter;
@@ -68,48 +68,48 @@
       ids.add(new StewardId("s" + i, "disk" + i));
       stewards.add(null);
       disks.add(null);
-      lives.add(0);
+      launches.add(0);
     }
     initial = List.copyOf(ids);
     for (int i = 0; i < n; i++) {
-      begin(i);
+      start(i);
     }
   }
 
   /** One more, which joins those who are there. */
   int join() throws IOException {
-    int me = ids.size();
-    ids.add(new StewardId("s" + me, "disk" + me));
+    int steward = ids.size();
+    ids.add(new StewardId("s" + steward, "disk" + steward));
     stewards.add(null);
     disks.add(null);
-    lives.add(0);
-    begin(me);
-    return me;
+    launches.add(0);
+    start(steward);
+    return steward;
   }
 
   /** Begins a steward's process on what is on its disk. */
-  void begin(int me) throws IOException {
-    begin(me, ROOM);
+  void start(int steward) throws IOException {
+    start(steward, DISK_PAGES);
   }
 
   /** The same on a disk with room for so many pages. */
-  void begin(int me, long pages) throws IOException {
-    int life = lives.get(me) + 1;
-    lives.set(me, life);
-    disks.set(me, new DiskStore(disk(me), false, pages));
-    Random own = new Random(random.nextLong());
+  void start(int steward, long pages) throws IOException {
+    int launch = launches.get(steward) + 1;
+    launches.set(steward, launch);
+    disks.set(steward, new DiskStore(disk(steward), false, pages));
+    Random stewardRandom = new Random(random.nextLong());
     // Clocks that have nothing to do with each other.
-    double ahead = own.nextInt(1_000_000);
-    stewards.set(me, new Steward(ids.get(me), initial, terms, new StewardEnvironment() {
+    double clockOffsetMs = stewardRandom.nextInt(1_000_000);
+    stewards.set(steward, new Steward(ids.get(steward), initial, terms, new StewardEnvironment() {
       @Override
       public double now() {
-        return now + ahead;
+        return nowMs + clockOffsetMs;
       }
 
       @Override
       public void schedule(double delayMs, Runnable task) {
-        at(delayMs, me, () -> {
-          if (lives.get(me) == life) {
+        scheduleEvent(delayMs, steward, () -> {
+          if (launches.get(steward) == launch) {
             task.run();
           }
         });
@@ -117,19 +117,19 @@
 
       @Override
       public Random random() {
-        return own;
+        return stewardRandom;
       }
     }, (to, message) -> {
       int other = ids.indexOf(to);
-      if (!cut.contains(me * 10 + other) && random.nextDouble() >= lost) {
-        at(random.nextDouble() * mostDelayMs, other, () -> {
+      if (!cutLinks.contains(steward * 10 + other) && random.nextDouble() >= lossProbability) {
+        scheduleEvent(random.nextDouble() * maxDelayMs, other, () -> {
           if (disks.get(other) != null) {
             stewards.get(other).handle(message);
           }
         });
       }
-    }, to -> true, snapshotAfter, disks.get(me)));
-    stewards.get(me).start();
+    }, to -> true, snapshotAfter, disks.get(steward)));
+    stewards.get(steward).start();
   }
 
   /** Where a steward's disk is, to be broken while it is down. */
@@ -140,22 +140,22 @@
   /** Kills a steward's process; what it had not flushed is lost. */
   void kill(int steward) throws IOException {
     if (disks.get(steward) != null) {
-      lives.set(steward, lives.get(steward) + 1);
+      launches.set(steward, launches.get(steward) + 1);
       disks.get(steward).close();
       disks.set(steward, null);
       stopped.remove(steward);
-      held.removeIf(x -> x.owner == steward);
+      deferredTasks.removeIf(x -> x.owner == steward);
     }
   }
 
   /** Begins those that were killed, and has the stopped ones go on. */
-  void mend() throws IOException {
+  void restartStopped() throws IOException {
     for (int i = 0; i < ids.size(); i++) {
       if (disks.get(i) == null) {
-        begin(i);
+        start(i);
       }
     }
-    Set.copyOf(stopped).forEach(this::goOn);
+    Set.copyOf(stopped).forEach(this::resume);
   }
 
   @Override
@@ -165,62 +165,62 @@
     }
   }
 
-  boolean lives(int steward) {
+  boolean isRunning(int steward) {
     return disks.get(steward) != null;
   }
 
-  private void at(double delayMs, int owner, Runnable run) {
-    tasks.add(new Task(now + delayMs, order++, owner, run));
+  private void scheduleEvent(double delayMs, int owner, Runnable run) {
+    tasks.add(new Task(nowMs + delayMs, order++, owner, run));
   }
 
   void stop(int steward) {
     stopped.add(steward);
   }
 
-  void goOn(int steward) {
+  void resume(int steward) {
     stopped.remove(steward);
-    held.stream().filter(x -> x.owner == steward).forEach(x -> at(0, steward, x.run));
-    held.removeIf(x -> x.owner == steward);
+    deferredTasks.stream().filter(x -> x.owner == steward).forEach(x -> scheduleEvent(0, steward, x.action));
+    deferredTasks.removeIf(x -> x.owner == steward);
   }
 
   /** Both ways between those of a side and all others. */
-  void split(Set<Integer> side) {
+  void partition(Set<Integer> side) {
     for (int i = 0; i < ids.size(); i++) {
       for (int k = 0; k < ids.size(); k++) {
         if (side.contains(i) != side.contains(k)) {
-          cut.add(i * 10 + k);
+          cutLinks.add(i * 10 + k);
         }
       }
     }
   }
 
   void run(double ms) {
-    until(now + ms, () -> false);
+    runUntil(nowMs + ms, () -> false);
   }
 
   /** Whether it came to be within the time. */
-  boolean until(double atMs, BooleanSupplier done) {
-    while (!done.getAsBoolean()) {
+  boolean runUntil(double limitMs, BooleanSupplier condition) {
+    while (!condition.getAsBoolean()) {
       Task next = tasks.peek();
-      if (next == null || next.at > atMs) {
-        now = atMs;
+      if (next == null || next.atMs > limitMs) {
+        nowMs = limitMs;
         return false;
       }
       tasks.poll();
-      now = Math.max(now, next.at);
+      nowMs = Math.max(nowMs, next.atMs);
       if (stopped.contains(next.owner)) {
-        held.add(next);
+        deferredTasks.add(next);
       } else {
-        next.run.run();
+        next.action.run();
       }
     }
     return true;
   }
 
   /** The one that leads by its own belief and isn't among those; -1 where there is none. */
-  int leader(Set<Integer> not) {
+  int leader(Set<Integer> excluded) {
     for (int i = 0; i < stewards.size(); i++) {
-      if (!not.contains(i) && !stopped.contains(i) && lives(i) && stewards.get(i).isLeader()) {
+      if (!excluded.contains(i) && !stopped.contains(i) && isRunning(i) && stewards.get(i).isLeader()) {
         return i;
       }
     }
@@ -232,13 +232,13 @@
   }
 
   /** What a command comes to, tried at whoever leads until one agrees. */
-  Outcome agreed(Set<Integer> not, DoubleFunction<Command> command) {
-    double limit = now + 20_000;
-    while (now < limit) {
-      int leader = leader(not);
+  Outcome proposeUntilAgreed(Set<Integer> excluded, DoubleFunction<Command> command) {
+    double limit = nowMs + 20_000;
+    while (nowMs < limit) {
+      int leader = leader(excluded);
       if (leader >= 0) {
         CompletableFuture<Outcome> answer = propose(leader, command);
-        until(now + 1_000, answer::isDone);
+        runUntil(nowMs + 1_000, answer::isDone);
         if (answer.isDone() && !answer.isCompletedExceptionally()) {
           return answer.join();
         }
