--- a/emulator/src/main/java/willowdoor/emulator/epoch/EpochWorld.java
+++ b/emulator/src/main/java/willowdoor/emulator/epoch/EpochSimulation.java
@@ -28,7 +28,7 @@
  * are stopped, cut off, killed and begun anew, operators who propose and abort. What must hold is looked at
  * from above, by true time: once any door has decided by an epoch, none decides by an older one alone.
  */
-public final class EpochWorld {
+public final class EpochSimulation {
 
   /** Mistakes that may be planted, to see that each is found. */
   public enum Bug {
@@ -51,84 +51,84 @@
       long refused) { }
 
   private static final double DRIFT = 0.02;
-  private static final double BEAT_MS = 150;
-  private static final double MOST_DELAY_MS = 60;
-  private static final double TRAFFIC_MS = 12;
+  private static final double HEARTBEAT_INTERVAL_MS = 150;
+  private static final double MAX_DELAY_MS = 60;
+  private static final double MEAN_REQUEST_INTERVAL_MS = 12;
   private static final double FAULTS_UNTIL_MS = 25_000;
-  private static final double MOST_MENDING_MS = 25_000;
+  private static final double MAX_RECOVERY_MS = 25_000;
   private static final EpochSettings TERMS = new EpochSettings(3_000, 700, 6_000);
 
   private final SimClock clock = new SimClock();
   private final Random random;
   private final Bug bug;
-  private final boolean both;
+  private final boolean checksBothPolicies;
   private final EpochCoordinator epochs;
-  private final Map<String, Life> record = new LinkedHashMap<>();
+  private final Map<String, MemberReport> memberReports = new LinkedHashMap<>();
   private final List<Process> processes = new ArrayList<>();
-  private final Map<String, Long> files = new HashMap<>();
-  private final Set<String> cut = new HashSet<>();
-  private final Set<Long> bad = new HashSet<>();
+  private final Map<String, Long> storedEpochs = new HashMap<>();
+  private final Set<String> cutDoors = new HashSet<>();
+  private final Set<Long> rejectedEpochs = new HashSet<>();
   private final List<String> breaches = new ArrayList<>();
   private final int doors;
   /** The highest epoch that has decided alone anywhere. */
-  private long decidedBy;
+  private long highestDecidedEpoch;
   private double recordMs;
   private double leaderMs = Double.NaN;
   private double leaderRate = 1;
-  private double leaderAhead;
-  private boolean led;
+  private double leaderClockOffsetMs;
+  private boolean hasLeader;
   private int term;
-  private boolean quiet;
-  private int begun;
+  private boolean faultsEnded;
+  private int processCount;
   private int proposals;
-  private long alone;
-  private long pairs;
+  private long decidedByOne;
+  private long decidedByBoth;
   private long refusals;
 
-  private record Life(double heardMs, EpochMember.Report word) { }
+  private record MemberReport(double heardMs, EpochMember.Report word) { }
 
-  private EpochWorld(long seed, int doors, Bug bug) {
+  private EpochSimulation(long seed, int doors, Bug bug) {
     random = new Random(seed);
     this.doors = doors;
     this.bug = bug;
-    both = random.nextBoolean();
+    checksBothPolicies = random.nextBoolean();
     epochs = new EpochCoordinator(
         new EpochState(TERMS, 0, PolicyDocument.NONE, PolicyDocument.NONE, null, List.of()));
   }
 
   /** Plays one schedule. */
   public static Result play(long seed, int doors, Bug bug) {
-    return new EpochWorld(seed, doors, bug).run();
+    return new EpochSimulation(seed, doors, bug).run();
   }
 
   private Result run() {
-    lead();
+    electLeader();
     for (int i = 0; i < doors; i++) {
-      begin("d" + i);
+      startProcess("d" + i);
     }
     clock.after(800, this::propose);
     int faults = 3 + random.nextInt(10);
     for (int i = 0; i < faults; i++) {
-      clock.after(500 + random.nextInt((int) FAULTS_UNTIL_MS), this::fault);
+      clock.after(500 + random.nextInt((int) FAULTS_UNTIL_MS), this::injectFault);
     }
     clock.runUntil(FAULTS_UNTIL_MS);
-    quiet = true;
-    cut.clear();
-    processes.forEach(p -> p.stop(false));
-    double limit = clock.now() + MOST_MENDING_MS;
-    while (clock.now() < limit && !settled()) {
+    faultsEnded = true;
+    cutDoors.clear();
+    processes.forEach(p -> p.setStopped(false));
+    double limit = clock.now() + MAX_RECOVERY_MS;
+    while (clock.now() < limit && !isSettled()) {
       clock.runUntil(clock.now() + 500);
     }
-    if (!settled()) {
-      breach("not all has ended: " + epochs.state().change() + ", held up by "
+    if (!isSettled()) {
+      addBreach("not all has ended: " + epochs.state().change() + ", held up by "
           + epochs.describeBlockers(recordMs, members()));
     }
     List<PastChange> log = epochs.state().log();
     return new Result(List.copyOf(breaches), (int) log.stream().filter(PastChange::held).count(),
-        (int) log.stream().filter(x -> !x.held()).count(), alone, pairs, refusals);
+        (int) log.stream().filter(x -> !x.held()).count(), decidedByOne, decidedByBoth, refusals);
   }
 
-  private boolean settled() {
+  private boolean isSettled() {
     long current = epochs.state().current().epoch();
     return epochs.state().change() == null && processes.stream().filter(x -> !x.dead).allMatch(x -> {
       ActivePolicy by = x.side.policyAt(x.clock());
@@ -137,26 +137,26 @@
     });
   }
 
-  private void breach(String what) {
+  private void addBreach(String what) {
     if (breaches.size() < 5) {
       breaches.add(Math.round(clock.now()) + " ms: " + what);
     }
   }
 
-  private double drifting() {
+  private double randomClockRate() {
     return 1 + DRIFT * (2 * random.nextDouble() - 1);
   }
 
   private double leaderClock() {
-    return leaderAhead + leaderRate * clock.now();
+    return leaderClockOffsetMs + leaderRate * clock.now();
   }
 
-  private void lead() {
+  private void electLeader() {
     double before = clock.now();
     term++;
-    led = true;
-    leaderRate = drifting();
-    leaderAhead = random.nextInt(1_000_000);
+    hasLeader = true;
+    leaderRate = randomClockRate();
+    leaderClockOffsetMs = random.nextInt(1_000_000);
     if (bug == Bug.TIME_BETWEEN_LEADERS && term > 1) {
       recordMs += 1_500;
     }
@@ -171,25 +171,25 @@
   }
 
   private void loseLeader() {
-    if (led) {
-      led = false;
-      clock.after(100 + random.nextInt(1_500), this::lead);
+    if (hasLeader) {
+      hasLeader = false;
+      clock.after(100 + random.nextInt(1_500), this::electLeader);
     }
   }
 
   /** The leader's time passes in the record with each entry. */
-  private void pass() {
+  private void advanceRecordTime() {
     recordMs += Math.max(0, leaderClock() - leaderMs);
     leaderMs = Math.max(leaderMs, leaderClock());
   }
 
   private List<EpochMember> members() {
-    return record.entrySet().stream().map(e -> new EpochMember(e.getKey(), e.getValue().heardMs()
+    return memberReports.entrySet().stream().map(e -> new EpochMember(e.getKey(), e.getValue().heardMs()
         + (bug == Bug.FORGOTTEN_WHEN_SILENT ? 500 : TERMS.fenceMs()),
-        bug == Bug.NO_IS_UNHEARD ? ready(e.getValue().word()) : e.getValue().word())).toList();
+        bug == Bug.NO_IS_UNHEARD ? withoutRefusal(e.getValue().word()) : e.getValue().word())).toList();
   }
 
-  private static EpochMember.Report ready(EpochMember.Report word) {
+  private static EpochMember.Report withoutRefusal(EpochMember.Report word) {
     return word.refused() == 0 ? word : new EpochMember.Report(word.holds(), word.refused(), 0, "");
   }
 
@@ -199,14 +199,14 @@
     PolicyChange now = epochs.state().change();
     if (before != null && now != null && before.stage() != now.stage()
         && now.stage() == PolicyChange.Stage.DECIDED
-        && record.values().stream().anyMatch(x -> x.word().refused() == now.document().epoch())) {
-      breach("epoch " + now.document().epoch() + " is decided, and somebody has said no to it");
+        && memberReports.values().stream().anyMatch(x -> x.word().refused() == now.document().epoch())) {
+      addBreach("epoch " + now.document().epoch() + " is decided, and somebody has said no to it");
     }
   }
 
   private void propose() {
-    if (led && !quiet) {
-      pass();
+    if (hasLeader && !faultsEnded) {
+      advanceRecordTime();
       String text = "document " + ++proposals;
       try {
         long epoch = epochs
@@ -214,7 +214,7 @@
             "ana",
             "test");
         if (random.nextInt(5) == 0) {
-          bad.add(epoch);
+          rejectedEpochs.add(epoch);
         }
         if (random.nextInt(4) == 0) {
           clock.after(random.nextInt(1_500), () -> abort(epoch));
@@ -224,14 +224,14 @@
         proposals--;
       }
     }
-    if (!quiet) {
+    if (!faultsEnded) {
       clock.after(300 + random.nextInt(3_000), this::propose);
     }
   }
 
   private void abort(long epoch) {
-    if (led) {
-      pass();
+    if (hasLeader) {
+      advanceRecordTime();
       try {
         epochs.abort(recordMs, epoch, "rui");
       } catch (IllegalArgumentException e) {
@@ -241,133 +241,134 @@
     }
   }
 
-  private void fault() {
+  private void injectFault() {
     Process p = processes.get(random.nextInt(processes.size()));
-    double lasts = 100 + random.nextInt(7_000);
+    double durationMs = 100 + random.nextInt(7_000);
     switch (random.nextInt(5)) {
       case 0 -> {
-        p.stop(true);
-        clock.after(lasts, () -> p.stop(false));
+        p.setStopped(true);
+        clock.after(durationMs, () -> p.setStopped(false));
       }
       case 1 -> {
         if (!p.dead) {
           p.dead = true;
-          clock.after(lasts, () -> begin(p.door));
+          clock.after(durationMs, () -> startProcess(p.door));
         }
       }
       case 2 -> {
         // A second process of the door, which takes the place of the first.
         if (!p.dead && processes.stream().noneMatch(x -> x != p && x.door.equals(p.door) && !x.dead)) {
-          begin(p.door);
-          clock.after(1_500, () -> p.on(p::leave));
+          startProcess(p.door);
+          clock.after(1_500, () -> p.runWhenResumed(p::leave));
         }
       }
       default -> {
-        cut.add(p.door);
-        clock.after(lasts, () -> cut.remove(p.door));
+        cutDoors.add(p.door);
+        clock.after(durationMs, () -> cutDoors.remove(p.door));
       }
     }
   }
 
-  private void begin(String door) {
-    Process p = new Process(door, door + "/i" + ++begun);
+  private void startProcess(String door) {
+    Process p = new Process(door, door + "/i" + ++processCount);
     processes.add(p);
-    p.beat();
-    p.traffic();
+    p.sendHeartbeat();
+    p.decideRequest();
   }
 
-  private boolean lost(String door) {
-    return cut.contains(door) || !quiet && random.nextDouble() < 0.03;
+  private boolean isLost(String door) {
+    return cutDoors.contains(door) || !faultsEnded && random.nextDouble() < 0.03;
   }
 
-  private double delay() {
-    return !quiet && random.nextDouble() < 0.05 ? random.nextInt(4_000) : random.nextDouble() * MOST_DELAY_MS;
+  private double randomDelayMs() {
+    return !faultsEnded && random.nextDouble() < 0.05 ? random.nextInt(4_000) : random.nextDouble()
+        * MAX_DELAY_MS;
   }
 
   /** One process of a door. */
   private final class Process {
     private final String door;
     private final String name;
-    private final double rate = bug == Bug.CLOCK_BEYOND_DRIFT ? 0.6 : drifting();
-    private final double ahead = random.nextInt(1_000_000);
+    private final double rate = bug == Bug.CLOCK_BEYOND_DRIFT ? 0.6 : randomClockRate();
+    private final double clockOffsetMs = random.nextInt(1_000_000);
     private final EpochParticipant side;
-    private final List<Runnable> held = new ArrayList<>();
-    private long beats;
+    private final List<Runnable> deferredTasks = new ArrayList<>();
+    private long heartbeats;
     private boolean dead;
     private boolean stopped;
-    private double wakeAt = Double.POSITIVE_INFINITY;
-    private ActivePolicy asleep;
+    private double wakeAtMs = Double.POSITIVE_INFINITY;
+    private ActivePolicy decisionWhenStopped;
 
     Process(String door, String name) {
       this.door = door;
       this.name = name;
-      side = new EpochParticipant(DRIFT, both, files.getOrDefault(door, 0L));
+      side = new EpochParticipant(DRIFT, checksBothPolicies, storedEpochs.getOrDefault(door, 0L));
     }
 
     double clock() {
-      return ahead + rate * clock.now();
+      return clockOffsetMs + rate * clock.now();
     }
 
-    void on(Runnable what) {
+    void runWhenResumed(Runnable what) {
       if (stopped) {
-        held.add(what);
+        deferredTasks.add(what);
       } else if (!dead) {
         what.run();
       }
     }
 
-    void stop(boolean on) {
-      if (on && !dead) {
-        asleep = side.policyAt(clock());
+    void setStopped(boolean stop) {
+      if (stop && !dead) {
+        decisionWhenStopped = side.policyAt(clock());
       }
-      stopped = on && !dead;
-      if (!on) {
-        List<Runnable> all = List.copyOf(held);
-        held.clear();
-        if (!dead && bug == Bug.ASLEEP_OVER_IT && asleep != null) {
-          decided(asleep);
+      stopped = stop && !dead;
+      if (!stop) {
+        List<Runnable> all = List.copyOf(deferredTasks);
+        deferredTasks.clear();
+        if (!dead && bug == Bug.ASLEEP_OVER_IT && decisionWhenStopped != null) {
+          onDecision(decisionWhenStopped);
         }
-        asleep = null;
-        all.forEach(this::on);
+        decisionWhenStopped = null;
+        all.forEach(this::runWhenResumed);
       }
     }
 
     void leave() {
       dead = true;
-      record.remove(name);
+      memberReports.remove(name);
     }
 
-    void beat() {
-      long number = ++beats;
-      double sent = clock();
-      EpochMember.Report said = bug == Bug.YES_OF_ANOTHER && epochs.state().change() != null
+    void sendHeartbeat() {
+      long number = ++heartbeats;
+      double sentMs = clock();
+      EpochMember.Report word = bug == Bug.YES_OF_ANOTHER && epochs.state().change() != null
           ? new EpochMember.Report(side.report().holds(), epochs.state().change().document().epoch(), 0, "")
           : side.report();
-      if (!lost(door)) {
-        clock.after(delay(), () -> agree(number, sent, said));
+      if (!isLost(door)) {
+        clock.after(randomDelayMs(), () -> acceptHeartbeat(number, sentMs, word));
       }
-      clock.after(BEAT_MS / rate, () -> on(this::beat));
+      clock.after(HEARTBEAT_INTERVAL_MS / rate, () -> runWhenResumed(this::sendHeartbeat));
     }
 
-    private void agree(long number, double sent, EpochMember.Report said) {
-      if (!led || dead && !record.containsKey(name)) {
+    private void acceptHeartbeat(long number, double sentMs, EpochMember.Report word) {
+      if (!hasLeader || dead && !memberReports.containsKey(name)) {
         return;
       }
-      int asked = term;
+      int termAtReceipt = term;
       clock.after(random.nextDouble() * 10, () -> {
-        if (led && term == asked && (!dead || record.containsKey(name))) {
-          pass();
-          record.put(name, new Life(recordMs, said));
+        if (hasLeader && term == termAtReceipt && (!dead || memberReports.containsKey(name))) {
+          advanceRecordTime();
+          memberReports.put(name, new MemberReport(recordMs, word));
           settle();
-          EpochView view = shown(epochs.view(recordMs));
-          if (!lost(door)) {
-            clock.after(delay(), () -> on(() -> answered(number, sent, view)));
+          EpochView view = viewWithPlantedBug(epochs.view(recordMs));
+          if (!isLost(door)) {
+            clock.after(randomDelayMs(), () -> runWhenResumed(() -> onAnswer(number, sentMs, view)));
           }
         }
       });
     }
 
-    private EpochView shown(EpochView v) {
+    private EpochView viewWithPlantedBug(EpochView v) {
       return switch (bug) {
         case FENCE_TOO_LONG -> new EpochView(v.nowMs(), v.current(), v.hash(), v.next(), v.nextHash(),
             v.stage(),
@@ -381,67 +382,68 @@
       };
     }
 
-    private void answered(long number, double sent, EpochView view) {
+    private void onAnswer(long number, double sentMs, EpochView view) {
       boolean late = bug == Bug.OLD_ANSWERS_AS_NEW;
-      tell(new EpochEvent
-          .HeartbeatAnswered(late ? beats : number, bug == Bug.COUNTS_FROM_RECEIPT || late ? clock()
-          : sent, view));
+      dispatch(new EpochEvent
+          .HeartbeatAnswered(late ? heartbeats : number, bug == Bug.COUNTS_FROM_RECEIPT || late ? clock()
+          : sentMs, view));
     }
 
-    private void tell(EpochEvent event) {
+    private void dispatch(EpochEvent event) {
       for (EpochAction action : side.handle(clock(), event)) {
         if (action instanceof EpochAction.Prepare e) {
-          clock.after(30 + random.nextInt(600), () -> on(() -> prepared(e.epoch())));
+          clock.after(30 + random.nextInt(600), () -> runWhenResumed(() -> onPrepared(e.epoch())));
         } else if (action instanceof EpochAction.Adopt e) {
-          files.put(door, e.epoch());
-        } else if (action instanceof EpochAction.WakeAt e && e.atMs() != wakeAt) {
-          wakeAt = e.atMs();
-          clock.after(Math.max(0, (e.atMs() - clock()) / rate) + 0.01, () -> on(() -> {
-            if (wakeAt == e.atMs()) {
-              wakeAt = Double.POSITIVE_INFINITY;
-              tell(new EpochEvent.TimerFired());
+          storedEpochs.put(door, e.epoch());
+        } else if (action instanceof EpochAction.WakeAt e && e.atMs() != wakeAtMs) {
+          wakeAtMs = e.atMs();
+          clock.after(Math.max(0, (e.atMs() - clock()) / rate) + 0.01, () -> runWhenResumed(() -> {
+            if (wakeAtMs == e.atMs()) {
+              wakeAtMs = Double.POSITIVE_INFINITY;
+              dispatch(new EpochEvent.TimerFired());
             }
           }));
         }
       }
     }
 
-    private void prepared(long epoch) {
-      if (bad.contains(epoch) && door.equals("d0")) {
-        tell(new EpochEvent.PrepareFailed(epoch, "too large"));
+    private void onPrepared(long epoch) {
+      if (rejectedEpochs.contains(epoch) && door.equals("d0")) {
+        dispatch(new EpochEvent.PrepareFailed(epoch, "too large"));
       } else {
         if (bug == Bug.KEEPS_WHAT_IS_PREPARED) {
-          files.put(door, epoch);
+          storedEpochs.put(door, epoch);
         }
-        tell(new EpochEvent.Ready(epoch));
+        dispatch(new EpochEvent.Ready(epoch));
       }
     }
 
-    void traffic() {
+    void decideRequest() {
       ActivePolicy by = side.policyAt(clock());
       if (bug == Bug.READY_IS_HELD && side.report().prepared() > 0) {
         by = new ActivePolicy(side.report().prepared(), ActivePolicy.NONE, 0);
       }
-      decided(by);
-      clock.after(random.nextDouble() * 2 * TRAFFIC_MS, () -> on(this::traffic));
+      onDecision(by);
+      clock.after(random.nextDouble() * 2 * MEAN_REQUEST_INTERVAL_MS,
+          () -> runWhenResumed(this::decideRequest));
     }
 
-    private void decided(ActivePolicy by) {
+    private void onDecision(ActivePolicy by) {
       if (by.refuses()) {
         refusals++;
-      } else if (Math.max(by.epoch(), by.also()) < decidedBy) {
-        breach(name + " decides by " + by + ", and epoch " + decidedBy + " has decided before");
+      } else if (Math.max(by.epoch(), by.also()) < highestDecidedEpoch) {
+        addBreach(name + " decides by " + by + ", and epoch " + highestDecidedEpoch + " has decided before");
       } else if (by.also() >= 0) {
-        pairs++;
+        decidedByBoth++;
       } else {
-        alone++;
-        decidedBy = by.epoch();
+        decidedByOne++;
+        highestDecidedEpoch = by.epoch();
         if (epochs.state().log().stream().anyMatch(x -> x.epoch() == by.epoch() && !x.held())) {
-          breach(name + " decides by epoch " + by.epoch() + ", which was aborted");
+          addBreach(name + " decides by epoch " + by.epoch() + ", which was aborted");
         }
         if (epochs.state().change() != null && epochs.state().change().document().epoch() == by.epoch()
             && epochs.state().change().stage() == PolicyChange.Stage.PREPARING) {
-          breach(name + " decides by epoch " + by.epoch() + ", which is not decided on");
+          addBreach(name + " decides by epoch " + by.epoch() + ", which is not decided on");
         }
       }
     }
--- a/emulator/src/main/java/willowdoor/emulator/fair/FairWorld.java
+++ b/emulator/src/main/java/willowdoor/emulator/fair/FairQueueSimulation.java
@@ -30,10 +30,10 @@
  * Firms and their clients, doors that each have a real {@link FairQueue}, a shared quota bucket for each firm
  * in the policy's place, and nodes; all in simulated time, by one seed.
  */
-public final class FairWorld {
+public final class FairQueueSimulation {
 
   /** How clients take advice. */
-  public enum Manners { OBEY, EARLY, LATE, NEVER, SAME_MOMENT, OTHER_DOOR }
+  public enum RetryBehaviour { OBEY, EARLY, LATE, NEVER, SAME_MOMENT, OTHER_DOOR }
 
   /** Whether requests wait in the fair queue, or go to the nodes as they come and wait there. */
   public enum Order { FAIR, FIRST_COME }
@@ -45,10 +45,10 @@
    * @param clients who send in turn
    * @param doors it comes through, the first ones
    * @param units of a request
-   * @param factor by which its requests take longer than their units say
+   * @param workFactor by which its requests take longer than their units say
    */
   public record Load(long firm, String plan, double perSecond, int clients, int doors, double units,
-      double factor, Manners manners) { }
+      double workFactor, RetryBehaviour retryBehaviour) { }
 
   /** What became of one firm's requests. */
   public static final class Tally {
@@ -73,73 +73,73 @@
   }
 
   /** One request, through all its comings. */
-  private final class Try {
+  private final class Attempt {
     final Load load;
     final String id;
     final long client;
     final Door door;
     final double units;
-    final double came = clock.now();
-    final double usefulUntil;
+    final double arrivedMs = clock.now();
+    final double usefulUntilMs;
     /** It came when it was told to. */
-    final boolean told;
-    final int comings;
+    final boolean promised;
+    final int retries;
 
-    Try(Load load, String id, long client, Door door, boolean told, int comings) {
+    Attempt(Load load, String id, long client, Door door, boolean promised, int retries) {
       this.load = load;
       this.id = id;
       this.client = client;
       this.door = door;
-      this.told = told;
-      this.comings = comings;
-      usefulUntil = clock.now() + aimMs;
-      units = load.units() * (vary ? Math.max(0.1, Math.min(4, -Math.log(1 - random.nextDouble()))) : 1);
+      this.promised = promised;
+      this.retries = retries;
+      usefulUntilMs = clock.now() + aimMs;
+      units = load.units() * (unitsVary ? Math.max(0.1, Math.min(4, -Math.log(1 - random.nextDouble()))) : 1);
     }
   }
 
   /** A door: its queue, and the timer that it last wished for. */
   private final class Door {
     final FairQueue queue;
-    final Map<String, Try> tries = new HashMap<>();
+    final Map<String, Attempt> attempts = new HashMap<>();
     /** Units granted to each firm, halved now and then. */
     final Map<Long, Double> granted = new HashMap<>();
-    double throughToldMs = Double.NEGATIVE_INFINITY;
-    double wakeAt = Double.POSITIVE_INFINITY;
+    double usageReportedMs = Double.NEGATIVE_INFINITY;
+    double wakeAtMs = Double.POSITIVE_INFINITY;
 
     Door(FairSettings settings) {
       queue = new FairQueue(settings);
     }
 
     /** What the shared count tells of a firm's use through this door; without the counter, an even part. */
-    double part(long firm, int entryPoints) {
+    double usageShare(long firm, int entryPoints) {
       double all = doors.stream().mapToDouble(d -> d.granted.getOrDefault(firm, 0.0)).sum();
       if (all > 1_000) {
         doors.forEach(d -> d.granted.computeIfPresent(firm, (f, units) -> units / 2));
       }
-      return counterAway || all <= 0 ? 1.0 / entryPoints : granted.getOrDefault(firm, 0.0) / all;
+      return counterUnavailable || all <= 0 ? 1.0 / entryPoints : granted.getOrDefault(firm, 0.0) / all;
     }
 
-    void tell(FairEvent event) {
+    void dispatch(FairEvent event) {
       for (FairAction a : queue.on(clock.now(), event)) {
         if (a instanceof Release r) {
-          goOn(this, tries.get(r.id()), r.waitedMs());
+          admit(this, attempts.get(r.id()), r.waitedMs());
         } else if (a instanceof Refuse r) {
-          Try t = tries.remove(r.id());
-          if (r.reason() == RefusalReason.SPENT && clock.now() - throughToldMs >= 20) {
-            throughToldMs = clock.now();
-            tell(new FirmShare(t.load.firm(), part(t.load.firm(), t.load.doors())));
+          Attempt t = attempts.remove(r.id());
+          if (r.reason() == RefusalReason.SPENT && clock.now() - usageReportedMs >= 20) {
+            usageReportedMs = clock.now();
+            dispatch(new FirmShare(t.load.firm(), usageShare(t.load.firm(), t.load.doors())));
           }
-          refused(t, r.comeBackMs());
+          onRefused(t, r.comeBackMs());
         } else if (a instanceof Advise d) {
-          Try t = tries.remove(d.id());
-          tell(new Ended(t.id, Result.SPENT, 0));
-          refused(t, d.comeBackMs());
+          Attempt t = attempts.remove(d.id());
+          dispatch(new Ended(t.id, Result.SPENT, 0));
+          onRefused(t, d.comeBackMs());
         } else if (a instanceof WakeAt w) {
-          wakeAt = w.atMs();
+          wakeAtMs = w.atMs();
           clock.after(w.atMs() - clock.now(), () -> {
-            if (wakeAt <= clock.now()) {
-              wakeAt = Double.POSITIVE_INFINITY;
-              tell(new Woken());
+            if (wakeAtMs <= clock.now()) {
+              wakeAtMs = Double.POSITIVE_INFINITY;
+              dispatch(new Woken());
             }
           });
         }
@@ -149,14 +149,14 @@
 
   private final class Bucket {
     double level;
-    double at;
+    double updatedMs;
 
     boolean take(double rate, double burst, double units) {
       if (rate <= 0) {
         return true;
       }
-      level = at == 0 ? burst : Math.min(burst, level + rate * (clock.now() - at) / 1000);
-      at = Math.max(1e-9, clock.now());
+      level = updatedMs == 0 ? burst : Math.min(burst, level + rate * (clock.now() - updatedMs) / 1000);
+      updatedMs = Math.max(1e-9, clock.now());
       if (level < units) {
         return false;
       }
@@ -176,13 +176,13 @@
   private final Map<Long, Bucket> buckets = new HashMap<>();
   private final Map<Long, Tally> tallies = new HashMap<>();
   private BiConsumer<Long, Double> onReleased = (firm, units) -> { };
-  private long number;
-  private double until;
-  private int run;
+  private long nextRequestNumber;
+  private double endMs;
+  private int runNumber;
   /** Times told and not met yet, by firm, client and door. */
-  private final Map<String, ArrayDeque<Double>> told = new HashMap<>();
-  private boolean counterAway;
-  private boolean vary;
+  private final Map<String, ArrayDeque<Double>> promisedTimes = new HashMap<>();
+  private boolean counterUnavailable;
+  private boolean unitsVary;
 
   /**
    * A world.
@@ -190,7 +190,8 @@
    * @param aimMs within which an answer is wanted
    * @param msPerUnit a unit's work, varying by a half at random
    */
-  public FairWorld(long seed, FairSettings settings, Order order, int doorCount, int nodeCount, int workers,
+  public FairQueueSimulation(long seed, FairSettings settings, Order order, int doorCount, int nodeCount,
+      int workers,
       double msPerUnit, double aimMs) {
     random = new SplittableRandom(seed);
     this.settings = settings;
@@ -208,7 +209,7 @@
   }
 
   /** A firm's tally so far. */
-  public Tally of(long firm) {
+  public Tally tallyOf(long firm) {
     return tallies.computeIfAbsent(firm, f -> new Tally());
   }
 
@@ -223,13 +224,13 @@
   }
 
   /** From here on each door goes by an even part of each quota, as the policy does without the counter. */
-  public void counterAway(boolean away) {
-    counterAway = away;
+  public void setCounterUnavailable(boolean unavailable) {
+    counterUnavailable = unavailable;
   }
 
   /** From here on a request's units vary round its load's: exponentially, from a tenth to four times. */
-  public void unitsVary() {
-    vary = true;
+  public void varyUnits() {
+    unitsVary = true;
   }
 
   void pause(double ms) {
@@ -249,116 +250,117 @@
   }
 
   void tell(int door, FairEvent event) {
-    doors.get(door).tell(event);
+    doors.get(door).dispatch(event);
   }
 
   /** Has that load come from now until then, and runs the world until it is over. */
   public void run(List<Load> loads, double forMs) {
-    until = clock.now() + forMs;
-    int own = ++run;
-    loads.forEach(l -> next(l, own));
-    clock.runUntil(until);
+    endMs = clock.now() + forMs;
+    int own = ++runNumber;
+    loads.forEach(l -> scheduleArrival(l, own));
+    clock.runUntil(endMs);
   }
 
   /** Runs on without further load. */
-  public void runOut(double forMs) {
+  public void runWithoutLoad(double forMs) {
     clock.runUntil(clock.now() + forMs);
   }
 
-  private void next(Load load, int of) {
+  private void scheduleArrival(Load load, int arrivalRun) {
     double wait = -Math.log(1 - random.nextDouble()) * 1000 / load.perSecond();
     clock.after(wait, () -> {
-      if (clock.now() < until && of == run) {
-        of(load.firm()).asked++;
-        come(load, random.nextInt(load.clients()) + 1, random.nextInt(load.doors()), 0);
-        next(load, of);
+      if (clock.now() < endMs && arrivalRun == runNumber) {
+        tallyOf(load.firm()).asked++;
+        arrive(load, random.nextInt(load.clients()) + 1, random.nextInt(load.doors()), 0);
+        scheduleArrival(load, arrivalRun);
       }
     });
   }
 
   /** A client's first coming in the second that it was told is the one that was promised. */
-  private void come(Load load, long client, int at, int comings) {
-    Door door = doors.get(at);
-    ArrayDeque<Double> times = told.getOrDefault(load.firm() + " " + client + " " + at, new ArrayDeque<>());
+  private void arrive(Load load, long client, int doorIndex, int retries) {
+    Door door = doors.get(doorIndex);
+    ArrayDeque<Double> times = promisedTimes
+        .getOrDefault(load.firm() + " " + client + " " + doorIndex, new ArrayDeque<>());
     while (!times.isEmpty() && times.peek() < clock.now() - 1_000) {
       times.poll();
     }
     boolean inTime = !times.isEmpty() && times.peek() <= clock.now() + 10;
     if (inTime) {
       times.poll();
-      of(load.firm()).returned++;
+      tallyOf(load.firm()).returned++;
     }
-    Try t = new Try(load, "r" + number++, client, door, inTime, comings);
+    Attempt t = new Attempt(load, "r" + nextRequestNumber++, client, door, inTime, retries);
     if (order != Order.FAIR) {
-      goOn(door, t, 0);
+      admit(door, t, 0);
       return;
     }
-    door.tries.put(t.id, t);
-    door.tell(new Arrived(t.id, "c", load.plan(), load.firm(), client, load.doors(), t.units, 200,
-        t.usefulUntil, aimMs));
+    door.attempts.put(t.id, t);
+    door.dispatch(new Arrived(t.id, "c", load.plan(), load.firm(), client, load.doors(), t.units, 200,
+        t.usefulUntilMs, aimMs));
   }
 
-  private void goOn(Door door, Try t, double waited) {
+  private void admit(Door door, Attempt t, double waited) {
     FairSettings.PlanSettings plan = settings.plans().getOrDefault(t.load.plan(), settings.otherPlans());
-    long bucket = counterAway ? t.load.firm() * 1_000 + doors.indexOf(door) : t.load.firm();
-    double part = counterAway ? 1.0 / t.load.doors() : 1;
+    long bucket = counterUnavailable ? t.load.firm() * 1_000 + doors.indexOf(door) : t.load.firm();
+    double part = counterUnavailable ? 1.0 / t.load.doors() : 1;
     boolean room = buckets.computeIfAbsent(bucket, f -> new Bucket())
         .take(plan.rate() * part, plan.burst() * part, t.units);
     if (!room) {
       double holdOff = t.units / plan.rate() * 1000;
       if (order == Order.FAIR) {
-        door.tell(new FirmShare(t.load.firm(), door.part(t.load.firm(), t.load.doors())));
-        door.tell(new Refusing(t.id, true, holdOff));
+        door.dispatch(new FirmShare(t.load.firm(), door.usageShare(t.load.firm(), t.load.doors())));
+        door.dispatch(new Refusing(t.id, true, holdOff));
       } else {
-        refused(t, holdOff);
+        onRefused(t, holdOff);
       }
       return;
     }
     onReleased.accept(t.load.firm(), t.units);
     door.granted.merge(t.load.firm(), t.units, Double::sum);
-    Tally tally = of(t.load.firm());
+    Tally tally = tallyOf(t.load.firm());
     tally.waits.recordValue(Math.min(60_000_000L, (long) (waited * 1000)));
-    tally.honoured += t.told && waited <= 1_000 ? 1 : 0;
-    double work = t.units * msPerUnit * t.load.factor() * (0.5 + random.nextDouble());
-    nodes.run(work, ok -> ended(door, t, ok));
+    tally.honoured += t.promised && waited <= 1_000 ? 1 : 0;
+    double work = t.units * msPerUnit * t.load.workFactor() * (0.5 + random.nextDouble());
+    nodes.run(work, ok -> onNodeResult(door, t, ok));
   }
 
-  private void ended(Door door, Try t, boolean ok) {
-    Tally tally = of(t.load.firm());
-    boolean inTime = ok && clock.now() <= t.usefulUntil;
+  private void onNodeResult(Door door, Attempt t, boolean ok) {
+    Tally tally = tallyOf(t.load.firm());
+    boolean inTime = ok && clock.now() <= t.usefulUntilMs;
     tally.inTime += inTime ? 1 : 0;
     tally.tooLate += ok && !inTime ? 1 : 0;
     tally.failed += ok ? 0 : 1;
     tally.unitsServed += ok ? t.units : 0;
     if (ok) {
-      tally.answered.recordValue(Math.min(60_000_000L, (long) ((clock.now() - t.came) * 1_000)));
+      tally.answered.recordValue(Math.min(60_000_000L, (long) ((clock.now() - t.arrivedMs) * 1_000)));
     }
-    if (order == Order.FAIR && door.tries.remove(t.id) != null) {
-      door.tell(new Ended(t.id, ok ? Result.SERVED : Result.FAILED, 0));
+    if (order == Order.FAIR && door.attempts.remove(t.id) != null) {
+      door.dispatch(new Ended(t.id, ok ? Result.SERVED : Result.FAILED, 0));
     }
   }
 
-  private void refused(Try t, double comeBackMs) {
-    of(t.load.firm()).refused++;
+  private void onRefused(Attempt t, double comeBackMs) {
+    tallyOf(t.load.firm()).refused++;
     if (comeBackMs > 0) {
-      told.computeIfAbsent(t.load.firm() + " " + t.client + " " + doors.indexOf(t.door), k ->
+      promisedTimes.computeIfAbsent(t.load.firm() + " " + t.client + " " + doors.indexOf(t.door), k ->
           new ArrayDeque<>())
           .add(clock.now() + comeBackMs);
     }
-    if (comeBackMs <= 0 || t.comings >= 5 || t.load.manners() == Manners.NEVER) {
+    if (comeBackMs <= 0 || t.retries >= 5 || t.load.retryBehaviour() == RetryBehaviour.NEVER) {
       return;
     }
-    int at = doors.indexOf(t.door);
+    int doorIndex = doors.indexOf(t.door);
     double jitter = random.nextDouble() * 500;
-    switch (t.load.manners()) {
-      case EARLY -> clock.after(comeBackMs * 0.3, () -> come(t.load, t.client, at, t.comings + 1));
-      case LATE -> clock.after(comeBackMs + 3_000, () -> come(t.load, t.client, at, t.comings + 1));
+    switch (t.load.retryBehaviour()) {
+      case EARLY -> clock.after(comeBackMs * 0.3, () -> arrive(t.load, t.client, doorIndex, t.retries + 1));
+      case LATE -> clock.after(comeBackMs + 3_000, () -> arrive(t.load, t.client, doorIndex, t.retries + 1));
       case SAME_MOMENT -> clock.after(Math.ceil((clock.now() + comeBackMs) / 1_000) * 1_000 - clock.now(),
-          () -> come(t.load, t.client, at, t.comings + 1));
+          () -> arrive(t.load, t.client, doorIndex, t.retries + 1));
       case OTHER_DOOR -> clock.after(comeBackMs + jitter,
-          () -> come(t.load, t.client, (at + 1) % doors.size(), t.comings + 1));
+          () -> arrive(t.load, t.client, (doorIndex + 1) % doors.size(), t.retries + 1));
       default -> clock.after(comeBackMs + jitter,
-          () -> come(t.load, t.client, at, t.comings + 1));
+          () -> arrive(t.load, t.client, doorIndex, t.retries + 1));
     }
   }
 }
--- a/emulator/src/main/java/willowdoor/emulator/fair/FairSize.java
+++ b/emulator/src/main/java/willowdoor/emulator/fair/FairSize.java
@@ -20,22 +20,22 @@
 public final class FairSize {
 
   private static final int ROUNDS = 5;
-  private static final int EACH = 100_000;
+  private static final int REQUESTS_PER_ROUND = 100_000;
 
   private FairSize() {
   }
 
   /** Fills a queue with the usual bounds, and far beyond them, and tells its size after each round. */
-  public static void run(PrintWriter to) {
+  public static void run(PrintWriter out) {
     Bounds bounds = Bounds.defaults();
     FairQueue queue = new FairQueue(new FairSettings(Map.of(), new PlanSettings(0, 1, 0, 0, 0), 1, Cost.UNITS,
         bounds,
         new Limit(100, 100, 100), new ComeBack(0.8, 60_000)));
-    long empty = used();
+    long emptyBytes = usedHeapBytes();
     double now = 0;
     long number = 0;
     for (int round = 0; round < ROUNDS; round++) {
-      for (int i = 0; i < EACH; i++) {
+      for (int i = 0; i < REQUESTS_PER_ROUND; i++) {
         now += 0.1;
         number++;
         long firm = number % (round == 0 ? 3_000 : 20_000);
@@ -47,21 +47,21 @@
           }
         }
       }
-      long size = used() - empty;
+      long sizeBytes = usedHeapBytes() - emptyBytes;
       FairCounts c = queue.counts();
-      to.printf(Locale.ROOT, "after %7d requests: %5.2f MB; waiting %d, firms %d, flows %d, promises %d%n",
+      out.printf(Locale.ROOT, "after %7d requests: %5.2f MB; waiting %d, firms %d, flows %d, promises %d%n",
           number,
-          size / 1e6, c.waiting(), c.firms(), c.flows(), c.remembered());
-      to.flush();
+          sizeBytes / 1e6, c.waiting(), c.firms(), c.flows(), c.remembered());
+      out.flush();
     }
   }
 
-  private static long used() {
-    long least = Long.MAX_VALUE;
+  private static long usedHeapBytes() {
+    long minBytes = Long.MAX_VALUE;
     for (int i = 0; i < 4; i++) {
       System.gc();
-      least = Math.min(least, Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory());
+      minBytes = Math.min(minBytes, Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory());
     }
-    return least;
+    return minBytes;
   }
 }
--- a/emulator/src/main/java/willowdoor/emulator/fair/FairSweep.java
+++ b/emulator/src/main/java/willowdoor/emulator/fair/FairSweep.java
@@ -20,10 +20,10 @@
 import org.jfree.chart.renderer.xy.XYLineAndShapeRenderer;
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
-import willowdoor.emulator.fair.FairWorld.Load;
-import willowdoor.emulator.fair.FairWorld.Manners;
-import willowdoor.emulator.fair.FairWorld.Order;
-import willowdoor.emulator.fair.FairWorld.Tally;
+import willowdoor.emulator.fair.FairQueueSimulation.Load;
+import willowdoor.emulator.fair.FairQueueSimulation.RetryBehaviour;
+import willowdoor.emulator.fair.FairQueueSimulation.Order;
+import willowdoor.emulator.fair.FairQueueSimulation.Tally;
 import willowdoor.fairness.FairCounts;
 import willowdoor.fairness.FairSettings;
 import willowdoor.fairness.FairSettings.Bounds;
@@ -42,15 +42,16 @@
   /** How requests differ in the work that they are. */
   public enum Work { SAME, VARIES, TEN_TIMES }
 
-  private static final int OTHERS = 9;
-  private static final double OTHERS_PER_S = 55;
-  private static final double QUOTA = 100;
+  private static final int OTHER_FIRMS = 9;
+  private static final double OTHER_REQUESTS_PER_S = 55;
+  private static final double QUOTA_UNITS_PER_S = 100;
   private static final double MS_PER_UNIT = 5;
-  private static final double AIM_MS = 1_000;
+  private static final double TARGET_MS = 1_000;
   private static final int NODES = 5;
 
   /** One run's figures. */
-  public record Row(String plan, double times, int clients, int doors, Work work, Order order, double service,
+  public record Row(String plan, double floodQuotas, int clients, int doors, Work work, Order order,
+      double service,
       double p99Ms, double floodUnits, long promised, long returned, long honoured, FairCounts counts) {
 
     double honouredShare() {
@@ -59,50 +60,55 @@
   }
 
   private final long seed;
-  private final double forMs;
+  private final double durationMs;
 
   /**
    * A sweep.
    *
-   * @param forMs simulated length of each run
+   * @param durationMs simulated length of each run
    */
-  public FairSweep(long seed, double forMs) {
+  public FairSweep(long seed, double durationMs) {
     this.seed = seed;
-    this.forMs = forMs;
+    this.durationMs = durationMs;
   }
 
   /** One run; times is the flood's size in quotas, 0 is none. The plan is "metered" or "open". */
   public Row run(String plan, double times, int clients, int doors, Work work, Order order) {
-    Map<String, PlanSettings> plans = Map.of("metered", new PlanSettings(0, 1, QUOTA, 2 * QUOTA, 0), "open",
+    Map<String,
+        PlanSettings> plans = Map
+        .of("metered", new PlanSettings(0, 1, QUOTA_UNITS_PER_S, 2 * QUOTA_UNITS_PER_S, 0), "open",
         new PlanSettings(0, 1, 0, 0, 0));
     FairSettings settings = new FairSettings(plans, plans.get("open"), doors,
         work == Work.SAME ? Cost.UNITS : Cost.WORK, Bounds.defaults(), new Limit(24, 4, 1_000),
         new ComeBack(0.8, 10_000));
-    FairWorld world = new FairWorld(seed, settings, order, doors, NODES, 1, MS_PER_UNIT, AIM_MS);
+    FairQueueSimulation world =
+        new FairQueueSimulation(seed, settings, order, doors, NODES, 1, MS_PER_UNIT, TARGET_MS);
     if (work != Work.SAME) {
-      world.unitsVary();
+      world.varyUnits();
     }
     List<Load> loads = new ArrayList<>();
-    for (int f = 1; f <= OTHERS; f++) {
-      loads.add(new Load(f, "open", OTHERS_PER_S, 3, doors, 1, 1, Manners.OBEY));
+    for (int f = 1; f <= OTHER_FIRMS; f++) {
+      loads.add(new Load(f, "open", OTHER_REQUESTS_PER_S, 3, doors, 1, 1, RetryBehaviour.OBEY));
     }
     if (times > 0) {
-      loads.add(new Load(OTHERS + 1, plan, times * QUOTA, clients, doors, 1, work == Work.TEN_TIMES ? 10 : 1,
-          Manners.OBEY));
+      loads.add(
+          new Load(OTHER_FIRMS + 1, plan, times * QUOTA_UNITS_PER_S, clients, doors, 1,
+          work == Work.TEN_TIMES ? 10 : 1,
+          RetryBehaviour.OBEY));
     }
-    world.run(loads, forMs);
+    world.run(loads, durationMs);
     double asked = 0;
     double inTime = 0;
     Histogram waits = new Histogram(3);
-    for (int f = 1; f <= OTHERS; f++) {
-      Tally t = world.of(f);
+    for (int f = 1; f <= OTHER_FIRMS; f++) {
+      Tally t = world.tallyOf(f);
       asked += t.asked;
       inTime += t.inTime;
       waits.add(t.answered);
     }
-    Tally flood = world.of(OTHERS + 1);
+    Tally flood = world.tallyOf(OTHER_FIRMS + 1);
     return new Row(plan, times, clients, doors, work, order, inTime / asked,
-        waits.getValueAtPercentile(99) / 1_000.0, flood.unitsServed / forMs * 1_000,
+        waits.getValueAtPercentile(99) / 1_000.0, flood.unitsServed / durationMs * 1_000,
         world.counts(0).promised(), flood.returned, flood.honoured, world.counts(0));
   }
 
@@ -110,16 +116,17 @@
    * Ten firms that all flood, of weights 1 and 2: how far the units let through for their weights come apart
    * between any two at the most, in any stretch of time, beside the bound.
    */
-  public void apart(PrintWriter to) {
+  public void measureSpread(PrintWriter to) {
     Map<String, PlanSettings> plans = Map.of("open", new PlanSettings(0, 1, 0, 0, 0), "twice",
         new PlanSettings(0, 2, 0, 0, 0));
     FairSettings settings = new FairSettings(plans, plans.get("open"), 1, Cost.UNITS, Bounds.defaults(),
         new Limit(24, 4, 1_000), new ComeBack(0.8, 1));
-    FairWorld world = new FairWorld(seed, settings, Order.FAIR, 1, NODES, 1, MS_PER_UNIT, AIM_MS);
-    world.unitsVary();
+    FairQueueSimulation world =
+        new FairQueueSimulation(seed, settings, Order.FAIR, 1, NODES, 1, MS_PER_UNIT, TARGET_MS);
+    world.varyUnits();
     List<Load> loads = new ArrayList<>();
     for (int f = 0; f < 10; f++) {
-      loads.add(new Load(f, f % 2 == 0 ? "open" : "twice", 400, 3, 1, 1, 1, Manners.NEVER));
+      loads.add(new Load(f, f % 2 == 0 ? "open" : "twice", 400, 3, 1, 1, 1, RetryBehaviour.NEVER));
     }
     world.run(loads, 5_000);
     double[] units = new double[10];
@@ -134,7 +141,7 @@
         }
       }
     });
-    world.run(loads, forMs);
+    world.run(loads, durationMs);
     for (int[] pair : new int[][] {{0, 2}, {0, 1}, {1, 3}}) {
       double worst = 0;
       for (int f = pair[0] % 2; f < 10; f += 2) {
@@ -153,7 +160,7 @@
   }
 
   /** All of them, told as they come; then the chart, if there is a file for it. */
-  public List<Row> all(PrintWriter to, File chart) throws IOException {
+  public List<Row> runAll(PrintWriter to, File chart) throws IOException {
     List<Row> rows = new ArrayList<>();
     to.println("| flood's plan | times quota | clients | doors | work | order | others served in time |"
         + " without flood | their p99 | flood's units/s | came back when told | honoured | limit |"
@@ -199,7 +206,7 @@
           XYSeries made = new XYSeries(n);
           set.addSeries(made);
           return made;
-        }).addOrUpdate(r.times(), r.service());
+        }).addOrUpdate(r.floodQuotas(), r.service());
       }
     }
     JFreeChart chart = ChartFactory.createXYLineChart("Nine firms beside one that floods",
--- a/emulator/src/main/java/willowdoor/emulator/fair/NodePool.java
+++ b/emulator/src/main/java/willowdoor/emulator/fair/NodePool.java
@@ -18,7 +18,7 @@
     final List<Job> running = new ArrayList<>();
     boolean dead;
 
-    void next() {
+    void startNext() {
       while (!dead && !paused && running.size() < workers && !queue.isEmpty()) {
         start(queue.poll());
       }
@@ -26,33 +26,33 @@
 
     void start(Job job) {
       running.add(job);
-      int life = job.life;
-      clock.after(job.leftMs * slowness.applyAsDouble(clock.now()), () -> finish(job, life));
+      int generation = job.generation;
+      clock.after(job.workMs * slowness.applyAsDouble(clock.now()), () -> finish(job, generation));
     }
 
-    void finish(Job job, int life) {
-      if (job.life != life || !running.contains(job)) {
+    void finish(Job job, int generation) {
+      if (job.generation != generation || !running.contains(job)) {
         return;
       }
       if (paused) {
-        job.due = true;
+        job.finishedWhilePaused = true;
         return;
       }
       running.remove(job);
-      job.done.accept(true);
-      next();
+      job.onDone.accept(true);
+      startNext();
     }
   }
 
   private static final class Job {
-    final double leftMs;
-    final Consumer<Boolean> done;
-    int life;
-    boolean due;
+    final double workMs;
+    final Consumer<Boolean> onDone;
+    int generation;
+    boolean finishedWhilePaused;
 
-    Job(double leftMs, Consumer<Boolean> done) {
-      this.leftMs = leftMs;
-      this.done = done;
+    Job(double workMs, Consumer<Boolean> onDone) {
+      this.workMs = workMs;
+      this.onDone = onDone;
     }
   }
 
@@ -71,23 +71,23 @@
   }
 
   /** Work takes so many times as long from its start on, by the time of the start. */
-  void slow(DoubleUnaryOperator by) {
-    slowness = by;
+  void slow(DoubleUnaryOperator factorAtMs) {
+    slowness = factorAtMs;
   }
 
   /** All nodes stand still for so long; what would have ended meanwhile ends right after. */
-  void pause(double forMs) {
+  void pause(double durationMs) {
     paused = true;
-    clock.after(forMs, () -> {
+    clock.after(durationMs, () -> {
       paused = false;
       for (Node n : nodes) {
         for (Job j : List.copyOf(n.running)) {
-          if (j.due) {
-            j.due = false;
-            n.finish(j, j.life);
+          if (j.finishedWhilePaused) {
+            j.finishedWhilePaused = false;
+            n.finish(j, j.generation);
           }
         }
-        n.next();
+        n.startNext();
       }
     });
   }
@@ -101,8 +101,8 @@
       n.running.clear();
       n.queue.clear();
       lost.forEach(j -> {
-        j.life++;
-        j.done.accept(false);
+        j.generation++;
+        j.onDone.accept(false);
       });
     }
   }
@@ -113,19 +113,19 @@
   }
 
   /** Runs work; told true when it is done, false when its node died. */
-  void run(double workMs, Consumer<Boolean> done) {
-    Node least = null;
+  void run(double workMs, Consumer<Boolean> onDone) {
+    Node leastLoaded = null;
     for (Node n : nodes) {
-      if (!n.dead && (least == null
-          || n.queue.size() + n.running.size() < least.queue.size() + least.running.size())) {
-        least = n;
+      if (!n.dead && (leastLoaded == null
+          || n.queue.size() + n.running.size() < leastLoaded.queue.size() + leastLoaded.running.size())) {
+        leastLoaded = n;
       }
     }
-    if (least == null) {
-      clock.after(1, () -> done.accept(false));
+    if (leastLoaded == null) {
+      clock.after(1, () -> onDone.accept(false));
       return;
     }
-    least.queue.add(new Job(workMs, done));
-    least.next();
+    leastLoaded.queue.add(new Job(workMs, onDone));
+    leastLoaded.startNext();
   }
 }
--- a/emulator/src/test/java/willowdoor/emulator/agreement/FleetWorldTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/agreement/FleetSimulationTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import willowdoor.emulator.agreement.FleetWorld.Bug;
-import willowdoor.emulator.agreement.FleetWorld.Explored;
-import willowdoor.emulator.agreement.FleetWorld.Result;
-import willowdoor.emulator.agreement.FleetWorld.Script;
+import willowdoor.emulator.agreement.FleetSimulation.Bug;
+import willowdoor.emulator.agreement.FleetSimulation.Explored;
+import willowdoor.emulator.agreement.FleetSimulation.Result;
+import willowdoor.emulator.agreement.FleetSimulation.Script;
 
-class FleetWorldTest {
+class FleetSimulationTest {
 
   private static final long SEEDS = Long.getLong("willowdoor.seeds", 200);
 
@@ -27,10 +27,10 @@
     int served = 0;
     int halts = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Result result = FleetWorld.play(seed, doors(seed), Bug.NONE);
+      Result result = FleetSimulation.play(seed, doors(seed), Bug.NONE);
       assertEquals(List.of(), result.breaches(), "seed " + seed);
       granted += result.granted();
-      told += result.told();
+      told += result.backendsTakenOut();
       served += result.served();
       halts += result.halts();
     }
@@ -44,7 +44,7 @@
   @ParameterizedTest
   @EnumSource
   void everyScheduleOfASmallWorldHolds(Script script) {
-    Explored all = FleetWorld.explore(script, 3, Integer.getInteger("willowdoor.faults", 1), Bug.NONE);
+    Explored all = FleetSimulation.explore(script, 3, Integer.getInteger("willowdoor.faults", 1), Bug.NONE);
     System.out.println(script + ": " + all);
     assertEquals(List.of(), all.breaches());
     assertTrue(all.schedules() > 100, all::toString);
@@ -54,7 +54,7 @@
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
   void eachPlantedMistakeIsFound(Bug bug) {
     for (long seed = 1; seed <= 3 * SEEDS; seed++) {
-      if (!FleetWorld.play(seed, doors(seed), bug).breaches().isEmpty()) {
+      if (!FleetSimulation.play(seed, doors(seed), bug).breaches().isEmpty()) {
         return;
       }
     }
--- a/emulator/src/test/java/willowdoor/emulator/agreement/StewardWorldTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/agreement/StewardSimulationTest.java
@@ -32,21 +32,22 @@
 import willowdoor.steward.Steward;
 import willowdoor.steward.StewardId;
 
-class StewardWorldTest {
+class StewardSimulationTest {
 
   @TempDir
   private Path folder;
-  private final List<StewardWorld> open = new ArrayList<>();
+  private final List<StewardSimulation> open = new ArrayList<>();
 
   @AfterEach
   void close() throws IOException {
-    for (StewardWorld world : open) {
+    for (StewardSimulation world : open) {
       world.close();
     }
   }
 
-  private StewardWorld begun(int stewards, long seed, int budget, int snapshotAfter) throws IOException {
-    StewardWorld world = new StewardWorld(folder, stewards, seed, budget, snapshotAfter);
+  private StewardSimulation startSimulation(int stewards, long seed, int budget,
+      int snapshotAfter) throws IOException {
+    StewardSimulation world = new StewardSimulation(folder, stewards, seed, budget, snapshotAfter);
     open.add(world);
     return world;
   }
@@ -60,11 +61,11 @@
         .mapToObj(i -> new Backend("b" + i, "a", 1, true, 0)).toList());
   }
 
-  private static void assertAllAgree(StewardWorld world, String what) throws IOException {
-    world.lost = 0;
-    world.cut.clear();
-    world.mend();
-    world.agreed(Set.of(), Command.Tick::new);
+  private static void assertAllAgree(StewardSimulation world, String what) throws IOException {
+    world.lossProbability = 0;
+    world.cutLinks.clear();
+    world.restartStopped();
+    world.proposeUntilAgreed(Set.of(), Command.Tick::new);
     world.run(3_000);
     for (Steward steward : world.stewards) {
       assertEquals(world.stewards.get(0).record().state(), steward.record().state(), what);
@@ -73,39 +74,39 @@
 
   @Test
   void whatIsAgreedOnIsTheSameEverywhere() throws Exception {
-    StewardWorld world = begun(3, 1, 1, 10_000);
-    world.agreed(Set.of(), backends(3));
-    assertInstanceOf(Granted.class, world.agreed(Set.of(), ask("r1", "b1")));
-    assertInstanceOf(Waiting.class, world.agreed(Set.of(), ask("r2", "b2")));
+    StewardSimulation world = startSimulation(3, 1, 1, 10_000);
+    world.proposeUntilAgreed(Set.of(), backends(3));
+    assertInstanceOf(Granted.class, world.proposeUntilAgreed(Set.of(), ask("r1", "b1")));
+    assertInstanceOf(Waiting.class, world.proposeUntilAgreed(Set.of(), ask("r2", "b2")));
     assertAllAgree(world, "seed 1");
   }
 
   /** An operator at each half: the old leader, in the smaller one, can give nothing away. */
   @Test
   void theLeaderInTheSmallerHalfGrantsNothing() throws Exception {
-    StewardWorld world = begun(5, 2, 1, 10_000);
-    world.agreed(Set.of(), backends(3));
+    StewardSimulation world = startSimulation(5, 2, 1, 10_000);
+    world.proposeUntilAgreed(Set.of(), backends(3));
     int old = world.leader(Set.of());
     Set<Integer> side = Set.of(old, (old + 1) % 5);
-    world.split(side);
+    world.partition(side);
     CompletableFuture<Outcome> inMinority = world.propose(old, ask("r1", "b1"));
-    assertInstanceOf(Granted.class, world.agreed(side, ask("r2", "b2")));
+    assertInstanceOf(Granted.class, world.proposeUntilAgreed(side, ask("r2", "b2")));
     assertFalse(inMinority.isDone() && !inMinority.isCompletedExceptionally());
     assertAllAgree(world, "seed 2");
-    assertInstanceOf(Waiting.class, world.agreed(Set.of(), ask("r1", "b1")));
+    assertInstanceOf(Waiting.class, world.proposeUntilAgreed(Set.of(), ask("r1", "b1")));
   }
 
   /** It is stopped in the middle of handing out a permit, for longer than a lease, and continued. */
   @Test
   void aLeaderThatWasStoppedGrantsNothingByWhatItBelieved() throws Exception {
-    StewardWorld world = begun(3, 3, 1, 10_000);
-    world.agreed(Set.of(), backends(3));
+    StewardSimulation world = startSimulation(3, 3, 1, 10_000);
+    world.proposeUntilAgreed(Set.of(), backends(3));
     int old = world.leader(Set.of());
     CompletableFuture<Outcome> late = world.propose(old, ask("r1", "b1"));
     world.stop(old);
-    assertInstanceOf(Granted.class, world.agreed(Set.of(old), ask("r2", "b2")));
+    assertInstanceOf(Granted.class, world.proposeUntilAgreed(Set.of(old), ask("r2", "b2")));
     world.run(10_000);
-    world.goOn(old);
+    world.resume(old);
     assertTrue(world.stewards.get(old).isLeader(), "it doesn't know yet");
     CompletableFuture<Outcome> after = world.propose(old, ask("r3", "b0"));
     world.run(3_000);
@@ -120,19 +121,19 @@
   /** With their disks: whoever was told yes still has it. */
   @Test
   void allAreKilledAtOnceAndComeBack() throws Exception {
-    StewardWorld world = begun(3, 5, 1, 25);
-    world.agreed(Set.of(), backends(3));
-    assertInstanceOf(Granted.class, world.agreed(Set.of(), ask("r1", "b1")));
+    StewardSimulation world = startSimulation(3, 5, 1, 25);
+    world.proposeUntilAgreed(Set.of(), backends(3));
+    assertInstanceOf(Granted.class, world.proposeUntilAgreed(Set.of(), ask("r1", "b1")));
     for (int round = 0; round < 5; round++) {
       for (int i = 0; i < 10; i++) {
-        world.agreed(Set.of(), Command.Tick::new);
+        world.proposeUntilAgreed(Set.of(), Command.Tick::new);
       }
       for (int i = 0; i < 3; i++) {
         world.kill(i);
       }
       world.run(500);
-      world.mend();
-      assertInstanceOf(Waiting.class, world.agreed(Set.of(), ask("r2", "b2")));
+      world.restartStopped();
+      assertInstanceOf(Waiting.class, world.proposeUntilAgreed(Set.of(), ask("r2", "b2")));
       assertEquals(1, world.stewards.get(world.leader(Set.of())).record().out(Kind.BACKEND));
     }
     assertAllAgree(world, "seed 5");
@@ -140,25 +141,25 @@
 
   @Test
   void oneThatWasAwayCatchesUpFromASnapshot() throws Exception {
-    StewardWorld world = begun(3, 4, 2, 20);
-    world.agreed(Set.of(), backends(2_000));
+    StewardSimulation world = startSimulation(3, 4, 2, 20);
+    world.proposeUntilAgreed(Set.of(), backends(2_000));
     int away = (world.leader(Set.of()) + 1) % 3;
-    world.split(Set.of(away));
+    world.partition(Set.of(away));
     for (int i = 0; i < 100; i++) {
-      world.agreed(Set.of(away), ask("r" + i, "b" + i));
+      world.proposeUntilAgreed(Set.of(away), ask("r" + i, "b" + i));
     }
     assertAllAgree(world, "seed 4");
     assertEquals(100, world.stewards.get(away).record().state().permits().size());
   }
 
-  private static void changed(StewardWorld world, Set<Integer> not, StewardId who,
+  private static void awaitChange(StewardSimulation world, Set<Integer> excluded, StewardId who,
       Steward.MembershipChange change) {
-    double limit = world.now + 20_000;
-    while (world.now < limit) {
-      int leader = world.leader(not);
+    double limit = world.nowMs + 20_000;
+    while (world.nowMs < limit) {
+      int leader = world.leader(excluded);
       if (leader >= 0) {
         CompletableFuture<List<StewardId>> answer = world.stewards.get(leader).changeMembership(who, change);
-        world.until(world.now + 1_000, answer::isDone);
+        world.runUntil(world.nowMs + 1_000, answer::isDone);
         if (answer.isDone() && !answer.isCompletedExceptionally()) {
           return;
         }
@@ -171,28 +172,28 @@
   /** A disk is lost. Another takes its place without a stop; then the old ones go one by one. */
   @Test
   void stewardsAreReplacedOneAtATime() throws Exception {
-    StewardWorld world = begun(3, 6, 1, 20);
-    world.agreed(Set.of(), backends(3));
-    assertInstanceOf(Granted.class, world.agreed(Set.of(), ask("r1", "b1")));
+    StewardSimulation world = startSimulation(3, 6, 1, 20);
+    world.proposeUntilAgreed(Set.of(), backends(3));
+    assertInstanceOf(Granted.class, world.proposeUntilAgreed(Set.of(), ask("r1", "b1")));
     Set<Integer> gone = new java.util.HashSet<>();
     for (int old = 2; old >= 0; old--) {
       world.kill(old);
       gone.add(old);
       for (int i = 0; i < 30; i++) {
-        world.agreed(gone, Command.Tick::new);
+        world.proposeUntilAgreed(gone, Command.Tick::new);
       }
       StewardId fresh = world.ids.get(world.join());
-      changed(world, gone, fresh, Steward.MembershipChange.LISTEN);
-      changed(world, gone, fresh, Steward.MembershipChange.VOTE);
-      changed(world, gone, world.ids.get(old), Steward.MembershipChange.LEAVE);
+      awaitChange(world, gone, fresh, Steward.MembershipChange.LISTEN);
+      awaitChange(world, gone, fresh, Steward.MembershipChange.VOTE);
+      awaitChange(world, gone, world.ids.get(old), Steward.MembershipChange.LEAVE);
     }
-    assertInstanceOf(Waiting.class, world.agreed(gone, ask("r2", "b2")));
+    assertInstanceOf(Waiting.class, world.proposeUntilAgreed(gone, ask("r2", "b2")));
     int leader = world.leader(gone);
     assertEquals(3, world.stewards.get(leader).votingMembers().size());
     assertEquals(1, world.stewards.get(leader).record().out(Kind.BACKEND));
     world.kill(leader);
     gone.add(leader);
-    assertInstanceOf(Granted.class, world.agreed(gone, ask("r1", "b1")));
+    assertInstanceOf(Granted.class, world.proposeUntilAgreed(gone, ask("r1", "b1")));
   }
 
   /**
@@ -203,9 +204,9 @@
   void afterALeaderThatStoodStillAndThenDiedAnotherLeads() throws Exception {
     for (long seed = 1; seed <= Long.getLong("willowdoor.seeds", 20); seed++) {
       Random random = new Random(seed);
-      StewardWorld world = begun(3 + 2 * random.nextInt(2), seed, 1, 30);
-      world.mostDelayMs = 5 + random.nextInt(60);
-      world.agreed(Set.of(), backends(1));
+      StewardSimulation world = startSimulation(3 + 2 * random.nextInt(2), seed, 1, 30);
+      world.maxDelayMs = 5 + random.nextInt(60);
+      world.proposeUntilAgreed(Set.of(), backends(1));
       Set<Integer> dead = new java.util.HashSet<>();
       for (int more = (world.ids.size() - 1) / 2; more >= 0; more--) {
         for (int i = 0; i < 10; i++) {
@@ -213,13 +214,13 @@
           if (still >= 0) {
             world.stop(still);
             world.run(400 + random.nextInt(300));
-            world.goOn(still);
+            world.resume(still);
           }
           world.run(100 + random.nextInt(400));
         }
-        assertTrue(world.until(world.now + 10_000, () -> world.leader(dead) >= 0),
+        assertTrue(world.runUntil(world.nowMs + 10_000, () -> world.leader(dead) >= 0),
             "seed " + seed + ", " + dead + " dead: nobody leads");
-        world.agreed(dead, Command.Tick::new);
+        world.proposeUntilAgreed(dead, Command.Tick::new);
         if (more > 0) {
           int leader = world.leader(dead);
           world.kill(leader);
@@ -232,21 +233,21 @@
   /** Its disk takes nothing more: it ends, what others were told stands, and with room it goes on. */
   @Test
   void aStewardWhoseDiskIsFullEndsAndTheOthersGoOn() throws Exception {
-    StewardWorld world = begun(3, 7, 1, 10_000);
-    world.agreed(Set.of(), backends(3));
-    assertInstanceOf(Granted.class, world.agreed(Set.of(), ask("r1", "b1")));
+    StewardSimulation world = startSimulation(3, 7, 1, 10_000);
+    world.proposeUntilAgreed(Set.of(), backends(3));
+    assertInstanceOf(Granted.class, world.proposeUntilAgreed(Set.of(), ask("r1", "b1")));
     for (int full : List.of((world.leader(Set.of()) + 1) % 3, world.leader(Set.of()))) {
       world.kill(full);
-      world.agreed(Set.of(full), backends(3));
-      world.begin(full, 40);
-      double limit = world.now + 60_000;
-      while (!world.stewards.get(full).hasEnded() && world.now < limit) {
-        world.agreed(Set.of(full), backends(500));
+      world.proposeUntilAgreed(Set.of(full), backends(3));
+      world.start(full, 40);
+      double limit = world.nowMs + 60_000;
+      while (!world.stewards.get(full).hasEnded() && world.nowMs < limit) {
+        world.proposeUntilAgreed(Set.of(full), backends(500));
       }
       assertTrue(world.stewards.get(full).hasEnded(), "steward " + full);
-      assertInstanceOf(Waiting.class, world.agreed(Set.of(full), ask("r2", "b2")));
+      assertInstanceOf(Waiting.class, world.proposeUntilAgreed(Set.of(full), ask("r2", "b2")));
       world.kill(full);
-      world.begin(full);
+      world.start(full);
     }
     assertAllAgree(world, "seed 7");
     assertEquals(1, world.stewards.get(0).record().out(Kind.BACKEND));
@@ -255,8 +256,8 @@
   /** Torn in its middle, or no store at all: it doesn't begin, and says which file. */
   @Test
   void aDiskThatIsTornIsNamed() throws Exception {
-    StewardWorld world = begun(3, 8, 1, 10_000);
-    world.agreed(Set.of(), backends(2_000));
+    StewardSimulation world = startSimulation(3, 8, 1, 10_000);
+    world.proposeUntilAgreed(Set.of(), backends(2_000));
     world.run(1_000);
     for (int torn = 0; torn < 2; torn++) {
       world.kill(torn);
@@ -269,7 +270,7 @@
       }
       java.nio.file.Files.write(disk, bytes);
       int me = torn;
-      IOException why = assertThrows(IOException.class, () -> world.begin(me));
+      IOException why = assertThrows(IOException.class, () -> world.start(me));
       assertTrue(why.getMessage().contains("store"), why.getMessage());
     }
   }
@@ -279,23 +280,23 @@
   void whatWasToldHoldsThroughFaultsByChance() throws Exception {
     for (long seed = 1; seed <= Long.getLong("willowdoor.seeds", 20); seed++) {
       Random random = new Random(seed);
-      StewardWorld world = begun(3 + 2 * random.nextInt(2), seed, 2, 30);
-      world.lost = 0.1 * random.nextDouble();
-      world.mostDelayMs = 1 + random.nextInt(80);
-      world.agreed(Set.of(), backends(6));
+      StewardSimulation world = startSimulation(3 + 2 * random.nextInt(2), seed, 2, 30);
+      world.lossProbability = 0.1 * random.nextDouble();
+      world.maxDelayMs = 1 + random.nextInt(80);
+      world.proposeUntilAgreed(Set.of(), backends(6));
       Map<String, Long> told = new HashMap<>();
       Map<CompletableFuture<Outcome>, String> asked = new HashMap<>();
       for (int step = 0; step < 40; step++) {
         int one = random.nextInt(world.ids.size());
         String request = "r" + random.nextInt(6);
         switch (random.nextInt(8)) {
-          case 0 -> world.split(Set.of(one));
-          case 1 -> world.cut.clear();
+          case 0 -> world.partition(Set.of(one));
+          case 1 -> world.cutLinks.clear();
           case 2 -> world.stop(one);
-          case 3 -> world.mend();
+          case 3 -> world.restartStopped();
           case 4 -> world.kill(one);
           default -> {
-            if (world.lives(one)) {
+            if (world.isRunning(one)) {
               asked.put(world.propose(one, ask(request, "b" + request.substring(1))), request);
             }
           }
--- a/emulator/src/test/java/willowdoor/emulator/epoch/EpochWorldTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/epoch/EpochSimulationTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import willowdoor.emulator.epoch.EpochWorld.Bug;
-import willowdoor.emulator.epoch.EpochWorld.Result;
+import willowdoor.emulator.epoch.EpochSimulation.Bug;
+import willowdoor.emulator.epoch.EpochSimulation.Result;
 
-class EpochWorldTest {
+class EpochSimulationTest {
 
   private static final long SEEDS = Long.getLong("willowdoor.seeds", 200);
 
@@ -26,7 +26,7 @@
     long both = 0;
     long refused = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Result r = EpochWorld.play(seed, doors(seed), Bug.NONE);
+      Result r = EpochSimulation.play(seed, doors(seed), Bug.NONE);
       assertEquals(List.of(), r.breaches(), "seed " + seed);
       held += r.held();
       aborted += r.aborted();
@@ -45,7 +45,7 @@
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
   void eachPlantedMistakeIsFound(Bug bug) {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      if (!EpochWorld.play(seed, doors(seed), bug).breaches().isEmpty()) {
+      if (!EpochSimulation.play(seed, doors(seed), bug).breaches().isEmpty()) {
         return;
       }
     }
--- a/emulator/src/test/java/willowdoor/emulator/fair/FairQueueTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/fair/FairQueueTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import willowdoor.emulator.fair.FairWorld.Load;
-import willowdoor.emulator.fair.FairWorld.Manners;
-import willowdoor.emulator.fair.FairWorld.Order;
-import willowdoor.emulator.fair.FairWorld.Tally;
+import willowdoor.emulator.fair.FairQueueSimulation.Load;
+import willowdoor.emulator.fair.FairQueueSimulation.RetryBehaviour;
+import willowdoor.emulator.fair.FairQueueSimulation.Order;
+import willowdoor.emulator.fair.FairQueueSimulation.Tally;
 import willowdoor.fairness.FairCounts;
 import willowdoor.fairness.FairEvent.Draining;
 import willowdoor.fairness.FairEvent.PlansChanged;
@@ -41,17 +41,18 @@
         new ComeBack(0.8, 5_000));
   }
 
-  private static FairWorld world(Order order, Cost cost, int doors) {
-    return new FairWorld(1, settings(cost, doors), order, doors, NODES, WORKERS, MS_PER_UNIT, AIM_MS);
+  private static FairQueueSimulation world(Order order, Cost cost, int doors) {
+    return new FairQueueSimulation(1, settings(cost, doors), order, doors, NODES, WORKERS, MS_PER_UNIT,
+        AIM_MS);
   }
 
   private static Load load(long firm, String plan, double perSecond, int clients) {
-    return new Load(firm, plan, perSecond, clients, 1, 1, 1, Manners.OBEY);
+    return new Load(firm, plan, perSecond, clients, 1, 1, 1, RetryBehaviour.OBEY);
   }
 
-  private static void within(double least, double value, double most, String what) {
-    assertTrue(value >= least && value <= most, what + ": " + value + " (expected: " + least + " to "
-        + most + ")");
+  private static void within(double min, double value, double max, String what) {
+    assertTrue(value >= min && value <= max, what + ": " + value + " (expected: " + min + " to "
+        + max + ")");
   }
 
   /** Nine firms at 50 units a second each, and one that comes with 3,000. */
@@ -64,25 +65,26 @@
     return loads;
   }
 
-  private static double serviceOfOthers(FairWorld world) {
+  private static double serviceOfOthers(FairQueueSimulation world) {
     double least = 1;
     for (int f = 1; f <= 9; f++) {
-      least = Math.min(least, world.of(f).service());
+      least = Math.min(least, world.tallyOf(f).service());
     }
     return least;
   }
 
   @Test
   void tenThousandClientsOfOneFirmGainItNothing() {
-    FairWorld few = world(Order.FAIR, Cost.UNITS, 1);
+    FairQueueSimulation few = world(Order.FAIR, Cost.UNITS, 1);
     few.run(flood("open", 3), 10_000);
-    FairWorld many = world(Order.FAIR, Cost.UNITS, 1);
+    FairQueueSimulation many = world(Order.FAIR, Cost.UNITS, 1);
     many.run(flood("open", 10_000), 10_000);
-    FairWorld firstCome = world(Order.FIRST_COME, Cost.UNITS, 1);
+    FairQueueSimulation firstCome = world(Order.FIRST_COME, Cost.UNITS, 1);
     firstCome.run(flood("open", 3), 10_000);
     assertTrue(serviceOfOthers(many) > 0.97, "others, beside many: " + serviceOfOthers(many));
     assertTrue(serviceOfOthers(firstCome) < 0.5, "the load is none: " + serviceOfOthers(firstCome));
-    within(0.9, many.of(10).unitsServed / few.of(10).unitsServed, 1.1, "served to the many, for the few");
+    within(0.9, many.tallyOf(10).unitsServed / few.tallyOf(10).unitsServed, 1.1,
+        "served to the many, for the few");
     FairCounts c = many.counts(0);
     assertTrue(c.flows() <= 72 + 9 * 3, c + "");
     assertTrue(c.waiting() <= 4_096 && c.firms() == 10, c + "");
@@ -91,18 +93,18 @@
   @Test
   void tenThousandFirmsWithARequestEachAreServedInTheirTurnBesideAFloodToo() {
     for (boolean floods : new boolean[] {false, true}) {
-      FairWorld world = world(Order.FAIR, Cost.UNITS, 1);
+      FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
       List<Load> loads = new ArrayList<>(floods ? List.of(load(1, "open", 3_000, 10_000)) : List.of());
       for (int f = 0; f < 10_000; f++) {
         loads.add(load(100 + f, "open", 0.05, 1));
       }
       world.run(loads, 10_000);
-      world.runOut(5_000);
+      world.runWithoutLoad(5_000);
       double asked = 0;
       double inTime = 0;
       for (int f = 0; f < 10_000; f++) {
-        asked += world.of(100 + f).asked;
-        inTime += world.of(100 + f).inTime;
+        asked += world.tallyOf(100 + f).asked;
+        inTime += world.tallyOf(100 + f).inTime;
       }
       assertTrue(asked > 4_000 && inTime > 0.98 * asked, inTime + " of " + asked + ", flood: " + floods);
       assertTrue(world.counts(0).firms() <= 4_097, world.counts(0) + "");
@@ -114,24 +116,27 @@
     FairSettings settings = new FairSettings(Map.of("heavy", new PlanSettings(0, 3, 0, 0, 0)),
         new PlanSettings(0, 1, 0, 0, 0), 1, Cost.UNITS, Bounds.defaults(), new Limit(24, 4, 400),
         new ComeBack(0.8, 30_000));
-    FairWorld world = new FairWorld(1, settings, Order.FAIR, 1, NODES, WORKERS, MS_PER_UNIT, AIM_MS);
+    FairQueueSimulation world =
+        new FairQueueSimulation(1, settings, Order.FAIR, 1, NODES, WORKERS, MS_PER_UNIT, AIM_MS);
     world.run(List.of(load(1, "heavy", 2_000, 5), load(2, "light", 2_000, 5)), 20_000);
-    within(2.8, world.of(1).unitsServed / world.of(2).unitsServed, 3.2, "a weight of 3 beside one of 1");
+    within(2.8, world.tallyOf(1).unitsServed / world.tallyOf(2).unitsServed, 3.2,
+        "a weight of 3 beside one of 1");
     // The heavier plan is made the lighter one.
-    double one = world.of(1).unitsServed;
-    double two = world.of(2).unitsServed;
+    double one = world.tallyOf(1).unitsServed;
+    double two = world.tallyOf(2).unitsServed;
     world.tell(0, new PlansChanged(Map.of("heavy", new PlanSettings(0, 0.5, 0, 0, 0))));
     world.run(List.of(load(1, "heavy", 2_000, 5), load(2, "light", 2_000, 5)), 20_000);
-    within(1.8, (world.of(2).unitsServed - two) / (world.of(1).unitsServed - one), 2.2, "half beside one");
+    within(1.8, (world.tallyOf(2).unitsServed - two) / (world.tallyOf(1).unitsServed - one), 2.2,
+        "half beside one");
   }
 
   @Test
   void adviceIsHonouredWhereAFirmFloodsPastItsQuota() {
-    FairWorld world = world(Order.FAIR, Cost.UNITS, 1);
+    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
     List<Load> loads = flood("metered", 400);
     loads.set(9, load(10, "metered", 2_000, 400));
     world.run(loads, 30_000);
-    Tally flooding = world.of(10);
+    Tally flooding = world.tallyOf(10);
     assertTrue(flooding.returned > 500, flooding.returned + " came back");
     assertTrue(flooding.honoured > 0.99 * flooding.returned, flooding.honoured + " of " + flooding.returned
         + " honoured " + world.counts(0));
@@ -141,7 +146,7 @@
 
   @Test
   void whatWasPromisedAndMissedAsNodesDiedIsCountedAndItsClientTakenNext() {
-    FairWorld world = world(Order.FAIR, Cost.UNITS, 1);
+    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
     List<Load> loads = List.of(load(1, "open", 1_500, 50), load(2, "open", 1_500, 50));
     world.clock().after(10_000, () -> world.kill(4));
     world.clock().after(14_000, world::revive);
@@ -153,43 +158,44 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Manners.class)
-  void howeverClientsTakeAdviceOthersKeepTheirPart(Manners manners) {
-    int doors = manners == Manners.OTHER_DOOR ? 2 : 1;
-    FairWorld world = world(Order.FAIR, Cost.UNITS, doors);
+  @EnumSource(RetryBehaviour.class)
+  void howeverClientsTakeAdviceOthersKeepTheirPart(RetryBehaviour manners) {
+    int doors = manners == RetryBehaviour.OTHER_DOOR ? 2 : 1;
+    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, doors);
     List<Load> loads = flood("metered", 50);
     loads.set(9, new Load(10, "metered", 1_000, 20_000, doors, 1, 1, manners));
     world.run(loads, 15_000);
     assertTrue(serviceOfOthers(world) > 0.98, manners + ": " + serviceOfOthers(world));
     FairCounts c = world.counts(0);
     assertTrue(c.promised() > 0 && c.promised() >= c.kept() + c.unclaimed(), c + "");
-    assertTrue(manners == Manners.OBEY || manners == Manners.SAME_MOMENT
+    assertTrue(manners == RetryBehaviour.OBEY || manners == RetryBehaviour.SAME_MOMENT
         ? c.unclaimed() < c.kept() : c.unclaimed() > 0, c + "");
   }
 
   @Test
   void theDearestClassHasItsPartBehindAFloodOfTheCheapest() {
-    FairWorld world = world(Order.FAIR, Cost.UNITS, 1);
-    world.run(List.of(load(1, "open", 3_000, 5), new Load(2, "open", 6, 1, 1, 16, 1, Manners.OBEY),
-        new Load(3, "open", 0.5, 1, 1, 40, 1, Manners.OBEY)), 20_000);
-    assertTrue(world.of(2).service() > 0.9, "16 units: " + world.of(2).service());
-    assertTrue(world.of(3).asked > 5 && world.of(3).service() > 0.5, "40 units: " + world.of(3).service());
+    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
+    world.run(List.of(load(1, "open", 3_000, 5), new Load(2, "open", 6, 1, 1, 16, 1, RetryBehaviour.OBEY),
+        new Load(3, "open", 0.5, 1, 1, 40, 1, RetryBehaviour.OBEY)), 20_000);
+    assertTrue(world.tallyOf(2).service() > 0.9, "16 units: " + world.tallyOf(2).service());
+    assertTrue(world.tallyOf(3).asked > 5 && world.tallyOf(3).service() > 0.5,
+        "40 units: " + world.tallyOf(3).service());
   }
 
   @Test
   void aRequestLargerThanItsFirmsWholePartHasATimeAllTheSame() {
-    FairWorld world = world(Order.FAIR, Cost.UNITS, 1);
+    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
     List<Load> loads = flood("open", 5);
     // Its quota fills a bucket of 200 in two seconds: each of its requests takes one and a half of them.
-    loads.add(new Load(11, "metered", 2, 1, 1, 40, 1, Manners.OBEY));
+    loads.add(new Load(11, "metered", 2, 1, 1, 40, 1, RetryBehaviour.OBEY));
     world.run(loads, 30_000);
-    Tally large = world.of(11);
+    Tally large = world.tallyOf(11);
     assertTrue(large.unitsServed > 30 * 30, large.unitsServed + " units, " + large.refused + " refused");
   }
 
   @Test
   void pausesOfAllNodesMoveTheLimitLittle() {
-    FairWorld world = world(Order.FAIR, Cost.UNITS, 1);
+    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
     List<Load> loads = new ArrayList<>();
     for (int f = 1; f <= 10; f++) {
       loads.add(load(f, "open", 85, 3));
@@ -211,7 +217,8 @@
 
   @Test
   void allNodesSlowAtOnceDoNotTakeTheLimitDown() {
-    FairWorld world = new FairWorld(1, settings(Cost.UNITS, 1), Order.FAIR, 1, 40, 4, 20, AIM_MS);
+    FairQueueSimulation world =
+        new FairQueueSimulation(1, settings(Cost.UNITS, 1), Order.FAIR, 1, 40, 4, 20, AIM_MS);
     world.run(List.of(load(1, "open", 600, 3), load(2, "open", 600, 3)), 10_000);
     double before = world.counts(0).limit();
     // Each request takes over a second, and no queue at any node explains it.
@@ -229,12 +236,12 @@
     double[] others = new double[2];
     double[] heavy = new double[2];
     for (Cost cost : Cost.values()) {
-      FairWorld world = world(Order.FAIR, cost, 1);
-      world.unitsVary();
+      FairQueueSimulation world = world(Order.FAIR, cost, 1);
+      world.varyUnits();
       world.run(List.of(load(1, "open", 1_500, 3), load(2, "open", 1_500, 3),
-          new Load(3, "open", 1_500, 3, 1, 1, 10, Manners.OBEY)), 20_000);
-      others[cost.ordinal()] = world.of(1).unitsServed;
-      heavy[cost.ordinal()] = world.of(3).unitsServed * 10;
+          new Load(3, "open", 1_500, 3, 1, 1, 10, RetryBehaviour.OBEY)), 20_000);
+      others[cost.ordinal()] = world.tallyOf(1).unitsServed;
+      heavy[cost.ordinal()] = world.tallyOf(3).unitsServed * 10;
     }
     // By units alone it has ten parts of the nodes' time beside one for each of the others.
     assertTrue(heavy[0] > 5 * others[0], heavy[0] + " beside " + others[0]);
@@ -243,12 +250,12 @@
 
   @Test
   void aBoundOfRequestsOutIsKeptOverTheDoorsOfASet() {
-    FairWorld world = world(Order.FAIR, Cost.UNITS, 3);
+    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 3);
     int[] most = {0};
-    world.run(List.of(new Load(1, "capped", 2_000, 20, 3, 1, 1, Manners.OBEY)), 2_000);
+    world.run(List.of(new Load(1, "capped", 2_000, 20, 3, 1, 1, RetryBehaviour.OBEY)), 2_000);
     for (int i = 0; i < 200; i++) {
-      world.runOut(1);
-      world.run(List.of(new Load(1, "capped", 2_000, 20, 3, 1, 1, Manners.OBEY)), 5);
+      world.runWithoutLoad(1);
+      world.run(List.of(new Load(1, "capped", 2_000, 20, 3, 1, 1, RetryBehaviour.OBEY)), 5);
       most[0] = Math.max(most[0], world.counts(0).out() + world.counts(1).out() + world.counts(2).out());
     }
     assertEquals(6, most[0]);
@@ -256,23 +263,23 @@
 
   @Test
   void theOthersKeepTheirServiceWhileTheCounterIsAway() {
-    FairWorld world = world(Order.FAIR, Cost.UNITS, 3);
+    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 3);
     List<Load> loads = new ArrayList<>();
     for (int f = 1; f <= 9; f++) {
-      loads.add(new Load(f, "open", 50, 3, 3, 1, 1, Manners.OBEY));
+      loads.add(new Load(f, "open", 50, 3, 3, 1, 1, RetryBehaviour.OBEY));
     }
-    loads.add(new Load(10, "metered", 2_000, 100, 3, 1, 1, Manners.OBEY));
-    world.clock().after(5_000, () -> world.counterAway(true));
+    loads.add(new Load(10, "metered", 2_000, 100, 3, 1, 1, RetryBehaviour.OBEY));
+    world.clock().after(5_000, () -> world.setCounterUnavailable(true));
     world.run(loads, 15_000);
     assertTrue(serviceOfOthers(world) > 0.98, "others: " + serviceOfOthers(world));
-    Tally flooding = world.of(10);
+    Tally flooding = world.tallyOf(10);
     within(60, flooding.unitsServed / 15, 130, "units a second of a quota of 100");
     assertTrue(flooding.honoured > 0.95 * flooding.returned, flooding.honoured + " of " + flooding.returned);
   }
 
   @Test
   void aDoorThatEndsLetsNothingWait() {
-    FairWorld world = world(Order.FAIR, Cost.UNITS, 1);
+    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
     world.run(flood("open", 5), 3_000);
     assertTrue(world.counts(0).waiting() > 0);
     world.tell(0, new Draining(true));
--- a/store-valkey/src/test/java/willowdoor/valkey/ValkeyStoreTest.java
+++ b/store-valkey/src/test/java/willowdoor/valkey/ValkeyStoreTest.java
@@ -157,7 +157,7 @@
     CounterStore store = connectedStore(server);
     for (int i = 0; i < 20; i++) {
       add(store, "16:1", 3, 60_000);
-      assertEquals("+OK", server.say("FLUSHALL"));
+      assertEquals("+OK", server.runCommand("FLUSHALL"));
       assertEquals(1, add(store, "16:1", 1, 60_000).total());
       assertEquals(Double.NEGATIVE_INFINITY, replaced.poll(),
           "replacement not reported before the answer, round " + i);
@@ -171,11 +171,12 @@
     CounterStore store = connectedStore(primary);
     add(store, "16:1", 3, 60_000);
     StandInValkey replica = register(StandInValkey.replicaOf(primary));
-    awaitEquals("3", () -> replica.say("GET test:16:1"));
+    awaitEquals("3", () -> replica.runCommand("GET test:16:1"));
     awaitChecks(primary, 2);
     // Both sizes are read each time, because counters may expire meanwhile in both.
-    awaitEquals("as many", () -> primary.say("DBSIZE").equals(replica.say("DBSIZE")) ? "as many" : "others");
-    assertEquals("+OK", replica.say("REPLICAOF NO ONE"));
+    awaitEquals("as many",
+        () -> primary.runCommand("DBSIZE").equals(replica.runCommand("DBSIZE")) ? "as many" : "others");
+    assertEquals("+OK", replica.runCommand("REPLICAOF NO ONE"));
     double cutAt = now();
     awaitChecks(primary, 3);
     assertEquals(8, add(store, "16:1", 5, 60_000).total());
@@ -213,7 +214,7 @@
       result = add(store, "16:1", 3, 60_000);
     }
     assertTrue(result.status().provesNotRun());
-    assertEquals("$-1", primary.say("GET test:16:1"));
+    assertEquals("$-1", primary.runCommand("GET test:16:1"));
   }
 
   /** Errors of the published protocol: each proves that nothing was added, and the store works after it. */
@@ -225,12 +226,12 @@
     for (String line : List.of("LOADING Redis is loading the dataset in memory", "MOVED 3999 127.0.0.1:1",
         "OOM command not allowed when used memory > 'maxmemory'.", "BUSY Redis is busy running a script.",
         "MASTERDOWN Link with MASTER is down and replica-serve-stale-data is set to 'no'.")) {
-      server.refuse(line);
+      server.setErrorReply(line);
       Counted result = add(store, "16:1", 5, 60_000);
       assertEquals(Status.REJECTED, result.status(), line);
       assertTrue(result.status().provesNotRun());
     }
-    server.refuse(null);
+    server.setErrorReply(null);
     awaitOk(store);
     assertEquals(3, add(store, "16:1", 0, 60_000).total());
   }
@@ -240,7 +241,7 @@
     StandInValkey server = startServer();
     CounterStore store = connectedStore(server);
     add(store, "16:1", 3, 60_000);
-    assertEquals("+OK", server.say("SCRIPT FLUSH"));
+    assertEquals("+OK", server.runCommand("SCRIPT FLUSH"));
     // A check of the watch may get the error first and reload the script.
     add(store, "16:1", 0, 60_000);
     awaitOk(store);
@@ -251,7 +252,7 @@
   void slowServerTimesOutAndTheAddIsMadeOnce() throws Exception {
     StandInValkey server = startServer();
     CounterStore store = connectedStore(server);
-    assertEquals("+OK", server.say("CLIENT PAUSE 900 ALL"));
+    assertEquals("+OK", server.runCommand("CLIENT PAUSE 900 ALL"));
     double startedMs = now();
     Counted result = add(store, "16:1", 3, 60_000);
     double tookMs = now() - startedMs;
@@ -289,7 +290,7 @@
       for (int i = 0; i < 200; i++) {
         group.next().execute(() -> store.add(name, 1, 60_000));
       }
-      server.say("CLIENT KILL TYPE normal");
+      server.runCommand("CLIENT KILL TYPE normal");
       int confirmed = 0;
       int undecided = 0;
       for (int i = 0; i < 200; i++) {
@@ -308,7 +309,7 @@
   void outstandingCallsAreBounded() throws Exception {
     StandInValkey server = startServer();
     CounterStore store = connectedStore(server);
-    server.say("CLIENT PAUSE 600 ALL");
+    server.runCommand("CLIENT PAUSE 600 ALL");
     int calls = ValkeyStore.MAX_OUTSTANDING_CALLS + 100;
     group.next().execute(() -> {
       for (int i = 0; i < calls; i++) {
@@ -341,12 +342,12 @@
   void userWithTheDocumentedRightsSuffices() throws Exception {
     StandInValkey server = startServer();
     assertEquals("+OK",
-        server.say("ACL SETUSER door on >secret -@all ~test:* ~test!epoch +evalsha +script|load "
+        server.runCommand("ACL SETUSER door on >secret -@all ~test:* ~test!epoch +evalsha +script|load "
         + "+get +set +exists +incrbyfloat +pexpire"));
     CounterStore store = store(server.address(), new ValkeySettings("door", "secret", "test"));
     awaitOk(store);
     assertEquals(3, add(store, "16:1", 3, 60_000).total());
-    assertEquals("+OK", server.say("ACL SETUSER door -incrbyfloat"));
+    assertEquals("+OK", server.runCommand("ACL SETUSER door -incrbyfloat"));
     assertEquals(Status.REJECTED, add(store, "16:1", 3, 60_000).status());
   }
 
--- a/testkit/src/main/java/willowdoor/testkit/BackendPark.java
+++ b/testkit/src/main/java/willowdoor/testkit/BackendPool.java
@@ -14,64 +14,65 @@
  * All backends of a run, what they remember together (the keys whose repeats they drop), and their place in
  * discovery's list. A change reaches the list late, as the roll sees it.
  */
-public final class BackendPark {
+public final class BackendPool {
 
   /**
    * Keys remembered at the most; the oldest go first, and a run that comes so far is too large for the rig.
    */
-  private static final int MOST_KEYS = 500_000;
+  private static final int MAX_KEYS = 500_000;
 
   /** How the backends of a park are made: work a request between the two, in milliseconds on one core. */
-  public record Make(int backends, int cores, int queue, double leastWorkMs, double mostWorkMs) {
+  public record BackendSpec(int backends, int cores, int queue, double minWorkMs, double maxWorkMs) {
 
     /** The shape that the judge goes by. */
-    public Judge.BackendShape shape() {
-      return new Judge.BackendShape(cores, (leastWorkMs + mostWorkMs) / 2);
+    public InvariantChecker.BackendCapacity capacity() {
+      return new InvariantChecker.BackendCapacity(cores, (minWorkMs + maxWorkMs) / 2);
     }
   }
 
   private final EventLoopGroup group;
-  private final Ledger ledger;
-  private final Terms terms;
+  private final EventHistory ledger;
+  private final RunSettings terms;
   private final StandInDiscovery discovery;
-  private final Make make;
+  private final BackendSpec spec;
   private final Random random;
   private final Map<String, Double> keys = new HashMap<>();
   private final List<StandInBackend> backends = new ArrayList<>();
-  private boolean exact;
+  private boolean exactUnits;
 
   /** Starts the backends, half of them in each of two zones, all warm, and lists them. */
-  public BackendPark(EventLoopGroup group, Ledger ledger, Terms terms, StandInDiscovery discovery, Make make,
+  public BackendPool(EventLoopGroup group, EventHistory ledger, RunSettings terms, StandInDiscovery discovery,
+      BackendSpec spec,
       long seed) {
     this.group = group;
     this.ledger = ledger;
     this.terms = terms;
     this.discovery = discovery;
-    this.make = make;
+    this.spec = spec;
     this.random = new Random(seed);
-    for (int i = 0; i < make.backends(); i++) {
+    for (int i = 0; i < spec.backends(); i++) {
       StandInBackend b = new StandInBackend("b" + i, i % 2 == 0 ? "a" : "b", group.next(), this);
       backends.add(b);
       b.listen(false);
-      list(b, "active", 0);
+      publish(b, "active", 0);
     }
   }
 
   /** From here on requests cost what they name. */
-  public synchronized void exact() {
-    exact = true;
+  public synchronized void chargeNamedUnits() {
+    exactUnits = true;
   }
 
-  Ledger ledger() {
+  EventHistory ledger() {
     return ledger;
   }
 
-  Terms terms() {
+  RunSettings terms() {
     return terms;
   }
 
-  Make make() {
-    return make;
+  BackendSpec spec() {
+    return spec;
   }
 
   EventLoopGroup group() {
@@ -87,22 +88,22 @@
   }
 
   /** Work of one request, in milliseconds on one core. */
-  synchronized double work() {
-    return make.leastWorkMs() + random.nextDouble() * (make.mostWorkMs() - make.leastWorkMs());
+  synchronized double drawWorkMs() {
+    return spec.minWorkMs() + random.nextDouble() * (spec.maxWorkMs() - spec.minWorkMs());
   }
 
   /** The true units of a request that names so many. */
   synchronized int trueUnits(int named) {
-    if (exact) {
+    if (exactUnits) {
       return named;
     }
-    return Math.max(1, Math.min(Terms.MOST_UNITS, named + random.nextInt(3) - 1));
+    return Math.max(1, Math.min(RunSettings.MAX_UNITS, named + random.nextInt(3) - 1));
   }
 
   /** Remembers a key from the moment its effect runs; false when it is remembered already: a repeat. */
-  synchronized boolean firstOf(String key) {
+  synchronized boolean rememberIfNew(String key) {
     double now = ledger.now();
-    if (keys.size() >= MOST_KEYS) {
+    if (keys.size() >= MAX_KEYS) {
       keys.values().removeIf(at -> now - at > terms.keyWindowMs());
     }
     Double before = keys.get(key);
@@ -113,26 +114,26 @@
     return true;
   }
 
-  private void list(StandInBackend b, String state, long startedMs) {
-    discovery.put(new Listed(b.name(), b.address(), b.zone(), state, startedMs));
+  private void publish(StandInBackend b, String state, long startedMs) {
+    discovery.publish(new Listed(b.name(), b.address(), b.zone(), state, startedMs));
   }
 
   /** Tells the list that it drains; it finishes what it has, and goes on answering what still comes. */
   public void drain(StandInBackend b) {
-    list(b, "leaving", 0);
+    publish(b, "leaving", 0);
   }
 
   /** Tells the list that it serves again, as it did before. */
   public void undrain(StandInBackend b) {
-    list(b, "active", 0);
+    publish(b, "active", 0);
   }
 
   /** Kills its process; the list says so the given time later. */
   public void kill(StandInBackend b, long noticeMs) {
-    b.die();
+    b.kill();
     group.next().schedule(() -> {
-      if (!b.alive()) {
-        discovery.put(new Listed(b.name(), b.address(), b.zone(), "left", 0));
+      if (!b.isAlive()) {
+        discovery.publish(new Listed(b.name(), b.address(), b.zone(), "left", 0));
       }
     }, noticeMs, TimeUnit.MILLISECONDS);
   }
@@ -142,20 +143,20 @@
     long startedMs = System.currentTimeMillis();
     b.listen(true);
     group.next().schedule(() -> {
-      if (b.alive()) {
-        list(b, "active", startedMs);
+      if (b.isAlive()) {
+        publish(b, "active", startedMs);
       }
     }, noticeMs, TimeUnit.MILLISECONDS);
   }
 
   /** Kills all backends of a zone at once. */
-  public void loseZone(String zone, long noticeMs) {
-    backends.stream().filter(b -> b.zone().equals(zone) && b.alive()).forEach(b -> kill(b, noticeMs));
+  public void killZone(String zone, long noticeMs) {
+    backends.stream().filter(b -> b.zone().equals(zone) && b.isAlive()).forEach(b -> kill(b, noticeMs));
   }
 
   /** Brings a zone's backends back, cold. */
-  public void restoreZone(String zone, long noticeMs) {
-    backends.stream().filter(b -> b.zone().equals(zone) && !b.alive()).forEach(b -> restart(b, noticeMs));
+  public void restartZone(String zone, long noticeMs) {
+    backends.stream().filter(b -> b.zone().equals(zone) && !b.isAlive()).forEach(b -> restart(b, noticeMs));
   }
 
   /** Where all backends listen, by name. */
--- a/testkit/src/main/java/willowdoor/testkit/ClientFleet.java
+++ b/testkit/src/main/java/willowdoor/testkit/ClientFleet.java
@@ -31,91 +31,93 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
-import willowdoor.testkit.Ledger.Asked;
-import willowdoor.testkit.Ledger.Kind;
-import willowdoor.testkit.Tally.End;
+import willowdoor.testkit.EventHistory.ClientRequest;
+import willowdoor.testkit.EventHistory.Kind;
+import willowdoor.testkit.LoadStatistics.TryOutcome;
 
 /**
  * The members' purchasing systems: firms that ask at their own pace (a seeded Poisson stream over all), over
  * kept connections to the doors of each firm's set, with up to two retries after a wait. A try that was cut
  * on a kept connection with nothing answered goes out once more on a new one, as the protocol allows. All on
- * one event loop; at most {@value #MOST_OUT} tries are out, beyond which no new one is begun and that is
+ * one event loop; at most {@value #MAX_OUTSTANDING_TRIES} tries are out, beyond which no new one is begun and
+ * that is
  * counted.
  */
 public final class ClientFleet {
 
-  private static final int MOST_OUT = 20_000;
+  private static final int MAX_OUTSTANDING_TRIES = 20_000;
   private static final int RETRIES = 2;
-  private static final double LEAST_SHARE_OF_DEADLINE = 0.5;
+  private static final double MIN_DEADLINE_SHARE = 0.5;
   private static final double BUY_SHARE = 0.3;
   private static final double TRANSFER_SHARE = 0.05;
   private static final double BACKOFF_MS = 50;
   private static final int BODY_BYTES = 200;
-  private static final long ASK_AGAIN_MS = 300;
+  private static final long REPEAT_DELAY_MS = 300;
 
   /**
    * What the fleet asks: this many requests a second over so many firms, a part of them heavy.
    *
    * @param uneven most of a firm's requests come through one or two doors of its set, and these change every
-   *     {@value #BUSIEST_MS} ms
+   *     {@value #BUSIEST_DOORS_PERIOD_MS} ms
    */
-  public record Load(double requestsPerSecond, int firms, double heavyShare, double heavyTimes,
-      int mostSpread, boolean uneven) {
+  public record Load(double requestsPerSecond, int firms, double heavyShare, double heavyWeight,
+      int maxSpread, boolean uneven) {
 
     public Load(double requestsPerSecond, int firms, double heavyShare, double heavyTimes, int mostSpread) {
       this(requestsPerSecond, firms, heavyShare, heavyTimes, mostSpread, false);
     }
   }
 
-  private static final long BUSIEST_MS = 15_000;
+  private static final long BUSIEST_DOORS_PERIOD_MS = 15_000;
 
   private record Firm(String id, String plan, int first, int spread, double weight) { }
 
   private final EventLoop loop;
-  private final Ledger ledger;
-  private final Terms terms;
-  private final Front front;
+  private final EventHistory ledger;
+  private final RunSettings terms;
+  private final DoorHealthChecker doorHealth;
   private final Load load;
   private final Random random;
-  private final Tally tally = new Tally();
+  private final LoadStatistics statistics = new LoadStatistics();
   private final List<Firm> firms = new ArrayList<>();
-  private final double allWeight;
-  private final Map<Door, ArrayDeque<Link>> idle = new HashMap<>();
+  private final double totalWeight;
+  private final Map<Door, ArrayDeque<DoorConnection>> idleConnections = new HashMap<>();
   private double nextDueMs;
-  private final AtomicInteger out = new AtomicInteger();
+  private final AtomicInteger outstanding = new AtomicInteger();
   private final AtomicLong sent = new AtomicLong();
-  private final AtomicInteger unserved = new AtomicInteger();
+  private final AtomicInteger unservedFirms = new AtomicInteger();
   private final AtomicLong skipped = new AtomicLong();
   private volatile boolean running;
 
-  public ClientFleet(EventLoop loop, Ledger ledger, Terms terms, List<? extends Door> doors, Load load,
+  public ClientFleet(EventLoop loop, EventHistory ledger, RunSettings terms, List<? extends Door> doors,
+      Load load,
       long seed) {
     this.loop = loop;
     this.ledger = ledger;
     this.terms = terms;
-    this.front = new Front(loop, doors);
+    this.doorHealth = new DoorHealthChecker(loop, doors);
     this.load = load;
     this.random = new Random(seed);
     double weights = 0;
     for (int i = 0; i < load.firms(); i++) {
       boolean heavy = random.nextDouble() < load.heavyShare();
-      int spread = Math.min(doors.size(), 2 + random.nextInt(Math.max(1, load.mostSpread() - 1)));
+      int spread = Math.min(doors.size(), 2 + random.nextInt(Math.max(1, load.maxSpread() - 1)));
       Firm f = new Firm(String.format("%016x", 0x1000L + i), plan(i).name(),
-          random.nextInt(doors.size()), spread, heavy ? load.heavyTimes() : 1);
+          random.nextInt(doors.size()), spread, heavy ? load.heavyWeight() : 1);
       firms.add(f);
       weights += f.weight();
     }
-    allWeight = weights;
+    totalWeight = weights;
   }
 
   /** Every third firm has the first plan, all others have the second. */
-  private Terms.PlanTerms plan(int firm) {
+  private RunSettings.PlanTerms plan(int firm) {
     return terms.plans().get(firm % 3 == 0 ? 0 : Math.min(1, terms.plans().size() - 1));
   }
 
   /** Its figures so far. */
-  public Tally tally() {
-    return tally;
+  public LoadStatistics statistics() {
+    return statistics;
   }
 
   /** Tries sent so far. */
@@ -129,25 +131,25 @@
   }
 
   /** Tries without their end yet. */
-  public int out() {
-    return out.get();
+  public int outstanding() {
+    return outstanding.get();
   }
 
   /** Doors that take requests now. */
   public int doorsUp() {
-    return front.up();
+    return doorHealth.up();
   }
 
-  public boolean up(int door) {
-    return front.up(door);
+  public boolean isUp(int door) {
+    return doorHealth.up(door);
   }
 
   /** Begins to ask. */
-  public void begin() {
+  public void start() {
     running = true;
     loop.execute(() -> {
       nextDueMs = ledger.now();
-      tick();
+      sendDueRequests();
     });
   }
 
@@ -162,7 +164,7 @@
   private void flood(double perSecond, int clients, double from) {
     double due = from;
     while (running && due <= ledger.now()) {
-      if (out.get() >= MOST_OUT) {
+      if (outstanding.get() >= MAX_OUTSTANDING_TRIES) {
         skipped.incrementAndGet();
       } else {
         Try t = new Try(firms.get(0), RequestKind.QUOTE, units(), terms.deadlineMs(), null, 0, ledger.now());
@@ -178,11 +180,11 @@
   }
 
   private int units() {
-    return Math.min(Terms.MOST_UNITS, 1 + (int) (-Math.log(1 - random.nextDouble()) * 1.2));
+    return Math.min(RunSettings.MAX_UNITS, 1 + (int) (-Math.log(1 - random.nextDouble()) * 1.2));
   }
 
   /** Asks nothing new; what is out runs to its end. */
-  public void end() {
+  public void stop() {
     running = false;
   }
 
@@ -193,7 +195,7 @@
    */
   public void askOnceEach() {
     loop.execute(() -> {
-      unserved.set(firms.size());
+      unservedFirms.set(firms.size());
       for (int i = 0; i < firms.size(); i++) {
         Firm firm = firms.get(i);
         loop.schedule(() -> askOnce(firm), 2L * i, TimeUnit.MILLISECONDS);
@@ -202,8 +204,8 @@
   }
 
   /** Firms that have not been served since then. */
-  public int unserved() {
-    return unserved.get();
+  public int unservedFirms() {
+    return unservedFirms.get();
   }
 
   /** The firms' identifiers. */
@@ -213,11 +215,11 @@
 
   private void askOnce(Firm firm) {
     Try t = new Try(firm, RequestKind.QUOTE, 1, terms.deadlineMs(), null, RETRIES, ledger.now());
-    t.whenEnded = how -> {
-      if (how == End.SERVED) {
-        unserved.decrementAndGet();
+    t.onEnd = how -> {
+      if (how == TryOutcome.SERVED) {
+        unservedFirms.decrementAndGet();
       } else {
-        loop.schedule(() -> askOnce(firm), ASK_AGAIN_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> askOnce(firm), REPEAT_DELAY_MS, TimeUnit.MILLISECONDS);
       }
     };
     t.start();
@@ -225,29 +227,30 @@
 
   /** Ends its looks at the doors too. */
   public void close() {
-    end();
-    front.stop();
-    loop.submit(() -> idle.values().forEach(q -> q.forEach(l -> l.channel.close()))).syncUninterruptibly();
+    stop();
+    doorHealth.stop();
+    loop.submit(() -> idleConnections.values().forEach(q -> q.forEach(l -> l.channel.close())))
+        .syncUninterruptibly();
   }
 
-  private void tick() {
+  private void sendDueRequests() {
     double now = ledger.now();
     while (running && nextDueMs <= now) {
-      if (out.get() >= MOST_OUT) {
+      if (outstanding.get() >= MAX_OUTSTANDING_TRIES) {
         skipped.incrementAndGet();
       } else {
         Firm firm = drawFirm();
         RequestKind kind = drawKind();
         int units = units();
         double timeout = terms.deadlineMs()
-            * (LEAST_SHARE_OF_DEADLINE + random.nextDouble() * (1 - LEAST_SHARE_OF_DEADLINE));
+            * (MIN_DEADLINE_SHARE + random.nextDouble() * (1 - MIN_DEADLINE_SHARE));
         String key = kind.keyed() ? String.format("%016x%016x", random.nextLong(), random.nextLong()) : null;
         new Try(firm, kind, units, Math.floor(timeout), key, 0, now).start();
       }
       nextDueMs += -Math.log(1 - random.nextDouble()) * 1000 / load.requestsPerSecond();
     }
     if (running) {
-      loop.schedule(this::tick, 1, TimeUnit.MILLISECONDS);
+      loop.schedule(this::sendDueRequests, 1, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -258,7 +261,7 @@
   }
 
   private Firm drawFirm() {
-    double at = random.nextDouble() * allWeight;
+    double at = random.nextDouble() * totalWeight;
     for (Firm f : firms) {
       at -= f.weight();
       if (at <= 0) {
@@ -269,12 +272,12 @@
   }
 
   /** Which door of the set is tried first. */
-  private int offset(Firm f) {
+  private int chooseOffset(Firm f) {
     if (!load.uneven()) {
       return random.nextInt(f.spread());
     }
     // A firm's busiest doors follow from its number and the span of time.
-    Random busiest = new Random(31 * f.id().hashCode() + (long) (ledger.now() / BUSIEST_MS +
+    Random busiest = new Random(31 * f.id().hashCode() + (long) (ledger.now() / BUSIEST_DOORS_PERIOD_MS +
         (f.id().hashCode() & 15) / 16.0));
     double[] weights = new double[f.spread()];
     double sum = 0;
@@ -302,15 +305,15 @@
     private final double dueMs = ledger.now();
     private final double firstDueMs;
     private Door door;
-    private Link link;
+    private DoorConnection connection;
     /** Which of a flooding firm's clients this is; 0 is any. */
     private int client;
     /** Where it was told to come back now; null where it was not. */
-    private Door told;
-    private boolean again;
+    private Door returnDoor;
+    private boolean resent;
     private boolean ended;
     private Future<?> timer;
-    private Consumer<End> whenEnded;
+    private Consumer<TryOutcome> onEnd;
 
     Try(Firm firm, RequestKind kind, int units, double timeoutMs, String key, int number,
         double firstDueMs) {
@@ -324,42 +327,44 @@
     }
 
     void start() {
-      out.incrementAndGet();
+      outstanding.incrementAndGet();
       sent.incrementAndGet();
-      door = told != null ? told : front.choose(firm.first(), firm.spread(), offset(firm));
+      door = returnDoor != null ? returnDoor
+          : doorHealth.choose(firm.first(), firm.spread(), chooseOffset(firm));
       if (door == null) {
-        end(End.NO_DOOR, 0);
+        end(TryOutcome.NO_DOOR, 0);
         return;
       }
-      ledger.open(new Asked(id, firm.id(), firm.plan(), kind, key, units, timeoutMs, number, dueMs));
+      ledger.registerRequest(
+          new ClientRequest(id, firm.id(), firm.plan(), kind, key, units, timeoutMs, number, dueMs));
       timer = loop.schedule(() -> {
         if (!ended) {
-          ledger.request(Kind.GAVE_UP, id, door.name(), 0, "");
-          Link used = link;
-          end(End.UNANSWERED, 0);
+          ledger.addRequestEntry(Kind.GAVE_UP, id, door.name(), 0, "");
+          DoorConnection used = connection;
+          end(TryOutcome.UNANSWERED, 0);
           if (used != null) {
             used.channel.close();
           }
         }
       }, (long) timeoutMs + 1, TimeUnit.MILLISECONDS);
-      ask();
+      send();
     }
 
-    private void ask() {
-      ArrayDeque<Link> kept = idle.computeIfAbsent(door, d -> new ArrayDeque<>());
-      Link free = again ? null : kept.pollLast();
+    private void send() {
+      ArrayDeque<DoorConnection> kept = idleConnections.computeIfAbsent(door, d -> new ArrayDeque<>());
+      DoorConnection free = resent ? null : kept.pollLast();
       while (free != null && !free.channel.isActive()) {
         free = kept.pollLast();
       }
       if (free != null) {
-        free.carry(this);
+        free.send(this);
       } else {
         connect();
       }
     }
 
     private void connect() {
-      Link fresh = new Link(door);
+      DoorConnection fresh = new DoorConnection(door);
       new Bootstrap().group(loop).channel(NioSocketChannel.class)
           .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1_000)
           .handler(new ChannelInitializer<Channel>() {
@@ -371,15 +376,16 @@
             if (ended) {
               f.channel().close();
             } else if (f.isSuccess()) {
-              fresh.carry(this);
+              fresh.send(this);
             } else {
-              ledger.request(Kind.NOT_TAKEN, id, door.name(), 0, String.valueOf(f.cause().getMessage()));
-              end(End.NOT_TAKEN, 0);
+              ledger.addRequestEntry(Kind.NOT_TAKEN, id, door.name(), 0,
+                  String.valueOf(f.cause().getMessage()));
+              end(TryOutcome.NOT_TAKEN, 0);
             }
           });
     }
 
-    private DefaultFullHttpRequest message() {
+    private DefaultFullHttpRequest toHttpRequest() {
       boolean post = kind.method().equals("POST");
       ByteBuf body = post ? Unpooled.copiedBuffer("x".repeat(BODY_BYTES), StandardCharsets.US_ASCII)
           : Unpooled.EMPTY_BUFFER;
@@ -387,7 +393,7 @@
           HttpMethod.valueOf(kind.method()),
           "/" + kind.className() + "/" + number, body);
       double left = Math.max(1, dueMs + timeoutMs - ledger.now());
-      m.headers().set("Host", Front.host(door.address())).set("Request-Id", id)
+      m.headers().set("Host", DoorHealthChecker.hostAndPort(door.address())).set("Request-Id", id)
           .set("Request-Class", kind.className()).set("X-Plan", firm.plan()).set("X-Customer", firm.id())
           .set("Request-Timeout-Ms", (long) Math.ceil(left))
           .set("X-Quota", "units=" + units + ",spread=" + firm.spread() + ",first=" + firm.first());
@@ -406,90 +412,91 @@
       return m;
     }
 
-    void answered(FullHttpResponse answer) {
+    void onAnswer(FullHttpResponse answer) {
       int status = answer.status().code();
       if (ended) {
-        ledger.request(Kind.ANSWERED, id, door.name(), status, "after its end");
+        ledger.addRequestEntry(Kind.ANSWERED, id, door.name(), status, "after its end");
         return;
       }
-      ledger.request(Kind.ANSWERED, id, door.name(), status, "");
+      ledger.addRequestEntry(Kind.ANSWERED, id, door.name(), status, "");
       if (status == 200 && !answer.content().toString(StandardCharsets.US_ASCII).startsWith("made for " + id
           + " by")) {
-        ledger.request(Kind.FORGED, id, door.name(), 0, "");
+        ledger.addRequestEntry(Kind.FORGED, id, door.name(), 0, "");
       }
       double wait = 0;
       String advice = answer.headers().get("Retry-After");
       if (advice != null) {
         wait = Double.parseDouble(advice) * 1000;
       }
-      end(status == 200 ? End.SERVED : status == 429 || status == 503 ? End.REFUSED : End.FAILED, wait);
+      end(status == 200 ? TryOutcome.SERVED : status == 429 || status == 503 ? TryOutcome.REFUSED
+          : TryOutcome.FAILED, wait);
     }
 
-    void cut(boolean kept) {
+    void onConnectionClosed(boolean kept) {
       if (ended) {
         return;
       }
-      ledger.request(Kind.CUT, id, door.name(), 0, kept ? "kept" : "");
-      link = null;
-      if (kept && !again) {
-        again = true;
-        ask();
+      ledger.addRequestEntry(Kind.CUT, id, door.name(), 0, kept ? "kept" : "");
+      connection = null;
+      if (kept && !resent) {
+        resent = true;
+        send();
       } else {
-        end(End.UNANSWERED, 0);
+        end(TryOutcome.UNANSWERED, 0);
       }
     }
 
-    void notWritten() {
+    void onWriteFailed() {
       if (!ended) {
-        ledger.request(Kind.NOT_TAKEN, id, door.name(), 0, "not written whole");
-        end(End.NOT_TAKEN, 0);
+        ledger.addRequestEntry(Kind.NOT_TAKEN, id, door.name(), 0, "not written whole");
+        end(TryOutcome.NOT_TAKEN, 0);
       }
     }
 
-    private void end(End how, double adviceMs) {
+    private void end(TryOutcome how, double adviceMs) {
       ended = true;
-      out.decrementAndGet();
+      outstanding.decrementAndGet();
       if (timer != null) {
         timer.cancel(false);
       }
-      tally.tried(dueMs, how, ledger.now() - dueMs, firm.id(), firm.plan(), units);
-      if (told != null) {
-        tally.returned(firm.id(), firm.plan(), how);
+      statistics.recordTry(dueMs, how, ledger.now() - dueMs, firm.id(), firm.plan(), units);
+      if (returnDoor != null) {
+        statistics.recordPromptedRetry(firm.id(), firm.plan(), how);
       }
-      if (how != End.SERVED && number < RETRIES && running) {
+      if (how != TryOutcome.SERVED && number < RETRIES && running) {
         double wait = Math.max(adviceMs, BACKOFF_MS * (1 << number) * (0.5 + random.nextDouble()));
         loop.schedule(() -> {
           if (running) {
             Try next = new Try(firm, kind, units, timeoutMs, key, number + 1, firstDueMs);
             next.client = client;
-            next.told = client > 0 && adviceMs > 0 && wait == adviceMs ? door : null;
+            next.returnDoor = client > 0 && adviceMs > 0 && wait == adviceMs ? door : null;
             next.start();
           } else {
-            lastEnded(how);
+            finishRequest(how);
           }
         }, (long) wait, TimeUnit.MILLISECONDS);
       } else {
-        lastEnded(how);
+        finishRequest(how);
       }
     }
 
-    private void lastEnded(End how) {
-      if (whenEnded != null) {
-        whenEnded.accept(how);
+    private void finishRequest(TryOutcome how) {
+      if (onEnd != null) {
+        onEnd.accept(how);
         return;
       }
-      tally.request(firstDueMs, how, firm.id(), firm.plan(), units);
+      statistics.recordRequest(firstDueMs, how, firm.id(), firm.plan(), units);
     }
   }
 
   /** One kept connection to a door. */
-  private final class Link extends SimpleChannelInboundHandler<FullHttpResponse> {
+  private final class DoorConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final Door door;
     private Channel channel;
     private Try current;
-    private boolean kept;
+    private boolean reused;
 
-    Link(Door door) {
+    DoorConnection(Door door) {
       this.door = door;
     }
 
@@ -498,18 +505,18 @@
       channel = ctx.channel();
     }
 
-    void carry(Try t) {
+    void send(Try t) {
       current = t;
-      t.link = this;
-      channel.writeAndFlush(t.message()).addListener(f -> {
+      t.connection = this;
+      channel.writeAndFlush(t.toHttpRequest()).addListener(f -> {
         if (f.isSuccess()) {
-          ledger.request(Kind.ASKED, t.id, door.name(), 0, kept ? "kept" : "");
+          ledger.addRequestEntry(Kind.ASKED, t.id, door.name(), 0, reused ? "kept" : "");
         } else if (current == t) {
           current = null;
-          if (kept) {
-            t.cut(true);
+          if (reused) {
+            t.onConnectionClosed(true);
           } else {
-            t.notWritten();
+            t.onWriteFailed();
           }
         }
       });
@@ -519,25 +526,25 @@
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
       Try t = current;
       current = null;
-      kept = true;
+      reused = true;
       if (t == null) {
         throw new IllegalStateException(String.format(Locale.ROOT, "%s answered unasked", door.name()));
       }
       if (HttpUtil.isKeepAlive(answer)) {
-        idle.computeIfAbsent(door, d -> new ArrayDeque<>()).addLast(this);
+        idleConnections.computeIfAbsent(door, d -> new ArrayDeque<>()).addLast(this);
       } else {
         ctx.close();
       }
-      t.answered(answer);
+      t.onAnswer(answer);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      idle.computeIfAbsent(door, d -> new ArrayDeque<>()).remove(this);
+      idleConnections.computeIfAbsent(door, d -> new ArrayDeque<>()).remove(this);
       Try t = current;
       current = null;
       if (t != null) {
-        t.cut(kept);
+        t.onConnectionClosed(reused);
       }
     }
 
--- a/testkit/src/main/java/willowdoor/testkit/Door.java
+++ b/testkit/src/main/java/willowdoor/testkit/Door.java
@@ -24,5 +24,5 @@
   void terminate();
 
   /** True while it has a process. */
-  boolean alive();
+  boolean isAlive();
 }
--- a/testkit/src/main/java/willowdoor/testkit/Front.java
+++ b/testkit/src/main/java/willowdoor/testkit/DoorHealthChecker.java
@@ -25,40 +25,40 @@
  * What stands before the doors: asks each for {@code GET /up} at a steady pace and deals requests among those
  * that answer 200. A dead door is noticed late, as in service: after so many failed looks in a row.
  */
-final class Front {
+final class DoorHealthChecker {
 
-  private static final long LOOK_MS = 200;
-  private static final int LOOKS_TO_NOTICE = 4;
-  private static final long LOOK_LIMIT_MS = 1_000;
+  private static final long CHECK_INTERVAL_MS = 200;
+  private static final int FAILURES_TO_MARK_DOWN = 4;
+  private static final long CHECK_TIMEOUT_MS = 1_000;
 
   /** What it knows of one door. */
-  private final class Place {
+  private final class DoorStatus {
     private final Door door;
     private volatile boolean up;
-    private int failed;
-    private boolean looking;
+    private int consecutiveFailures;
+    private boolean checking;
 
-    Place(Door door) {
+    DoorStatus(Door door) {
       this.door = door;
     }
 
-    private void look() {
-      if (looking || stopped) {
+    private void check() {
+      if (checking || stopped) {
         return;
       }
-      looking = true;
+      checking = true;
       AtomicBoolean answered = new AtomicBoolean();
       ChannelFuture f = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) LOOK_LIMIT_MS)
+          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CHECK_TIMEOUT_MS)
           .handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel ch) {
-              ch.pipeline().addLast(new ReadTimeoutHandler(LOOK_LIMIT_MS, TimeUnit.MILLISECONDS),
+              ch.pipeline().addLast(new ReadTimeoutHandler(CHECK_TIMEOUT_MS, TimeUnit.MILLISECONDS),
                   new HttpClientCodec(), new SimpleChannelInboundHandler<Object>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, Object part) {
                       if (part instanceof HttpResponse r && answered.compareAndSet(false, true)) {
-                        told(r.status().code() == 200);
+                        onResult(r.status().code() == 200);
                         ctx.close();
                       }
                     }
@@ -78,27 +78,28 @@
         }
       });
       f.channel().closeFuture().addListener(c -> {
-        looking = false;
-        if (!answered.get() && ++failed >= LOOKS_TO_NOTICE) {
+        checking = false;
+        if (!answered.get() && ++consecutiveFailures >= FAILURES_TO_MARK_DOWN) {
           up = false;
         }
       });
     }
 
-    private void told(boolean well) {
-      failed = 0;
-      up = well;
+    private void onResult(boolean healthy) {
+      consecutiveFailures = 0;
+      up = healthy;
     }
   }
 
   private final EventLoop loop;
-  private final List<Place> places = new ArrayList<>();
+  private final List<DoorStatus> statuses = new ArrayList<>();
   private volatile boolean stopped;
 
-  Front(EventLoop loop, List<? extends Door> doors) {
+  DoorHealthChecker(EventLoop loop, List<? extends Door> doors) {
     this.loop = loop;
-    doors.forEach(d -> places.add(new Place(d)));
-    loop.scheduleWithFixedDelay(() -> places.forEach(Place::look), 0, LOOK_MS, TimeUnit.MILLISECONDS);
+    doors.forEach(d -> statuses.add(new DoorStatus(d)));
+    loop.scheduleWithFixedDelay(() -> statuses.forEach(DoorStatus::check), 0, CHECK_INTERVAL_MS,
+        TimeUnit.MILLISECONDS);
   }
 
   void stop() {
@@ -107,17 +108,17 @@
 
   /** How many doors it deals to now. */
   int up() {
-    return (int) places.stream().filter(p -> p.up).count();
+    return (int) statuses.stream().filter(p -> p.up).count();
   }
 
   boolean up(int door) {
-    return places.get(door).up;
+    return statuses.get(door).up;
   }
 
   /** The door of the set at that offset, or the next one that it holds for up, or null. */
   Door choose(int first, int spread, int offset) {
     for (int i = 0; i < spread; i++) {
-      Place p = places.get((first + (offset + i) % spread) % places.size());
+      DoorStatus p = statuses.get((first + (offset + i) % spread) % statuses.size());
       if (p.up) {
         return p.door;
       }
@@ -125,7 +126,7 @@
     return null;
   }
 
-  static String host(InetSocketAddress address) {
+  static String hostAndPort(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ':' + address.getPort();
   }
 }
--- a/testkit/src/main/java/willowdoor/testkit/DoorProcess.java
+++ b/testkit/src/main/java/willowdoor/testkit/DoorProcess.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import willowdoor.testkit.Ledger.Entry;
-import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.EventHistory.Entry;
+import willowdoor.testkit.EventHistory.Kind;
 
 /**
  * A door that is a child process of its own, with signals. Ended and killed with the run: every process that
@@ -31,22 +31,23 @@
 
   private final String name;
   private final InetSocketAddress address;
-  private final Ledger ledger;
+  private final EventHistory ledger;
   private final Supplier<List<String>> command;
   private final Map<String, String> environment;
   private final File log;
   private Process process;
   /** A process that was replaced and has not ended yet. */
-  private Process before;
+  private Process replacedProcess;
   private boolean killed;
   /** The process that a door's own process started in its place; 0 for none. */
-  private long successor;
+  private long successorPid;
 
   /**
    * A door by the command that the supplier gives at each start (it may write a fresh configuration first).
    * What it prints goes to the end of the log.
    */
-  public DoorProcess(String name, InetSocketAddress address, Ledger ledger, Supplier<List<String>> command,
+  public DoorProcess(String name, InetSocketAddress address, EventHistory ledger,
+      Supplier<List<String>> command,
       Map<String, String> environment, File log) {
     this.name = name;
     this.address = address;
@@ -69,26 +70,26 @@
 
   @Override
   public synchronized void start() {
-    if (alive()) {
+    if (isAlive()) {
       return;
     }
-    successor = 0;
+    successorPid = 0;
     process = launch(command.get());
     killed = false;
-    ledger.machine(Kind.STARTED, name, "");
-    watch(process);
+    ledger.addMachineEntry(Kind.STARTED, name, "");
+    recordExit(process);
   }
 
   /** Starts a second process by the command, to take the address over from the one that runs. */
   public synchronized Process replace(List<String> takeOver) {
-    before = process;
+    replacedProcess = process;
     process = launch(takeOver);
     return process;
   }
 
   /** The process that was replaced last, or null. */
-  public synchronized Process before() {
-    return before;
+  public synchronized Process replacedProcess() {
+    return replacedProcess;
   }
 
   /** The process that runs now, or ran last. */
@@ -97,14 +98,14 @@
   }
 
   /** From here on the door is that process too, which its own process has started; 0 for no other. */
-  synchronized void follow(long pid) {
+  synchronized void followSuccessor(long pid) {
     if (process == null || pid != process.pid()) {
-      successor = pid;
+      successorPid = pid;
     }
   }
 
   /** Whether there is such a process, and not only its name. */
-  static boolean lives(long pid) {
+  static boolean isRunning(long pid) {
     try {
       String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
       return stat.charAt(stat.lastIndexOf(')') + 2) != 'Z';
@@ -113,26 +114,26 @@
     }
   }
 
-  private boolean ownLives() {
+  private boolean hasOwnProcess() {
     return process != null && process.isAlive();
   }
 
-  private Process launch(List<String> words) {
+  private Process launch(List<String> commandLine) {
     try {
-      ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true)
+      ProcessBuilder builder = new ProcessBuilder(commandLine).redirectErrorStream(true)
           .redirectOutput(ProcessBuilder.Redirect.appendTo(log));
       builder.environment().putAll(environment);
       return builder.start();
     } catch (IOException e) {
-      throw new UncheckedIOException(name + " could not be started by " + words, e);
+      throw new UncheckedIOException(name + " could not be started by " + commandLine, e);
     }
   }
 
-  private void watch(Process started) {
+  private void recordExit(Process started) {
     started.onExit().thenAccept(p -> {
       synchronized (this) {
         if (!killed || p != process) {
-          ledger.machine(new Entry(ledger.now(), Kind.EXITED, name, "", p.exitValue(), ""));
+          ledger.addMachineEntry(new Entry(ledger.now(), Kind.EXITED, name, "", p.exitValue(), ""));
         }
       }
     });
@@ -140,25 +141,25 @@
 
   @Override
   public synchronized void kill() {
-    if (alive()) {
+    if (isAlive()) {
       killed = true;
-      ledger.machine(Kind.KILLED, name, "");
-      end();
+      ledger.addMachineEntry(Kind.KILLED, name, "");
+      killProcesses();
     }
   }
 
-  private void end() {
+  private void killProcesses() {
     // The older first, so that it can't start another.
-    for (Process p : new Process[] {before, process}) {
+    for (Process p : new Process[] {replacedProcess, process}) {
       if (p != null && p.isAlive()) {
         p.destroyForcibly();
         join(p, 10_000);
       }
     }
-    if (lives(successor)) {
-      ProcessHandle.of(successor).ifPresent(ProcessHandle::destroyForcibly);
+    if (isRunning(successorPid)) {
+      ProcessHandle.of(successorPid).ifPresent(ProcessHandle::destroyForcibly);
       long until = System.nanoTime() + 10_000_000_000L;
-      while (lives(successor) && System.nanoTime() < until) {
+      while (isRunning(successorPid) && System.nanoTime() < until) {
         Thread.onSpinWait();
       }
     }
@@ -166,24 +167,24 @@
 
   @Override
   public synchronized void terminate() {
-    if (alive()) {
-      ledger.machine(Kind.ENDING, name, "");
+    if (isAlive()) {
+      ledger.addMachineEntry(Kind.ENDING, name, "");
       process.destroy();
-      if (lives(successor)) {
-        ProcessHandle.of(successor).ifPresent(ProcessHandle::destroy);
+      if (isRunning(successorPid)) {
+        ProcessHandle.of(successorPid).ifPresent(ProcessHandle::destroy);
       }
     }
   }
 
   /** Stops it (SIGSTOP) or has it go on (SIGCONT). */
-  public synchronized void stopped(boolean on) {
-    if (alive()) {
+  public synchronized void setSuspended(boolean on) {
+    if (isAlive()) {
       if (on) {
-        ledger.machine(Kind.STOPPED, name, "");
+        ledger.addMachineEntry(Kind.STOPPED, name, "");
       }
       signal(on ? "STOP" : "CONT");
       if (!on) {
-        ledger.machine(Kind.CONTINUED, name, "");
+        ledger.addMachineEntry(Kind.CONTINUED, name, "");
       }
     }
   }
@@ -191,8 +192,8 @@
   /** Sends a signal by its name. */
   public void signal(String signal) {
     try {
-      for (long pid : new long[] {process.pid(), successor}) {
-        if (lives(pid)) {
+      for (long pid : new long[] {process.pid(), successorPid}) {
+        if (isRunning(pid)) {
           new ProcessBuilder("kill", "-" + signal, Long.toString(pid)).inheritIO().start().waitFor();
         }
       }
@@ -204,8 +205,8 @@
   }
 
   @Override
-  public synchronized boolean alive() {
-    return ownLives() || lives(successor);
+  public synchronized boolean isAlive() {
+    return hasOwnProcess() || isRunning(successorPid);
   }
 
   /** Waits for the process to end; true when it has. */
@@ -242,7 +243,7 @@
 
   /** Ends every process of it at once, without a word in the ledger: the run is over. */
   public synchronized void close() {
-    end();
+    killProcesses();
     ALL.remove(this);
   }
 }
--- a/testkit/src/main/java/willowdoor/testkit/Ledger.java
+++ b/testkit/src/main/java/willowdoor/testkit/EventHistory.java
@@ -13,13 +13,13 @@
  * and backends. Doors write nothing here, so that nothing rests on what a door says of itself. All times are
  * milliseconds of one monotonic clock that starts with the ledger.
  *
- * <p>Bound: {@value #MOST_ENTRIES} entries. A run that outgrows it is not judged ({@link #overflown()}), as a
+ * <p>Bound: {@value #MAX_ENTRIES} entries. A run that outgrows it is not judged ({@link #overflowed()}), as a
  * verdict on a part of the truth would be none.
  */
-public final class Ledger {
+public final class EventHistory {
 
   /** Entries held at the most, of all requests and machines together. */
-  public static final int MOST_ENTRIES = 6_000_000;
+  public static final int MAX_ENTRIES = 6_000_000;
 
   /** What happened. The first group is of a request, the second of a door or a backend. */
   public enum Kind {
@@ -106,14 +106,14 @@
   }
 
   /** What the client fleet meant to ask; told before the first byte is written. */
-  public record Asked(String id, String firm, String plan, RequestKind kind, String key, int units,
+  public record ClientRequest(String id, String firm, String plan, RequestKind kind, String key, int units,
       double timeoutMs, int tryNumber, double dueMs) { }
 
   private final long startNanos = System.nanoTime();
   private final Map<String, List<Entry>> byRequest = new ConcurrentHashMap<>();
-  private final Map<String, Asked> asked = new ConcurrentHashMap<>();
-  private final List<Entry> machines = Collections.synchronizedList(new ArrayList<>());
-  private final AtomicInteger entries = new AtomicInteger();
+  private final Map<String, ClientRequest> clientRequests = new ConcurrentHashMap<>();
+  private final List<Entry> machineEntries = Collections.synchronizedList(new ArrayList<>());
+  private final AtomicInteger entryCount = new AtomicInteger();
 
   /** Milliseconds since the ledger was opened. */
   public double now() {
@@ -121,30 +121,30 @@
   }
 
   /** Opens a request's history. */
-  public void open(Asked request) {
-    asked.put(request.id(), request);
+  public void registerRequest(ClientRequest request) {
+    clientRequests.put(request.id(), request);
   }
 
   /** Adds to a request's history, at this moment. */
-  public void request(Kind kind, String id, String at, double amount, String note) {
+  public void addRequestEntry(Kind kind, String id, String at, double amount, String note) {
     add(new Entry(now(), kind, id, at, amount, note));
   }
 
   /** Adds to the machines' history, at this moment. */
-  public void machine(Kind kind, String name, String other) {
-    machine(new Entry(now(), kind, name, other, 0, ""));
+  public void addMachineEntry(Kind kind, String name, String other) {
+    addMachineEntry(new Entry(now(), kind, name, other, 0, ""));
   }
 
   /** Adds to the machines' history. */
-  public void machine(Entry entry) {
-    if (entries.incrementAndGet() <= MOST_ENTRIES) {
-      machines.add(entry);
+  public void addMachineEntry(Entry entry) {
+    if (entryCount.incrementAndGet() <= MAX_ENTRIES) {
+      machineEntries.add(entry);
     }
   }
 
   /** Adds an entry to its request's history; a test may plant what never was. */
   public void add(Entry entry) {
-    if (entries.incrementAndGet() <= MOST_ENTRIES) {
+    if (entryCount.incrementAndGet() <= MAX_ENTRIES) {
       List<Entry> history = byRequest.computeIfAbsent(entry.subject(), id -> new ArrayList<>(8));
       synchronized (history) {
         history.add(entry);
@@ -153,17 +153,17 @@
   }
 
   /** True when entries were dropped for want of room. */
-  public boolean overflown() {
-    return entries.get() > MOST_ENTRIES;
+  public boolean overflowed() {
+    return entryCount.get() > MAX_ENTRIES;
   }
 
   /** What was meant with a request, or null for an id that no client sent. */
-  public Asked asked(String id) {
-    return asked.get(id);
+  public ClientRequest clientRequest(String id) {
+    return clientRequests.get(id);
   }
 
   /** A request's history in the order of time. */
-  public List<Entry> history(String id) {
+  public List<Entry> requestHistory(String id) {
     List<Entry> history = byRequest.getOrDefault(id, List.of());
     List<Entry> copy;
     synchronized (history) {
@@ -174,18 +174,18 @@
   }
 
   /** All histories, by request id; taken when the run is over. */
-  public Map<String, List<Entry>> histories() {
+  public Map<String, List<Entry>> requestHistories() {
     Map<String, List<Entry>> all = new LinkedHashMap<>();
     for (String id : byRequest.keySet()) {
-      all.put(id, history(id));
+      all.put(id, requestHistory(id));
     }
     return all;
   }
 
   /** What happened to doors and backends, in the order of time. */
-  public List<Entry> machines() {
-    synchronized (machines) {
-      List<Entry> copy = new ArrayList<>(machines);
+  public List<Entry> machineEntries() {
+    synchronized (machineEntries) {
+      List<Entry> copy = new ArrayList<>(machineEntries);
       copy.sort((a, b) -> Double.compare(a.atMs(), b.atMs()));
       return copy;
     }
--- /dev/null
+++ b/testkit/src/main/java/willowdoor/testkit/FaultInjector.java
@@ -0,0 +1,209 @@
+package willowdoor.testkit;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Random;
+import java.util.concurrent.Executors;
+import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.TimeUnit;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/**
+ * Faults by a schedule that one seed gives: what breaks, when, and for how long. A schedule is a plain list,
+ * so that a test writes its own and a run prints the one it drew.
+ */
+public final class FaultInjector implements AutoCloseable {
+
+  private static final Logger LOG = Logger.getLogger(FaultInjector.class.getName());
+
+  /** What breaks. The target is a door's or a backend's number, and means nothing to the others. */
+  public enum FaultKind {
+    KILL_DOOR, STOP_DOOR, END_DOOR,
+    KILL_BACKEND, DRAIN_BACKEND, REFUSE_BACKEND, ERRORS_BACKEND, RESETS_BACKEND, STALLS_BACKEND,
+        SPOILS_BACKEND,
+    SLOW_BACKEND, LOSE_ZONE_B,
+    SLOW_COUNTER, HANG_COUNTER, LOSE_COUNTER, HANG_DISCOVERY,
+    STALLS_AUTHORISER, DENIES_AUTHORISER, RESETS_AUTHORISER, SPOILS_AUTHORISER, LATE_AUTHORISER,
+    GOES_AWAY_AUTHORISER, KILL_AUTHORISER
+  }
+
+  /** One fault; after it has lasted, what it broke is put right again. */
+  public record Fault(double atMs, FaultKind what, int target, double lastsMs) { }
+
+  private static final double SLOW_COUNTER_MS = 30;
+  private static final long DISCOVERY_DELAY_MS = 1_500;
+  /** Later than any door waits for an authoriser. */
+  private static final long LATE_AUTHORISER_MS = 2_500;
+
+  private final TestEnvironment environment;
+  private final List<? extends Door> doors;
+  private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(4, r -> {
+    Thread t = new Thread(r, "faults");
+    t.setDaemon(true);
+    return t;
+  });
+  private int startedFaults;
+
+  public FaultInjector(TestEnvironment environment, List<? extends Door> doors) {
+    this.environment = environment;
+    this.doors = doors;
+  }
+
+  /** Kills so many different doors within a span, each for as long as the two bounds say. */
+  public static List<Fault> kills(long seed, int doors, int kills, double fromMs, double withinMs,
+      double minDownMs, double maxDownMs) {
+    Random random = new Random(seed);
+    List<Integer> all = new ArrayList<>();
+    for (int i = 0; i < doors; i++) {
+      all.add(i);
+    }
+    java.util.Collections.shuffle(all, random);
+    List<Fault> faults = new ArrayList<>();
+    for (int door : all.subList(0, kills)) {
+      faults.add(new Fault(fromMs + random.nextDouble() * withinMs, FaultKind.KILL_DOOR, door,
+          minDownMs + random.nextDouble() * (maxDownMs - minDownMs)));
+    }
+    faults.sort(Comparator.comparingDouble(Fault::atMs));
+    return faults;
+  }
+
+  /** Draws so many faults of the given kinds. */
+  public static List<Fault> draw(long seed, int faults, List<FaultKind> kinds, int targets, double fromMs,
+      double toMs,
+      double minMs, double maxMs) {
+    Random random = new Random(seed);
+    List<Fault> drawn = new ArrayList<>();
+    for (int i = 0; i < faults; i++) {
+      drawn.add(new Fault(fromMs + random.nextDouble() * (toMs - fromMs),
+          kinds.get(random.nextInt(kinds.size())),
+          random.nextInt(targets), minMs + random.nextDouble() * (maxMs - minMs)));
+    }
+    drawn.sort(Comparator.comparingDouble(Fault::atMs));
+    return drawn;
+  }
+
+  /** Causes them at their times, counted from now. */
+  public void inject(List<Fault> schedule) {
+    for (Fault f : schedule) {
+      timer.schedule(() -> applySafely(f, true), (long) f.atMs(), TimeUnit.MILLISECONDS);
+      timer.schedule(() -> applySafely(f, false), (long) (f.atMs() + f.lastsMs()), TimeUnit.MILLISECONDS);
+    }
+  }
+
+  /** Faults that have begun. */
+  public synchronized int startedFaults() {
+    return startedFaults;
+  }
+
+  private void applySafely(Fault f, boolean on) {
+    try {
+      if (on) {
+        synchronized (this) {
+          startedFaults++;
+        }
+      }
+      apply(f, on);
+    } catch (RuntimeException e) {
+      LOG.log(Level.WARNING, "could not cause or mend " + f, e);
+    }
+  }
+
+  private void apply(Fault f, boolean on) {
+    switch (f.what()) {
+      case KILL_DOOR -> {
+        if (on) {
+          doors.get(f.target()).kill();
+        } else {
+          doors.get(f.target()).start();
+        }
+      }
+      case END_DOOR -> {
+        if (on) {
+          doors.get(f.target()).terminate();
+        } else {
+          doors.get(f.target()).start();
+        }
+      }
+      case STOP_DOOR -> ((DoorProcess) doors.get(f.target())).setSuspended(on);
+      case SLOW_COUNTER -> environment.counter().delay(on ? SLOW_COUNTER_MS : 1);
+      case HANG_COUNTER -> environment.counter().hang(on);
+      case LOSE_COUNTER -> {
+        if (on) {
+          environment.counter().stop();
+        } else {
+          environment.counter().restartEmpty();
+        }
+      }
+      case HANG_DISCOVERY -> environment.discovery().setHanging(on);
+      case LOSE_ZONE_B -> {
+        if (on) {
+          environment.backendPool().killZone("b", DISCOVERY_DELAY_MS);
+        } else {
+          environment.backendPool().restartZone("b", DISCOVERY_DELAY_MS);
+        }
+      }
+      case STALLS_AUTHORISER, DENIES_AUTHORISER, RESETS_AUTHORISER, SPOILS_AUTHORISER, LATE_AUTHORISER,
+          GOES_AWAY_AUTHORISER,
+          KILL_AUTHORISER -> authoriser(f.what(), environment.authorisers().get(f.target()),
+              on);
+      default -> backend(f.what(), environment.backendPool().backend(f.target()), on);
+    }
+  }
+
+  private static void authoriser(FaultKind what, StandInAuthoriser a, boolean on) {
+    if (what == FaultKind.KILL_AUTHORISER) {
+      if (on) {
+        a.kill();
+      } else {
+        a.restart();
+      }
+      return;
+    }
+    a.setDelay(on && what == FaultKind.LATE_AUTHORISER ? LATE_AUTHORISER_MS : 0);
+    a.setBehaviour(!on ? StandInAuthoriser.Behaviour.ALLOWS : switch (what) {
+      case STALLS_AUTHORISER -> StandInAuthoriser.Behaviour.STALLS;
+      case DENIES_AUTHORISER -> StandInAuthoriser.Behaviour.DENIES;
+      case RESETS_AUTHORISER -> StandInAuthoriser.Behaviour.RESETS;
+      case SPOILS_AUTHORISER -> StandInAuthoriser.Behaviour.SPOILS;
+      case GOES_AWAY_AUTHORISER -> StandInAuthoriser.Behaviour.GOES_AWAY;
+      default -> StandInAuthoriser.Behaviour.LATE;
+    });
+  }
+
+  private void backend(FaultKind what, StandInBackend b, boolean on) {
+    switch (what) {
+      case KILL_BACKEND -> {
+        if (on && b.isAlive()) {
+          environment.backendPool().kill(b, DISCOVERY_DELAY_MS);
+        } else if (!on && !b.isAlive()) {
+          environment.backendPool().restart(b, DISCOVERY_DELAY_MS);
+        }
+      }
+      case DRAIN_BACKEND -> {
+        if (on) {
+          environment.backendPool().drain(b);
+        } else {
+          environment.backendPool().undrain(b);
+        }
+      }
+      case REFUSE_BACKEND -> b.refuseConnections(on);
+      case ERRORS_BACKEND ->
+          b.setBehaviour(on ? StandInBackend.Behaviour.ERRORS : StandInBackend.Behaviour.WELL);
+      case RESETS_BACKEND ->
+          b.setBehaviour(on ? StandInBackend.Behaviour.RESETS : StandInBackend.Behaviour.WELL);
+      case STALLS_BACKEND ->
+          b.setBehaviour(on ? StandInBackend.Behaviour.STALLS : StandInBackend.Behaviour.WELL);
+      case SPOILS_BACKEND ->
+          b.setBehaviour(on ? StandInBackend.Behaviour.SPOILS : StandInBackend.Behaviour.WELL);
+      case SLOW_BACKEND -> b.setBehaviour(on ? StandInBackend.Behaviour.SLOW : StandInBackend.Behaviour.WELL);
+      default -> throw new IllegalArgumentException("what: " + what + " (expected: a fault of a backend)");
+    }
+  }
+
+  @Override
+  public void close() {
+    timer.shutdownNow();
+  }
+}
--- a/testkit/src/main/java/willowdoor/testkit/Relay.java
+++ b/testkit/src/main/java/willowdoor/testkit/FaultyLink.java
@@ -24,9 +24,10 @@
  * A link between two processes that breaks when told to: whoever connects here is connected to the target.
  * What is held is not lost, as with TCP over a network that was away: it comes when the link is whole again.
  *
- * <p>Bound: {@value #MOST_HELD} bytes of each direction of a connection; beyond it the sender is not read.
+ * <p>Bound: {@value #MAX_BUFFERED_BYTES} bytes of each direction of a connection; beyond it the sender is not
+ * read.
  */
-public final class Relay implements AutoCloseable {
+public final class FaultyLink implements AutoCloseable {
 
   /** How the link is. */
   public enum Mode {
@@ -46,55 +47,55 @@
     TRICKLE
   }
 
-  private static final int MOST_HELD = 64 << 10;
-  private static final long LOOK_MS = 5;
-  private static final long LEAST_LATE_MS = 100;
-  private static final long MOST_LATE_MS = 1_000;
+  private static final int MAX_BUFFERED_BYTES = 64 << 10;
+  private static final long POLL_INTERVAL_MS = 5;
+  private static final long MIN_DELAY_MS = 100;
+  private static final long MAX_DELAY_MS = 1_000;
 
   private final EventLoop loop;
   private final InetSocketAddress target;
-  private final Channel listening;
-  private final Set<Channel> open = new HashSet<>();
+  private final Channel serverChannel;
+  private final Set<Channel> openChannels = new HashSet<>();
   private final java.util.Random random;
-  private final AtomicLong passed = new AtomicLong();
+  private final AtomicLong bytesForwarded = new AtomicLong();
   private volatile Mode mode = Mode.WHOLE;
 
   /** A whole one. */
-  public Relay(EventLoopGroup group, InetSocketAddress target, long seed) {
+  public FaultyLink(EventLoopGroup group, InetSocketAddress target, long seed) {
     loop = group.next();
     this.target = target;
     random = new java.util.Random(seed);
-    listening = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+    serverChannel = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
         .childOption(ChannelOption.AUTO_READ, false).childOption(ChannelOption.TCP_NODELAY, true)
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel from) {
-            accepted(from);
+            onAccepted(from);
           }
         }).bind(StandIns.anyAddress()).syncUninterruptibly().channel();
   }
 
   /** Where to connect in the target's place. */
   public InetSocketAddress address() {
-    return (InetSocketAddress) listening.localAddress();
+    return (InetSocketAddress) serverChannel.localAddress();
   }
 
   /** Bytes that came through, both ways together. */
-  public long passed() {
-    return passed.get();
+  public long bytesForwarded() {
+    return bytesForwarded.get();
   }
 
   /** Has it be so from here on. */
-  public void set(Mode other) {
-    mode = other;
+  public void setMode(Mode newMode) {
+    mode = newMode;
     loop.execute(() -> {
-      if (other == Mode.CUT) {
-        Set.copyOf(open).forEach(Channel::close);
+      if (newMode == Mode.CUT) {
+        Set.copyOf(openChannels).forEach(Channel::close);
       }
     });
   }
 
-  private void accepted(Channel from) {
+  private void onAccepted(Channel from) {
     if (mode == Mode.CUT) {
       from.close();
       return;
@@ -103,10 +104,10 @@
         .option(ChannelOption.AUTO_READ, false).option(ChannelOption.TCP_NODELAY, true)
         .handler(new ChannelInboundHandlerAdapter()).connect(target);
     Channel to = connected.channel();
-    open.add(from);
-    open.add(to);
-    from.closeFuture().addListener(f -> ended(from, to));
-    to.closeFuture().addListener(f -> ended(to, from));
+    openChannels.add(from);
+    openChannels.add(to);
+    from.closeFuture().addListener(f -> onClosed(from, to));
+    to.closeFuture().addListener(f -> onClosed(to, from));
     connected.addListener((ChannelFuture f) -> {
       if (f.isSuccess()) {
         from.pipeline().addLast(new Pump(to, Mode.DEAF));
@@ -119,85 +120,85 @@
     });
   }
 
-  private void ended(Channel one, Channel other) {
-    open.remove(one);
+  private void onClosed(Channel closed, Channel peer) {
+    openChannels.remove(closed);
     if (mode != Mode.SILENT) {
-      other.close();
+      peer.close();
     }
   }
 
   /** One direction of one connection. */
   private final class Pump extends ChannelInboundHandlerAdapter {
     private final Channel to;
-    private final Mode held;
-    private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
-    private int bytes;
-    private double due;
-    private boolean looking;
+    private final Mode blockingMode;
+    private final ArrayDeque<ByteBuf> buffered = new ArrayDeque<>();
+    private int bufferedBytes;
+    private double dueMs;
+    private boolean polling;
 
-    Pump(Channel to, Mode held) {
+    Pump(Channel to, Mode blockingMode) {
       this.to = to;
-      this.held = held;
+      this.blockingMode = blockingMode;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       ByteBuf piece = (ByteBuf) message;
-      waiting.add(piece);
-      bytes += piece.readableBytes();
-      if (mode == Mode.LATE && waiting.size() == 1) {
-        late();
+      buffered.add(piece);
+      bufferedBytes += piece.readableBytes();
+      if (mode == Mode.LATE && buffered.size() == 1) {
+        drawDelay();
       }
     }
 
-    private void late() {
-      due = System.nanoTime() / 1e6 + LEAST_LATE_MS + random.nextInt((int) (MOST_LATE_MS - LEAST_LATE_MS));
+    private void drawDelay() {
+      dueMs = System.nanoTime() / 1e6 + MIN_DELAY_MS + random.nextInt((int) (MAX_DELAY_MS - MIN_DELAY_MS));
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-      move(ctx);
+      forward(ctx);
     }
 
-    private void move(ChannelHandlerContext ctx) {
-      while (!waiting.isEmpty() && may()) {
-        boolean drop = mode == Mode.TRICKLE;
-        ByteBuf first = waiting.peek();
-        int size = drop ? 1 : first.readableBytes();
+    private void forward(ChannelHandlerContext ctx) {
+      while (!buffered.isEmpty() && canForward()) {
+        boolean singleByte = mode == Mode.TRICKLE;
+        ByteBuf first = buffered.peek();
+        int size = singleByte ? 1 : first.readableBytes();
         to.writeAndFlush(first.readRetainedSlice(size));
-        bytes -= size;
-        passed.addAndGet(size);
+        bufferedBytes -= size;
+        bytesForwarded.addAndGet(size);
         if (!first.isReadable()) {
-          waiting.poll().release();
+          buffered.poll().release();
           if (mode == Mode.LATE) {
-            late();
+            drawDelay();
           }
         }
-        if (drop) {
+        if (singleByte) {
           break;
         }
       }
-      if (!waiting.isEmpty() && !looking && ctx.channel().isActive()) {
-        looking = true;
+      if (!buffered.isEmpty() && !polling && ctx.channel().isActive()) {
+        polling = true;
         loop.schedule(() -> {
-          looking = false;
-          move(ctx);
-        }, LOOK_MS, TimeUnit.MILLISECONDS);
+          polling = false;
+          forward(ctx);
+        }, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
       }
-      if (bytes < MOST_HELD) {
+      if (bufferedBytes < MAX_BUFFERED_BYTES) {
         ctx.read();
       }
     }
 
-    private boolean may() {
-      return to.isActive() && mode != Mode.SILENT && mode != held
-          && !(mode == Mode.LATE && System.nanoTime() / 1e6 < due);
+    private boolean canForward() {
+      return to.isActive() && mode != Mode.SILENT && mode != blockingMode
+          && !(mode == Mode.LATE && System.nanoTime() / 1e6 < dueMs);
     }
 
     @Override
     public void handlerRemoved(ChannelHandlerContext ctx) {
-      waiting.forEach(ByteBuf::release);
-      waiting.clear();
+      buffered.forEach(ByteBuf::release);
+      buffered.clear();
     }
 
     @Override
@@ -208,7 +209,7 @@
 
   @Override
   public void close() {
-    listening.close();
-    loop.execute(() -> Set.copyOf(open).forEach(Channel::close));
+    serverChannel.close();
+    loop.execute(() -> Set.copyOf(openChannels).forEach(Channel::close));
   }
 }
--- a/testkit/src/main/java/willowdoor/testkit/Judge.java
+++ b/testkit/src/main/java/willowdoor/testkit/InvariantChecker.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import willowdoor.testkit.Ledger.Asked;
-import willowdoor.testkit.Ledger.Entry;
-import willowdoor.testkit.Ledger.Kind;
-import willowdoor.testkit.Terms.PlanTerms;
+import willowdoor.testkit.EventHistory.ClientRequest;
+import willowdoor.testkit.EventHistory.Entry;
+import willowdoor.testkit.EventHistory.Kind;
+import willowdoor.testkit.RunSettings.PlanTerms;
 
 /**
  * Reads a ledger when the run is over and holds it to the five rules. It knows what clients, backends and
@@ -21,14 +21,14 @@
  * connection that was cut unanswered, when the client sent it again (a door may end a connection between
  * requests); a request whose client left first.
  */
-public final class Judge {
+public final class InvariantChecker {
 
   /** Later than this after the client's time ran out, or after the grace, is late; for scheduling alone. */
-  public static final double SLACK_MS = 50;
+  public static final double DEADLINE_SLACK_MS = 50;
   /** The ceiling's slack is wider by what its rate gives in this time, as moments of arrival scatter. */
-  private static final double CEILING_SCATTER_MS = 150;
+  private static final double ARRIVAL_JITTER_MS = 150;
   /** A connection's end may be seen so long after what was written later on another one. */
-  private static final double CROSSING_MS = 20;
+  private static final double CLOSE_REORDERING_MS = 20;
   /** Work sent to a cold backend may be over its budget by so many attempts, for chance. */
   private static final double COLD_SPARE_ATTEMPTS = 4;
 
@@ -38,7 +38,7 @@
       TWO_VERSIONS, HALT_KEPT, WAY_BACK_ENDS }
 
   /** One break of a rule: what happened, and the history of the request or machine, in order. */
-  public record Breach(Rule rule, String what, List<Entry> history) {
+  public record Violation(Rule rule, String what, List<Entry> history) {
 
     @Override
     public String toString() {
@@ -49,17 +49,17 @@
   }
 
   /** The verdict, with the figures that stand beside it. */
-  public record Verdict(List<Breach> breaches, int requests, int served, int refused, int failed,
+  public record Verdict(List<Violation> violations, int requests, int served, int refused, int failed,
       int excused) {
 
     /** True when no rule was broken. */
-    public boolean kept() {
-      return breaches.isEmpty();
+    public boolean passed() {
+      return violations.isEmpty();
     }
 
     /** How many breaks of one rule there are. */
     public long count(Rule rule) {
-      return breaches.stream().filter(b -> b.rule() == rule).count();
+      return violations.stream().filter(b -> b.rule() == rule).count();
     }
 
     @Override
@@ -67,172 +67,176 @@
       StringBuilder text = new StringBuilder(String.format(
           "requests %d: served %d, refused %d, failed %d, excused (their door was killed or stopped, or none "
           + "took them, or the client left) %d; rules broken %d%n", requests, served, refused, failed,
-              excused, breaches.size()));
-      breaches.stream().limit(20).forEach(text::append);
+              excused, violations.size()));
+      violations.stream().limit(20).forEach(text::append);
       return text.toString();
     }
   }
 
-  private final Ledger ledger;
-  private final Terms terms;
-  private final BackendShape shape;
+  private final EventHistory ledger;
+  private final RunSettings terms;
+  private final BackendCapacity capacity;
   private final Authorisation authorisation;
   private Budgets budgets;
-  private final List<Breach> breaches = new ArrayList<>();
-  private final Map<String, List<double[]>> away = new HashMap<>();
+  private final List<Violation> violations = new ArrayList<>();
+  private final Map<String, List<double[]>> doorDowntimes = new HashMap<>();
   private int served;
   private int refused;
   private int failed;
   private int excused;
 
   /** How large a backend is: what the rule on cold ones goes by. */
-  public record BackendShape(int cores, double workMs) { }
+  public record BackendCapacity(int cores, double workMs) { }
 
   /**
    * Which requests need an authoriser's allow.
    *
-   * @param needed of those that are not, nothing is asked and nothing held
+   * @param required of those that are not, nothing is asked and nothing held
    * @param idempotent checks may be repeated
    */
-  public record Authorisation(Predicate<Asked> needed, boolean idempotent) { }
+  public record Authorisation(Predicate<ClientRequest> required, boolean idempotent) { }
 
   /**
    * How many may be out at once.
    *
    * @param isDoor tells names of doors from those of backends
-   * @param lapseMs a door that was killed so long ago counts as out, until it is started again
+   * @param countedOutAfterMs a door that was killed so long ago counts as out, until it is started again
    */
-  public record Budgets(int doors, int backends, Predicate<String> isDoor, double lapseMs) { }
+  public record Budgets(int doors, int backends, Predicate<String> isDoor, double countedOutAfterMs) { }
 
   /** Holds operators' words to these too; null for none. */
-  public Judge budgets(Budgets kept) {
-    budgets = kept;
+  public InvariantChecker withBudgets(Budgets limits) {
+    budgets = limits;
     return this;
   }
 
-  public Judge(Ledger ledger, Terms terms, BackendShape shape) {
+  public InvariantChecker(EventHistory ledger, RunSettings terms, BackendCapacity shape) {
     this(ledger, terms, shape, null);
   }
 
   /** With authorisation null, as without any. */
-  public Judge(Ledger ledger, Terms terms, BackendShape shape, Authorisation authorisation) {
+  public InvariantChecker(EventHistory ledger, RunSettings terms, BackendCapacity shape,
+      Authorisation authorisation) {
     this.authorisation = authorisation;
     this.ledger = ledger;
     this.terms = terms;
-    this.shape = shape;
+    this.capacity = shape;
   }
 
   /** Holds the whole ledger to all rules. */
   public Verdict verdict() {
-    if (ledger.overflown()) {
-      throw new IllegalStateException("the ledger is over its " + Ledger.MOST_ENTRIES
+    if (ledger.overflowed()) {
+      throw new IllegalStateException("the ledger is over its " + EventHistory.MAX_ENTRIES
           + " entries: no verdict");
     }
-    doorsAway();
-    Map<String, List<Entry>> histories = ledger.histories();
+    collectDoorDowntimes();
+    Map<String, List<Entry>> histories = ledger.requestHistories();
     histories.forEach((id, history) -> {
-      Asked asked = ledger.asked(id);
+      ClientRequest asked = ledger.clientRequest(id);
       if (asked == null) {
-        breach(Rule.ANSWERED_ONCE, "no client sent a request " + id, history);
+        addViolation(Rule.ANSWERED_ONCE, "no client sent a request " + id, history);
       } else {
-        answers(asked, history);
-        effects(asked, history);
-        oneOut(id, history);
+        checkAnswers(asked, history);
+        checkEffects(asked, history);
+        checkSingleAttempt(id, history);
         if (authorisation != null) {
-          checks(asked, history);
+          checkAuthorisation(asked, history);
         }
       }
     });
-    drains(histories);
-    colds(histories);
-    ceilings(histories);
+    checkDrains(histories);
+    checkColdStarts(histories);
+    checkCeilings(histories);
     if (budgets != null) {
-      permits();
-      sentToNoneOut(histories);
-      releases();
+      checkPermits();
+      checkBackendsOut(histories);
+      checkReleases();
     }
-    return new Verdict(List.copyOf(breaches), histories.size(), served, refused, failed, excused);
+    return new Verdict(List.copyOf(violations), histories.size(), served, refused, failed, excused);
   }
 
-  private void breach(Rule rule, String what, List<Entry> history) {
-    breaches.add(new Breach(rule, what, history));
+  private void addViolation(Rule rule, String what, List<Entry> history) {
+    violations.add(new Violation(rule, what, history));
   }
 
   /** The spans in which each door was no live door: from a kill to its start, from a stop to its going on. */
-  private void doorsAway() {
+  private void collectDoorDowntimes() {
     Map<String, Double> since = new HashMap<>();
-    for (Entry e : ledger.machines()) {
+    for (Entry e : ledger.machineEntries()) {
       switch (e.kind()) {
         case KILLED, STOPPED -> since.putIfAbsent(e.subject(), e.atMs());
         case STARTED, CONTINUED -> {
           Double from = since.remove(e.subject());
           if (from != null) {
-            away.computeIfAbsent(e.subject(), d -> new ArrayList<>()).add(new double[] {from, e.atMs()});
+            doorDowntimes.computeIfAbsent(e.subject(), d -> new ArrayList<>())
+                .add(new double[] {from, e.atMs()});
           }
         }
         default -> { }
       }
     }
-    since.forEach((door, from) -> away.computeIfAbsent(door, d -> new ArrayList<>())
+    since.forEach((door, from) -> doorDowntimes.computeIfAbsent(door, d -> new ArrayList<>())
         .add(new double[] {from, Double.POSITIVE_INFINITY}));
   }
 
-  private boolean wasAway(String door, double from, double to) {
-    return away.getOrDefault(door, List.of()).stream().anyMatch(s -> s[0] <= to && s[1] >= from);
+  private boolean wasDown(String door, double from, double to) {
+    return doorDowntimes.getOrDefault(door, List.of()).stream().anyMatch(s -> s[0] <= to && s[1] >= from);
   }
 
   /** Rule 1: a request taken by a live door has exactly one final answer, in time. */
-  private void answers(Asked asked, List<Entry> history) {
-    Entry taken = null;
+  private void checkAnswers(ClientRequest asked, List<Entry> history) {
+    Entry lastSend = null;
     int answers = 0;
-    int takings = 0;
-    int cutsOnKept = 0;
-    boolean left = false;
-    boolean sentOn = false;
+    int sends = 0;
+    int cutsOnReusedConnections = 0;
+    boolean clientLeft = false;
+    boolean forwarded = false;
     for (Entry e : history) {
       switch (e.kind()) {
         case ASKED -> {
-          takings++;
-          taken = e;
+          sends++;
+          lastSend = e;
         }
         case ANSWERED -> {
           answers++;
-          count(e.amount());
-          if (e.atMs() - asked.dueMs() > asked.timeoutMs() + SLACK_MS && !wasAway(e.other(), asked.dueMs(),
+          countOutcome(e.amount());
+          if (e.atMs() - asked.dueMs() > asked.timeoutMs() + DEADLINE_SLACK_MS
+              && !wasDown(e.other(), asked.dueMs(),
               e.atMs())) {
-            breach(Rule.ANSWERED_ONCE, String.format(
+            addViolation(Rule.ANSWERED_ONCE, String.format(
                 "answered %.0f ms after it was sent, with %.0f ms to wait",
                 e.atMs() - asked.dueMs(), asked.timeoutMs()), history);
           }
         }
-        case FIRST_BYTE -> sentOn = true;
+        case FIRST_BYTE -> forwarded = true;
         case CUT -> {
-          cutsOnKept += e.note().equals("kept") ? 1 : 0;
-          if (sentOn && !wasAway(e.other(), asked.dueMs(), e.atMs() + SLACK_MS)) {
-            breach(Rule.ANSWERED_ONCE, "its connection was cut after it was sent on", history);
+          cutsOnReusedConnections += e.note().equals("kept") ? 1 : 0;
+          if (forwarded && !wasDown(e.other(), asked.dueMs(), e.atMs() + DEADLINE_SLACK_MS)) {
+            addViolation(Rule.ANSWERED_ONCE, "its connection was cut after it was sent on", history);
             return;
           }
         }
-        case LEFT -> left = true;
-        case FORGED -> breach(Rule.ANSWERED_ONCE, "served with what no backend made for it", history);
+        case LEFT -> clientLeft = true;
+        case FORGED -> addViolation(Rule.ANSWERED_ONCE, "served with what no backend made for it", history);
         default -> { }
       }
     }
     if (answers > 1) {
-      breach(Rule.ANSWERED_ONCE, answers + " final answers", history);
-    } else if (answers == 0 && taken != null) {
+      addViolation(Rule.ANSWERED_ONCE, answers + " final answers", history);
+    } else if (answers == 0 && lastSend != null) {
       double until = asked.dueMs() + asked.timeoutMs();
-      if (left || wasAway(taken.other(), taken.atMs(), until) || takings == cutsOnKept) {
+      if (clientLeft || wasDown(lastSend.other(), lastSend.atMs(), until)
+          || sends == cutsOnReusedConnections) {
         excused++;
       } else {
-        breach(Rule.ANSWERED_ONCE, "never answered", history);
+        addViolation(Rule.ANSWERED_ONCE, "never answered", history);
       }
     } else if (answers == 0) {
       excused++;
     }
   }
 
-  private void count(double status) {
+  private void countOutcome(double status) {
     if (status == 200) {
       served++;
     } else if (status == 429 || status == 503) {
@@ -245,33 +249,33 @@
   /**
    * Rule 2: no effect runs twice, and what was refused to the client has not run where it can't be undone.
    */
-  private void effects(Asked asked, List<Entry> history) {
-    List<Entry> ran = history.stream().filter(e -> e.kind() == Kind.EFFECT).toList();
-    if (asked.kind().once() && ran.size() > 1) {
-      breach(Rule.EFFECT_ONCE, "its effect ran " + ran.size() + " times", history);
+  private void checkEffects(ClientRequest asked, List<Entry> history) {
+    List<Entry> effects = history.stream().filter(e -> e.kind() == Kind.EFFECT).toList();
+    if (asked.kind().runsOnce() && effects.size() > 1) {
+      addViolation(Rule.EFFECT_ONCE, "its effect ran " + effects.size() + " times", history);
     }
-    boolean refusedIt = history.stream().anyMatch(
+    boolean wasRefused = history.stream().anyMatch(
         e -> e.kind() == Kind.ANSWERED && (e.amount() == 429 || e.amount() == 503));
     // Where all backends drop repeats, a client that was refused may ask again whatever ran.
-    if (!asked.kind().repeatsDropped() && refusedIt && !ran.isEmpty()) {
-      breach(Rule.REFUSED_HARMLESS, "refused, though its effect ran", history);
+    if (!asked.kind().isSafeToRepeat() && wasRefused && !effects.isEmpty()) {
+      addViolation(Rule.REFUSED_HARMLESS, "refused, though its effect ran", history);
     }
   }
 
   /** Asked about once unless that may be repeated, and nothing sent on before an allow or after a denial. */
-  private void checks(Asked asked, List<Entry> history) {
+  private void checkAuthorisation(ClientRequest asked, List<Entry> history) {
     List<Entry> checks = history.stream().filter(e -> e.kind() == Kind.CHECKED).toList();
-    boolean needed = authorisation.needed().test(asked);
-    if (checks.size() > (!needed ? 0 : authorisation.idempotent() ? Integer.MAX_VALUE : 1)) {
-      breach(Rule.CHECKED_ONCE, checks.size() + " checks of it", history);
+    boolean required = authorisation.required().test(asked);
+    if (checks.size() > (!required ? 0 : authorisation.idempotent() ? Integer.MAX_VALUE : 1)) {
+      addViolation(Rule.CHECKED_ONCE, checks.size() + " checks of it", history);
     }
     boolean allowed = false;
     boolean denied = false;
     for (Entry e : history) {
       allowed |= e.kind() == Kind.ALLOWED;
       denied |= e.kind() == Kind.DENIED;
-      if (needed && e.kind() == Kind.FIRST_BYTE && (!allowed || denied)) {
-        breach(Rule.ALLOWED_FIRST, denied ? "sent on though it was denied" : "sent on without an allow",
+      if (required && e.kind() == Kind.FIRST_BYTE && (!allowed || denied)) {
+        addViolation(Rule.ALLOWED_FIRST, denied ? "sent on though it was denied" : "sent on without an allow",
             history);
         return;
       }
@@ -279,7 +283,7 @@
   }
 
   /** Never two attempts out: the second's last byte may not come while the first has not ended. */
-  private void oneOut(String id, List<Entry> history) {
+  private void checkSingleAttempt(String id, List<Entry> history) {
     Map<String, Entry> out = new HashMap<>();
     double overlap = Double.NaN;
     for (Entry e : history) {
@@ -290,7 +294,7 @@
         }
         case REPLIED, TURNED_AWAY, ATTEMPT_ENDED -> {
           out.remove(e.note());
-          if (e.atMs() - overlap <= CROSSING_MS && out.size() <= 1) {
+          if (e.atMs() - overlap <= CLOSE_REORDERING_MS && out.size() <= 1) {
             overlap = Double.NaN;
           }
         }
@@ -298,16 +302,16 @@
       }
     }
     if (!Double.isNaN(overlap)) {
-      breach(Rule.ONE_ATTEMPT_OUT, "two attempts of " + id + " out at once", history);
+      addViolation(Rule.ONE_ATTEMPT_OUT, "two attempts of " + id + " out at once", history);
     }
   }
 
   /** Rule 3: nothing new to a backend later than the grace after the door was told that it drains. */
-  private void drains(Map<String, List<Entry>> histories) {
-    Map<String, TreeMap<Double, Boolean>> told = new HashMap<>();
-    for (Entry e : ledger.machines()) {
+  private void checkDrains(Map<String, List<Entry>> histories) {
+    Map<String, TreeMap<Double, Boolean>> drainStates = new HashMap<>();
+    for (Entry e : ledger.machineEntries()) {
       if (e.kind() == Kind.TOLD_DRAIN || e.kind() == Kind.TOLD_SERVING) {
-        told.computeIfAbsent(e.subject() + '>' + e.other(), k -> new TreeMap<>())
+        drainStates.computeIfAbsent(e.subject() + '>' + e.other(), k -> new TreeMap<>())
             .put(e.atMs(), e.kind() == Kind.TOLD_DRAIN);
       }
     }
@@ -316,11 +320,12 @@
       for (Entry e : history) {
         if (e.kind() == Kind.ASKED) {
           door = e.other();
-        } else if (e.kind() == Kind.FIRST_BYTE && told.containsKey(door + '>' + e.other())) {
-          var last = told.get(door + '>' + e.other()).floorEntry(e.atMs());
-          if (last != null && last.getValue() && e.atMs() - last.getKey() > terms.drainGraceMs() + SLACK_MS) {
-            breach(Rule.DRAIN_KEPT, String.format("sent to %s %.0f ms after %s was told that it drains",
-                e.other(), e.atMs() - last.getKey(), door), history);
+        } else if (e.kind() == Kind.FIRST_BYTE && drainStates.containsKey(door + '>' + e.other())) {
+          var lastNotice = drainStates.get(door + '>' + e.other()).floorEntry(e.atMs());
+          if (lastNotice != null && lastNotice.getValue() && e.atMs()
+              - lastNotice.getKey() > terms.drainGraceMs() + DEADLINE_SLACK_MS) {
+            addViolation(Rule.DRAIN_KEPT, String.format("sent to %s %.0f ms after %s was told that it drains",
+                e.other(), e.atMs() - lastNotice.getKey(), door), history);
           }
         }
       }
@@ -332,31 +337,35 @@
    * a thing. From the word to an operator until the return is asked for is less than it is out, so nothing is
    * found that was not so.
    */
-  private void permits() {
+  private void checkPermits() {
     Map<String, Entry> out = new HashMap<>();
     Map<String, String> holders = new HashMap<>();
-    Map<String, Double> dead = new HashMap<>();
-    for (Entry e : ledger.machines()) {
+    Map<String, Double> killedAtMs = new HashMap<>();
+    for (Entry e : ledger.machineEntries()) {
       switch (e.kind()) {
-        case KILLED -> dead.put(e.subject(), e.atMs());
-        case STARTED -> dead.remove(e.subject());
+        case KILLED -> killedAtMs.put(e.subject(), e.atMs());
+        case STARTED -> killedAtMs.remove(e.subject());
         case GIVEN_BACK -> out.remove(e.subject());
         case PERMITTED -> {
           String holder = holders.putIfAbsent(e.other(), e.subject());
-          Entry before = out.put(e.subject(), e);
+          Entry previous = out.put(e.subject(), e);
           if (holder != null && !holder.equals(e.subject())
-              || before != null && !before.other().equals(e.other())) {
-            breach(Rule.PERMIT_ONE_HOLDER, "permit " + e.other() + " of " + e.subject() + " beside that of "
-                + (holder == null ? before.other() : holder), List.of(e));
+              || previous != null && !previous.other().equals(e.other())) {
+            addViolation(Rule.PERMIT_ONE_HOLDER,
+                "permit " + e.other() + " of " + e.subject() + " beside that of "
+                + (holder == null ? previous.other() : holder), List.of(e));
           }
           boolean door = budgets.isDoor().test(e.subject());
-          List<Entry> all = out.values().stream()
+          List<Entry> sameKind = out.values().stream()
               .filter(x -> budgets.isDoor().test(x.subject()) == door).toList();
-          long gone = !door ? 0 : dead.entrySet().stream().filter(x -> budgets.isDoor().test(x.getKey())
-              && !out.containsKey(x.getKey()) && x.getValue() < e.atMs() - budgets.lapseMs()).count();
-          if (before == null && all.size() + gone > (door ? budgets.doors() : budgets.backends())) {
-            breach(Rule.BUDGET_KEPT, all.size() + " " + (door ? "doors" : "backends")
-                + " are out on purpose and " + gone + " were killed", all);
+          long longKilledDoors = !door ? 0
+              : killedAtMs.entrySet().stream().filter(x -> budgets.isDoor().test(x.getKey())
+              && !out.containsKey(x.getKey()) && x.getValue() < e.atMs() - budgets.countedOutAfterMs())
+              .count();
+          if (previous == null
+              && sameKind.size() + longKilledDoors > (door ? budgets.doors() : budgets.backends())) {
+            addViolation(Rule.BUDGET_KEPT, sameKind.size() + " " + (door ? "doors" : "backends")
+                + " are out on purpose and " + longKilledDoors + " were killed", sameKind);
           }
         }
         default -> { }
@@ -369,68 +378,70 @@
    * and the wish to go on; and who asked for a version, back or forth, was told in the end that all doors
    * have it, or that it is halted, and it was so when told.
    */
-  private void releases() {
-    Map<Double, Entry> live = new HashMap<>();
+  private void checkReleases() {
+    Map<Double, Entry> processes = new HashMap<>();
     Entry halted = null;
-    Entry asked = null;
-    for (Entry e : ledger.machines()) {
+    Entry pendingRequest = null;
+    for (Entry e : ledger.machineEntries()) {
       switch (e.kind()) {
         case RUNS -> {
-          live.put(e.amount(), e);
-          if (live.values().stream().map(Entry::other).distinct().count() > 2) {
-            breach(Rule.TWO_VERSIONS, "more than two versions live", List.copyOf(live.values()));
+          processes.put(e.amount(), e);
+          if (processes.values().stream().map(Entry::other).distinct().count() > 2) {
+            addViolation(Rule.TWO_VERSIONS, "more than two versions live", List.copyOf(processes.values()));
           }
           if (halted != null && halted.other().equals(e.other())) {
-            breach(Rule.HALT_KEPT,
+            addViolation(Rule.HALT_KEPT,
                 String.format("%s begins %s %.0f ms after an operator was told that nothing"
                 + " is under way any more", e.subject(), e.other(), e.atMs() - halted.atMs()),
                     List.of(halted, e));
           }
         }
-        case RAN -> live.remove(e.amount());
+        case RAN -> processes.remove(e.amount());
         case HALTED -> {
           halted = e;
-          asked = null;
+          pendingRequest = null;
         }
         case LET_ON -> {
           halted = null;
-          asked = e;
+          pendingRequest = e;
         }
         case RELEASED -> {
-          asked = null;
-          List<Entry> others = live.values().stream().filter(x -> !x.other().equals(e.other())
-              && live.values().stream().noneMatch(y -> y.subject().equals(x.subject())
+          pendingRequest = null;
+          List<Entry> outdated = processes.values().stream().filter(x -> !x.other().equals(e.other())
+              && processes.values().stream().noneMatch(y -> y.subject().equals(x.subject())
                   && y.other().equals(e.other()))).toList();
-          if (!others.isEmpty()) {
-            breach(Rule.WAY_BACK_ENDS, "told that every door has " + e.other() + ", and " + others.size()
-                + " have not", others);
+          if (!outdated.isEmpty()) {
+            addViolation(Rule.WAY_BACK_ENDS,
+                "told that every door has " + e.other() + ", and " + outdated.size()
+                + " have not", outdated);
           }
         }
         default -> { }
       }
     }
-    if (asked != null) {
-      breach(Rule.WAY_BACK_ENDS, "asked to have all doors with " + asked.other()
+    if (pendingRequest != null) {
+      addViolation(Rule.WAY_BACK_ENDS, "asked to have all doors with " + pendingRequest.other()
           + ", and never told that they"
-          + " have it, or why not", List.of(asked));
+          + " have it, or why not", List.of(pendingRequest));
     }
   }
 
   /** Nothing comes to a backend between the word that it is out and the wish to have it back. */
-  private void sentToNoneOut(Map<String, List<Entry>> histories) {
-    Map<String, TreeMap<Double, Boolean>> told = new HashMap<>();
-    for (Entry e : ledger.machines()) {
+  private void checkBackendsOut(Map<String, List<Entry>> histories) {
+    Map<String, TreeMap<Double, Boolean>> outStates = new HashMap<>();
+    for (Entry e : ledger.machineEntries()) {
       if (e.kind() == Kind.OUT || e.kind() == Kind.GIVEN_BACK) {
-        told.computeIfAbsent(e.subject(), k -> new TreeMap<>()).put(e.atMs(), e.kind() == Kind.OUT);
+        outStates.computeIfAbsent(e.subject(), k -> new TreeMap<>()).put(e.atMs(), e.kind() == Kind.OUT);
       }
     }
     histories.forEach((id, history) -> {
       for (Entry e : history) {
-        var last = e.kind() == Kind.FIRST_BYTE && told.containsKey(e.other())
-            ? told.get(e.other()).floorEntry(e.atMs()) : null;
-        if (last != null && last.getValue()) {
-          breach(Rule.SENT_TO_NONE_OUT, String.format("sent to %s %.0f ms after an operator was told that "
-              + "nothing is sent there", e.other(), e.atMs() - last.getKey()), history);
+        var lastNotice = e.kind() == Kind.FIRST_BYTE && outStates.containsKey(e.other())
+            ? outStates.get(e.other()).floorEntry(e.atMs()) : null;
+        if (lastNotice != null && lastNotice.getValue()) {
+          addViolation(Rule.SENT_TO_NONE_OUT,
+              String.format("sent to %s %.0f ms after an operator was told that "
+              + "nothing is sent there", e.other(), e.atMs() - lastNotice.getKey()), history);
           return;
         }
       }
@@ -438,9 +449,9 @@
   }
 
   /** Rule 4: within any window, a cold backend gets no more work than the multiple of what it can do. */
-  private void colds(Map<String, List<Entry>> histories) {
+  private void checkColdStarts(Map<String, List<Entry>> histories) {
     Map<String, List<Double>> starts = new HashMap<>();
-    for (Entry e : ledger.machines()) {
+    for (Entry e : ledger.machineEntries()) {
       if (e.kind() == Kind.STARTED && e.note().equals("cold")) {
         starts.computeIfAbsent(e.subject(), k -> new ArrayList<>()).add(e.atMs());
       }
@@ -452,19 +463,19 @@
     histories.values().forEach(h -> h.stream().filter(e -> e.kind() == Kind.LAST_BYTE)
         .forEach(e -> sent.computeIfAbsent(e.other(), k -> new ArrayList<>()).add(e)));
     starts.forEach((backend, times) -> times.forEach(start -> {
-      List<Entry> came = sent.getOrDefault(backend, List.of()).stream()
+      List<Entry> attempts = sent.getOrDefault(backend, List.of()).stream()
           .filter(e -> e.atMs() >= start && e.atMs() < start + terms.coldMs())
           .sorted(Comparator.comparingDouble(Entry::atMs)).toList();
       ArrayDeque<Entry> window = new ArrayDeque<>();
-      for (Entry e : came) {
+      for (Entry e : attempts) {
         window.add(e);
         while (window.peekFirst().atMs() <= e.atMs() - terms.tipAfterMs()) {
           window.pollFirst();
         }
-        double can = capacity(start, e.atMs()) * terms.tipAfterMs();
-        double spare = COLD_SPARE_ATTEMPTS * shape.workMs();
-        if (window.size() * shape.workMs() > terms.tipMultiple() * can + spare) {
-          breach(Rule.COLD_SPARED, String.format(
+        double capacityMs = capacity(start, e.atMs()) * terms.tipAfterMs();
+        double allowanceMs = COLD_SPARE_ATTEMPTS * capacity.workMs();
+        if (window.size() * capacity.workMs() > terms.tipMultiple() * capacityMs + allowanceMs) {
+          addViolation(Rule.COLD_SPARED, String.format(
               "%s, %.0f ms after its start, was sent %d attempts in %.0f ms",
               backend, e.atMs() - start, window.size(), terms.tipAfterMs()), List.copyOf(window));
           return;
@@ -476,15 +487,15 @@
   /** Milliseconds of work that a backend does in a millisecond, so long after a cold start. */
   private double capacity(double start, double at) {
     double share = terms.coldFrom() + (1 - terms.coldFrom()) * Math.min(1, (at - start) / terms.coldMs());
-    return shape.cores() * share;
+    return capacity.cores() * share;
   }
 
   /** Rule 5: first attempts of a firm, over all doors, take no more than the plan's ceiling and its slack. */
-  private void ceilings(Map<String, List<Entry>> histories) {
+  private void checkCeilings(Map<String, List<Entry>> histories) {
     Map<String, List<Entry>> byFirm = new HashMap<>();
     Map<String, PlanTerms> plans = new HashMap<>();
     histories.forEach((id, history) -> {
-      Asked asked = ledger.asked(id);
+      ClientRequest asked = ledger.clientRequest(id);
       if (asked != null && terms.plan(asked.plan()).ceilingRate() > 0) {
         history.stream().filter(e -> e.kind() == Kind.LAST_BYTE).findFirst().ifPresent(e -> {
           plans.put(asked.firm(), terms.plan(asked.plan()));
@@ -494,17 +505,18 @@
     });
     byFirm.forEach((firm, sends) -> {
       PlanTerms plan = plans.get(firm);
-      double slack = plan.ceilingSlack() + plan.ceilingRate() * CEILING_SCATTER_MS / 1000;
-      double store = plan.ceilingBurst();
-      double at = 0;
+      double slack = plan.ceilingSlack() + plan.ceilingRate() * ARRIVAL_JITTER_MS / 1000;
+      double level = plan.ceilingBurst();
+      double lastMs = 0;
       sends.sort(Comparator.comparingDouble(Entry::atMs));
       for (Entry e : sends) {
-        store = Math.min(plan.ceilingBurst(), store + (e.atMs() - at) * plan.ceilingRate() / 1000);
-        at = e.atMs();
-        store -= e.amount();
-        if (store < -slack) {
-          breach(Rule.CEILING_KEPT, String.format("firm %s of %s: %.1f units over its ceiling (slack %.1f)",
-              firm, plan.name(), -store, slack), ledger.history(e.subject()));
+        level = Math.min(plan.ceilingBurst(), level + (e.atMs() - lastMs) * plan.ceilingRate() / 1000);
+        lastMs = e.atMs();
+        level -= e.amount();
+        if (level < -slack) {
+          addViolation(Rule.CEILING_KEPT,
+              String.format("firm %s of %s: %.1f units over its ceiling (slack %.1f)",
+              firm, plan.name(), -level, slack), ledger.requestHistory(e.subject()));
           return;
         }
       }
--- a/testkit/src/main/java/willowdoor/testkit/Launches.java
+++ b/testkit/src/main/java/willowdoor/testkit/LaunchRecorder.java
@@ -7,8 +7,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import willowdoor.testkit.Ledger.Entry;
-import willowdoor.testkit.Ledger.Kind;
+import willowdoor.testkit.EventHistory.Entry;
+import willowdoor.testkit.EventHistory.Kind;
 
 /**
  * Doors' processes that others than the rig start: each goes through a script that writes down which door it
@@ -16,9 +16,9 @@
  * the time of writing, and the rig's handle of the door follows it. Ends with the rig: no process that a door
  * started outlives {@link #close}.
  */
-public final class Launches implements AutoCloseable {
+public final class LaunchRecorder implements AutoCloseable {
 
-  private static final long LOOK_MS = 20;
+  private static final long POLL_INTERVAL_MS = 20;
   private static final String SCRIPT = """
       #!/bin/sh
       # FOLDER DOOR VERSION COMMAND...
@@ -32,19 +32,19 @@
       exec "$@"
       """;
 
-  private final Ledger ledger;
+  private final EventHistory ledger;
   private final Path folder;
   private final Path script;
   private final Path log;
   private final Map<String, DoorProcess> doors = new HashMap<>();
-  private final Map<Long, Entry> live = new HashMap<>();
+  private final Map<Long, Entry> running = new HashMap<>();
   private final long offsetNanos;
   private final Thread thread = new Thread(this::watch, "launches");
-  private int read;
+  private int linesRead;
   private volatile boolean closed;
 
   /** In a folder that is there. */
-  public Launches(Ledger ledger, Path folder) {
+  public LaunchRecorder(EventHistory ledger, Path folder) {
     this.ledger = ledger;
     this.folder = folder;
     script = folder.resolve("launch.sh");
@@ -62,7 +62,7 @@
   }
 
   /** The words that go before a door's command; a version of {version} is put in by who runs it. */
-  public List<String> words(String door, String version) {
+  public List<String> launchCommand(String door, String version) {
     return List.of("sh", script.toString(), folder.toString(), door, version);
   }
 
@@ -72,55 +72,56 @@
   }
 
   /** The version that a door's last process has that lives; null where none does. */
-  public synchronized String version(String door) {
-    look();
-    return live.values().stream().filter(x -> x.subject().equals(door))
+  public synchronized String runningVersion(String door) {
+    poll();
+    return running.values().stream().filter(x -> x.subject().equals(door))
         .max(java.util.Comparator.comparingDouble(Entry::atMs)).map(Entry::other).orElse(null);
   }
 
   /** How many doors ever began that version. */
-  public synchronized long began(String version) {
-    look();
-    return ledger.machines().stream().filter(x -> x.kind() == Kind.RUNS && x.other().equals(version))
+  public synchronized long doorsStarted(String version) {
+    poll();
+    return ledger.machineEntries().stream().filter(x -> x.kind() == Kind.RUNS && x.other().equals(version))
         .map(Entry::subject).distinct().count();
   }
 
   private void watch() {
     try {
       while (!closed) {
-        look();
-        Thread.sleep(LOOK_MS);
+        poll();
+        Thread.sleep(POLL_INTERVAL_MS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private synchronized void look() {
+  private synchronized void poll() {
     try {
       List<String> lines = Files.readAllLines(log);
-      for (; read < lines.size(); read++) {
-        String[] words = lines.get(read).split(" ");
-        long pid = Long.parseLong(words[3]);
-        Entry entry = new Entry((Long.parseLong(words[0]) - offsetNanos) / 1e6, Kind.RUNS, words[1], words[2],
+      for (; linesRead < lines.size(); linesRead++) {
+        String[] fields = lines.get(linesRead).split(" ");
+        long pid = Long.parseLong(fields[3]);
+        Entry entry =
+            new Entry((Long.parseLong(fields[0]) - offsetNanos) / 1e6, Kind.RUNS, fields[1], fields[2],
             pid, "");
-        ledger.machine(entry);
-        live.put(pid, entry);
-        if (doors.containsKey(words[1])) {
-          doors.get(words[1]).follow(pid);
+        ledger.addMachineEntry(entry);
+        running.put(pid, entry);
+        if (doors.containsKey(fields[1])) {
+          doors.get(fields[1]).followSuccessor(pid);
         }
       }
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    live.entrySet().removeIf(e -> {
-      boolean gone = !DoorProcess.lives(e.getKey());
+    running.entrySet().removeIf(e -> {
+      boolean gone = !DoorProcess.isRunning(e.getKey());
       if (gone) {
         Entry x = e.getValue();
-        ledger.machine(new Entry(ledger.now(), Kind.RAN, x.subject(), x.other(), x.amount(), ""));
-        if (x.other().endsWith("-faint") && live.values().stream().noneMatch(y -> y != x
+        ledger.addMachineEntry(new Entry(ledger.now(), Kind.RAN, x.subject(), x.other(), x.amount(), ""));
+        if (x.other().endsWith("-faint") && running.values().stream().noneMatch(y -> y != x
             && y.subject().equals(x.subject()))) {
-          ledger.machine(Kind.KILLED, x.subject(), "");
+          ledger.addMachineEntry(Kind.KILLED, x.subject(), "");
         }
       }
       return gone;
@@ -129,9 +130,9 @@
 
   @Override
   public synchronized void close() {
-    look();
+    poll();
     closed = true;
     thread.interrupt();
-    live.keySet().forEach(pid -> ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly));
+    running.keySet().forEach(pid -> ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly));
   }
 }
--- a/testkit/src/main/java/willowdoor/testkit/Tally.java
+++ b/testkit/src/main/java/willowdoor/testkit/LoadStatistics.java
@@ -10,31 +10,31 @@
  * second of its first try, by how its last try ended. The times of answers are those of
  * first tries and retries alike, from when a try was due to its last byte, in microseconds, to 60 s at most.
  */
-public final class Tally {
+public final class LoadStatistics {
 
-  private static final long MOST_US = 60_000_000;
+  private static final long MAX_LATENCY_US = 60_000_000;
 
   /** How a try ended for its client. */
-  public enum End { SERVED, REFUSED, FAILED, UNANSWERED, NOT_TAKEN, NO_DOOR }
+  public enum TryOutcome { SERVED, REFUSED, FAILED, UNANSWERED, NOT_TAKEN, NO_DOOR }
 
   /** One second of asking. */
   private static final class Second {
     private int tries;
-    private final int[] ends = new int[End.values().length];
-    private final Histogram served = new Histogram(MOST_US, 2);
+    private final int[] ends = new int[TryOutcome.values().length];
+    private final Histogram served = new Histogram(MAX_LATENCY_US, 2);
   }
 
   /** One firm's use. */
-  public static final class Firm {
+  public static final class FirmUsage {
     private final String plan;
     private long offeredUnits;
     private long servedUnits;
     private int served;
     private int refused;
-    private int returned;
-    private int honoured;
+    private int promptedRetries;
+    private int acceptedRetries;
 
-    Firm(String plan) {
+    FirmUsage(String plan) {
       this.plan = plan;
     }
 
@@ -59,18 +59,19 @@
     }
 
     /** Tries of clients that came back when they were told to. */
-    public int returned() {
-      return returned;
+    public int promptedRetries() {
+      return promptedRetries;
     }
 
     /** Those of them that were not refused. */
-    public int honoured() {
-      return honoured;
+    public int acceptedRetries() {
+      return acceptedRetries;
     }
   }
 
   /** Figures of a stretch of the run. */
-  public record Stretch(int tries, int offered, int served, int refused, int failed, int unanswered,
+  public record IntervalStatistics(int tries, int offered, int served, int refused, int failed,
+      int unanswered,
       int notTaken,
       double p50Ms, double p99Ms) {
 
@@ -81,10 +82,10 @@
   }
 
   private final TreeMap<Integer, Second> seconds = new TreeMap<>();
-  private final Map<String, Firm> firms = new ConcurrentHashMap<>();
+  private final Map<String, FirmUsage> firms = new ConcurrentHashMap<>();
 
   /** A request's last try ended so; its first try was due at that moment. */
-  synchronized void request(double firstDueMs, End end, String firm, String plan, int units) {
+  synchronized void recordRequest(double firstDueMs, TryOutcome end, String firm, String plan, int units) {
     second(firstDueMs).ends[end.ordinal()]++;
     firm(firm, plan).offeredUnits += units;
   }
@@ -93,38 +94,39 @@
     return seconds.computeIfAbsent((int) (dueMs / 1000), k -> new Second());
   }
 
-  private Firm firm(String firm, String plan) {
-    return firms.computeIfAbsent(firm, k -> new Firm(plan));
+  private FirmUsage firm(String firm, String plan) {
+    return firms.computeIfAbsent(firm, k -> new FirmUsage(plan));
   }
 
   /** A try ended so. */
-  synchronized void tried(double dueMs, End end, double tookMs, String firm, String plan, int units) {
+  synchronized void recordTry(double dueMs, TryOutcome end, double tookMs, String firm, String plan,
+      int units) {
     Second s = second(dueMs);
     s.tries++;
-    Firm f = firm(firm, plan);
-    if (end == End.SERVED) {
-      s.served.recordValue(Math.min(MOST_US, Math.max(0, (long) (tookMs * 1000))));
+    FirmUsage f = firm(firm, plan);
+    if (end == TryOutcome.SERVED) {
+      s.served.recordValue(Math.min(MAX_LATENCY_US, Math.max(0, (long) (tookMs * 1000))));
       f.servedUnits += units;
       f.served++;
-    } else if (end == End.REFUSED) {
+    } else if (end == TryOutcome.REFUSED) {
       f.refused++;
     }
   }
 
   /** A try that came when its client was told to ended so. */
-  synchronized void returned(String firm, String plan, End end) {
-    Firm f = firm(firm, plan);
-    f.returned++;
-    f.honoured += end == End.REFUSED ? 0 : 1;
+  synchronized void recordPromptedRetry(String firm, String plan, TryOutcome end) {
+    FirmUsage f = firm(firm, plan);
+    f.promptedRetries++;
+    f.acceptedRetries += end == TryOutcome.REFUSED ? 0 : 1;
   }
 
   /**
    * Figures of the requests that were first due between two moments of the ledger's clock, in whole seconds.
    */
-  public synchronized Stretch stretch(double fromMs, double toMs) {
-    int[] ends = new int[End.values().length];
+  public synchronized IntervalStatistics interval(double fromMs, double toMs) {
+    int[] ends = new int[TryOutcome.values().length];
     int tries = 0;
-    Histogram served = new Histogram(MOST_US, 2);
+    Histogram served = new Histogram(MAX_LATENCY_US, 2);
     for (Second s : seconds.subMap((int) (fromMs / 1000), (int) Math.ceil(toMs / 1000)).values()) {
       for (int i = 0; i < ends.length; i++) {
         ends[i] += s.ends[i];
@@ -136,15 +138,16 @@
     for (int n : ends) {
       offered += n;
     }
-    return new Stretch(tries, offered, ends[End.SERVED.ordinal()], ends[End.REFUSED.ordinal()],
-        ends[End.FAILED.ordinal()], ends[End.UNANSWERED.ordinal()],
-        ends[End.NOT_TAKEN.ordinal()] + ends[End.NO_DOOR.ordinal()],
+    return new IntervalStatistics(tries, offered, ends[TryOutcome.SERVED.ordinal()],
+        ends[TryOutcome.REFUSED.ordinal()],
+        ends[TryOutcome.FAILED.ordinal()], ends[TryOutcome.UNANSWERED.ordinal()],
+        ends[TryOutcome.NOT_TAKEN.ordinal()] + ends[TryOutcome.NO_DOOR.ordinal()],
         served.getTotalCount() == 0 ? 0 : served.getValueAtPercentile(50) / 1e3,
         served.getTotalCount() == 0 ? 0 : served.getValueAtPercentile(99) / 1e3);
   }
 
   /** Use by firm. */
-  public Map<String, Firm> firms() {
+  public Map<String, FirmUsage> firms() {
     return new TreeMap<>(firms);
   }
 }
--- a/testkit/src/main/java/willowdoor/testkit/Quotas.java
+++ b/testkit/src/main/java/willowdoor/testkit/QuotaAudit.java
@@ -7,30 +7,30 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import willowdoor.testkit.Ledger.Asked;
-import willowdoor.testkit.Ledger.Entry;
-import willowdoor.testkit.Ledger.Kind;
-import willowdoor.testkit.Terms.PlanTerms;
+import willowdoor.testkit.EventHistory.ClientRequest;
+import willowdoor.testkit.EventHistory.Entry;
+import willowdoor.testkit.EventHistory.Kind;
+import willowdoor.testkit.RunSettings.PlanTerms;
 
 /**
  * Holds what doors sent on, and what they refused, to an ideal token bucket of each firm: as if one door that
  * knows all had decided. Goes by what requests name, so for runs whose requests cost that.
  */
-public final class Quotas {
+public final class QuotaAudit {
 
   /**
    * One firm's use of a run.
    *
-   * @param worstOver units beyond the bucket at the worst moment; 0 when it was never passed
-   * @param worstCeiling the same for the ceiling's store; 0 where there is none
+   * @param maxOverQuota units beyond the bucket at the worst moment; 0 when it was never passed
+   * @param maxOverCeiling the same for the ceiling's store; 0 where there is none
    * @param asked units asked for with first tries and retries
    * @param sent units sent on with first attempts
    */
-  public record Use(String firm, PlanTerms plan, double worstOver, double worstCeiling, double asked,
+  public record FirmUse(String firm, PlanTerms plan, double maxOverQuota, double maxOverCeiling, double asked,
       double sent) { }
 
   /** Tries with half of the burst unused and room for them, and how many of these were refused. */
-  public record Half(int asked, int refused) {
+  public record HalfBurstTries(int asked, int refused) {
 
     /** Refused as a share of asked. */
     public double share() {
@@ -38,30 +38,30 @@
     }
   }
 
-  private record Moment(double atMs, Asked asked, double units, boolean send) { }
+  private record Moment(double atMs, ClientRequest asked, double units, boolean isAttempt) { }
 
-  private final Ledger ledger;
-  private final Terms terms;
+  private final EventHistory ledger;
+  private final RunSettings terms;
   private final Map<String, List<Moment>> moments = new TreeMap<>();
   private final Map<String, Boolean> refused = new HashMap<>();
   private final Map<String, String> doors = new HashMap<>();
 
   /** Reads the ledger, when the run is over. */
-  public Quotas(Ledger ledger, Terms terms) {
+  public QuotaAudit(EventHistory ledger, RunSettings terms) {
     this.ledger = ledger;
     this.terms = terms;
-    ledger.histories().forEach((id, history) -> {
-      Asked asked = ledger.asked(id);
-      boolean sent = false;
-      boolean told = false;
+    ledger.requestHistories().forEach((id, history) -> {
+      ClientRequest asked = ledger.clientRequest(id);
+      boolean firstAttemptRecorded = false;
+      boolean firstTryRecorded = false;
       for (Entry e : asked == null ? List.<Entry>of() : history) {
-        if (e.kind() == Kind.ASKED && !told) {
-          told = true;
+        if (e.kind() == Kind.ASKED && !firstTryRecorded) {
+          firstTryRecorded = true;
           doors.put(id, e.other());
-          of(asked).add(new Moment(e.atMs(), asked, asked.units(), false));
-        } else if (e.kind() == Kind.LAST_BYTE && !sent) {
-          sent = true;
-          of(asked).add(new Moment(e.atMs(), asked, e.amount(), true));
+          momentsOf(asked).add(new Moment(e.atMs(), asked, asked.units(), false));
+        } else if (e.kind() == Kind.LAST_BYTE && !firstAttemptRecorded) {
+          firstAttemptRecorded = true;
+          momentsOf(asked).add(new Moment(e.atMs(), asked, e.amount(), true));
         } else if (e.kind() == Kind.ANSWERED) {
           refused.put(id, e.amount() == 429 || e.amount() == 503);
         }
@@ -70,13 +70,13 @@
     moments.values().forEach(m -> m.sort(Comparator.comparingDouble(Moment::atMs)));
   }
 
-  private List<Moment> of(Asked asked) {
+  private List<Moment> momentsOf(ClientRequest asked) {
     return moments.computeIfAbsent(asked.firm(), f -> new ArrayList<>());
   }
 
   /** The use of every firm. */
-  public List<Use> uses() {
-    List<Use> uses = new ArrayList<>();
+  public List<FirmUse> uses() {
+    List<FirmUse> uses = new ArrayList<>();
     moments.forEach((firm, all) -> {
       PlanTerms plan = terms.plan(all.get(0).asked().plan());
       Bucket quota = new Bucket(plan.rate(), plan.burst());
@@ -84,14 +84,15 @@
       double asked = 0;
       double sent = 0;
       for (Moment m : all) {
-        asked += m.send() ? 0 : m.units();
-        if (m.send()) {
+        asked += m.isAttempt() ? 0 : m.units();
+        if (m.isAttempt()) {
           sent += m.units();
           quota.take(m.atMs(), m.units());
           ceiling.take(m.atMs(), m.units());
         }
       }
-      uses.add(new Use(firm, plan, quota.worst, plan.ceilingRate() > 0 ? ceiling.worst : 0, asked, sent));
+      uses.add(new FirmUse(firm, plan, quota.maxOverdraft, plan.ceilingRate() > 0 ? ceiling.maxOverdraft : 0,
+          asked, sent));
     });
     return uses;
   }
@@ -100,7 +101,8 @@
    * What became of the tries of some firms, asked between two moments through some doors, that found half of
    * their firm's burst unused.
    */
-  public Half half(double fromMs, double toMs, Predicate<String> ofFirms, Predicate<String> throughDoors) {
+  public HalfBurstTries triesWithHalfBurst(double fromMs, double toMs, Predicate<String> ofFirms,
+      Predicate<String> throughDoors) {
     int asked = 0;
     int denied = 0;
     for (Map.Entry<String, List<Moment>> e : moments.entrySet()) {
@@ -110,16 +112,16 @@
       PlanTerms plan = terms.plan(e.getValue().get(0).asked().plan());
       Bucket quota = new Bucket(plan.rate(), plan.burst());
       for (Moment m : e.getValue()) {
-        if (m.send()) {
+        if (m.isAttempt()) {
           quota.take(m.atMs(), m.units());
         } else if (m.atMs() >= fromMs && m.atMs() < toMs && throughDoors.test(doors.get(m.asked().id()))
-            && quota.at(m.atMs()) >= Math.max(m.units(), plan.burst() / 2)) {
+            && quota.levelAt(m.atMs()) >= Math.max(m.units(), plan.burst() / 2)) {
           asked++;
           denied += refused.getOrDefault(m.asked().id(), false) ? 1 : 0;
         }
       }
     }
-    return new Half(asked, denied);
+    return new HalfBurstTries(asked, denied);
   }
 
   /** A bucket that starts full, may be overdrawn, and remembers by how much it was. */
@@ -128,7 +130,7 @@
     private final double burst;
     private double level;
     private double atMs;
-    private double worst;
+    private double maxOverdraft;
 
     Bucket(double rate, double burst) {
       this.rate = rate;
@@ -136,15 +138,15 @@
       level = burst;
     }
 
-    double at(double now) {
+    double levelAt(double now) {
       level = Math.min(burst, level + rate * (now - atMs) / 1000);
       atMs = now;
       return level;
     }
 
     void take(double now, double units) {
-      level = at(now) - units;
-      worst = Math.max(worst, -level);
+      level = levelAt(now) - units;
+      maxOverdraft = Math.max(maxOverdraft, -level);
     }
   }
 }
