--- a/daemon/src/main/java/willowdoor/daemon/fleet/AgreedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AgreedCommand.java
@@ -38,13 +38,13 @@
 
   enum Run { schedules, leader, cost, record }
 
-  private static final double WITHIN_MS = 5_000;
-  private static final long TIDY_LIMIT_MS = 30_000;
+  private static final double FAULTS_WITHIN_MS = 5_000;
+  private static final long CLEANUP_LIMIT_MS = 30_000;
   private static final int BUDGET = 2;
-  private static final long COST_WARM_MS = 15_000;
+  private static final long COST_WARM_UP_MS = 15_000;
   private static final long COST_MS = 30_000;
   /** Longer than any lease lasts through the elections of one schedule, and any answer is late. */
-  private static final double LAPSE_MS = 15_000;
+  private static final double LAPSE_LIMIT_MS = 15_000;
 
   @Parameters(paramLabel = "RUN", description = "${COMPLETION-CANDIDATES}")
   private Run what;
@@ -82,37 +82,37 @@
     }
     try (FleetRun run =
         new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(8, 4, 32, 5, 10), doors, seed);
-        Stewards keepers = new Stewards(run, stewards, "lease_ms = 1500\ndoors_out = " + BUDGET
+        Stewards stewardProcesses = new Stewards(run, stewards, "lease_ms = 1500\ndoors_out = " + BUDGET
             + "\nbackends_out = " + BUDGET + "\n")) {
-      run.rig().budgets(new InvariantChecker.Budgets(BUDGET, BUDGET, x -> x.startsWith("d"), LAPSE_MS));
-      keepers.start();
+      run.rig().budgets(new InvariantChecker.Budgets(BUDGET, BUDGET, x -> x.startsWith("d"), LAPSE_LIMIT_MS));
+      stewardProcesses.start();
       run.start(new ClientFleet.Load(rate, 40, 0.1, 5, 1));
       run.clients().start();
-      return what == Run.schedules ? schedules(run, keepers) : leader(keepers);
+      return what == Run.schedules ? schedules(run, stewardProcesses) : leader(stewardProcesses);
     }
   }
 
   private void cost(boolean on) throws IOException, InterruptedException {
     try (FleetRun run =
         new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(8, 4, 32, 5, 10), doors, seed);
-        Stewards keepers = on ? new Stewards(run, stewards, "") : null) {
+        Stewards stewardProcesses = on ? new Stewards(run, stewards, "") : null) {
       if (on) {
-        keepers.start();
+        stewardProcesses.start();
       }
       run.start(new ClientFleet.Load(rate, 40, 0.1, 5, 1));
       run.clients().start();
-      Thread.sleep(COST_WARM_MS);
-      double from = run.rig().ledger().now();
+      Thread.sleep(COST_WARM_UP_MS);
+      double from = run.rig().eventHistory().now();
       double doorCpu = cpu(run.doors());
-      double keeperCpu = on ? cpu(keepers.processes()) : 0;
-      long[] passed = on ? keepers.passed() : new long[2];
-      long index = on ? keepers.awaitLook().index() : 0;
+      double stewardCpu = on ? cpu(stewardProcesses.processes()) : 0;
+      long[] passed = on ? stewardProcesses.relayedBytes() : new long[2];
+      long index = on ? stewardProcesses.awaitStatus().index() : 0;
       Thread.sleep(COST_MS);
-      double seconds = (run.rig().ledger().now() - from) / 1_000;
+      double seconds = (run.rig().eventHistory().now() - from) / 1_000;
       doorCpu = cpu(run.doors()) - doorCpu;
       Histogram took = new Histogram(3);
       double begun = from;
-      run.rig().ledger().requestHistories().forEach((id, history) -> {
+      run.rig().eventHistory().requestHistories().forEach((id, history) -> {
         double asked = history.get(0).atMs();
         history.stream()
             .filter(e -> e.kind() == EventHistory.Kind.ANSWERED && e.amount() == 200 && asked > begun)
@@ -123,12 +123,13 @@
           took.getValueAtPercentile(50) / 1e3, took.getValueAtPercentile(99) / 1e3,
           doorCpu * 1_000 / took.getTotalCount(), doorCpu / seconds / doors * 100);
       if (on) {
-        long[] after = keepers.passed();
+        long[] after = stewardProcesses.relayedBytes();
         out.printf(Locale.ROOT, "  stewards: %.1f%% of a core together, %.0f commands/s; %.0f bytes/s a door,"
             + " %.0f between stewards; %d KiB on the first one's disk%n",
-            (cpu(keepers.processes()) - keeperCpu) / seconds * 100,
-            (keepers.awaitLook().index() - index) / seconds, (after[0] - passed[0]) / seconds / doors,
-            (after[1] - passed[1]) / seconds, keepers.stored(0) / 1_024);
+            (cpu(stewardProcesses.processes()) - stewardCpu) / seconds * 100,
+            (stewardProcesses.awaitStatus().index() - index) / seconds,
+            (after[0] - passed[0]) / seconds / doors,
+            (after[1] - passed[1]) / seconds, stewardProcesses.storedBytes(0) / 1_024);
       }
       out.flush();
     }
@@ -146,65 +147,72 @@
     return all;
   }
 
-  private int schedules(FleetRun run, Stewards keepers) throws InterruptedException, IOException {
+  private int schedules(FleetRun run, Stewards stewardProcesses) throws InterruptedException, IOException {
     Map<Subject, String> subjects = subjects();
     AgreedOperator.Counts counts = new AgreedOperator.Counts();
-    int untidy = 0;
-    AgreedOperator.tidy(keepers, run.rig().ledger(), subjects, TIDY_LIMIT_MS);
+    int unreturnedCount = 0;
+    AgreedOperator.returnAllPermits(stewardProcesses, run.rig().eventHistory(), subjects, CLEANUP_LIMIT_MS);
     for (int i = 0; i < count; i++) {
-      AgreedSchedule schedule = AgreedSchedule.drawn(seed + i, stewards, doors, WITHIN_MS);
-      out.printf("schedule %d at %.0f ms: %s%n", schedule.seed(), run.rig().ledger().now(),
+      AgreedSchedule schedule = AgreedSchedule.draw(seed + i, stewards, doors, FAULTS_WITHIN_MS);
+      out.printf("schedule %d at %.0f ms: %s%n", schedule.seed(), run.rig().eventHistory().now(),
           schedule.faults());
       out.flush();
-      AtomicBoolean going = new AtomicBoolean(true);
+      AtomicBoolean running = new AtomicBoolean(true);
       List<Thread> operators = new ArrayList<>();
       for (String name : List.of("ana", "rui")) {
-        operators.add(new Thread(new AgreedOperator(keepers, run.rig().ledger(), name + "-" + schedule.seed(),
-            subjects, schedule.seed() * 31 + name.hashCode(), going, counts), name));
+        operators.add(
+            new Thread(
+            new AgreedOperator(stewardProcesses, run.rig().eventHistory(), name + "-" + schedule.seed(),
+            subjects, schedule.seed() * 31 + name.hashCode(), running, counts), name));
       }
       operators.forEach(Thread::start);
-      schedule.cause(run, keepers);
-      going.set(false);
+      schedule.cause(run, stewardProcesses);
+      running.set(false);
       for (Thread operator : operators) {
         operator.join();
       }
-      if (!AgreedOperator.tidy(keepers, run.rig().ledger(), subjects, TIDY_LIMIT_MS)) {
-        untidy++;
-        out.println("BREACH: not all is back " + TIDY_LIMIT_MS + " ms after all is whole: " + keepers.look());
+      if (!AgreedOperator
+          .returnAllPermits(stewardProcesses, run.rig().eventHistory(), subjects, CLEANUP_LIMIT_MS)) {
+        unreturnedCount++;
+        out.println("BREACH: not all is back " + CLEANUP_LIMIT_MS + " ms after all is whole: "
+            + stewardProcesses.status());
         for (int k = 0; k < stewards; k++) {
-          out.printf("steward %d %s, and printed last:%n", k, keepers.processes().get(k).isAlive() ? "lives"
+          out.printf("steward %d %s, and printed last:%n", k,
+              stewardProcesses.processes().get(k).isAlive() ? "lives"
               : "is dead");
-          keepers.log(k).lines().skip(Math.max(0, keepers.log(k).lines().count() - 12)).forEach(out::println);
+          stewardProcesses.log(k).lines().skip(Math.max(0, stewardProcesses.log(k).lines().count() - 12))
+              .forEach(out::println);
         }
         out.flush();
       }
     }
     Verdict verdict = run.finish();
     out.printf("granted %d, given up while waiting %d, backends told out %d, calls unanswered %d, commands"
-        + " that died %d%n", counts.granted().get(), counts.waited().get(), counts.out().get(),
-        counts.unanswered().get(), counts.died().get());
+        + " that died %d%n", counts.granted().get(), counts.gaveUpWaiting().get(), counts.backendsOut().get(),
+        counts.unanswered().get(), counts.abandoned().get());
     out.print(verdict);
-    int breaches = verdict.violations().size() + untidy;
+    int breaches = verdict.violations().size() + unreturnedCount;
     out.println("breaches " + breaches);
     out.flush();
     return breaches == 0 ? 0 : 1;
   }
 
-  private int leader(Stewards keepers) throws InterruptedException {
-    Histogram without = new Histogram(3);
+  private int leader(Stewards stewardProcesses) throws InterruptedException {
+    Histogram leaderlessMs = new Histogram(3);
     for (int i = 0; i < count; i++) {
-      int leads = Integer.parseInt(keepers.awaitLook().leader().substring(1));
-      keepers.processes().get(leads).kill();
+      int leads = Integer.parseInt(stewardProcesses.awaitStatus().leader().substring(1));
+      stewardProcesses.processes().get(leads).kill();
       long from = System.nanoTime();
-      while (keepers.look() == null) {
+      while (stewardProcesses.status() == null) {
         Thread.onSpinWait();
       }
-      without.recordValue((System.nanoTime() - from) / 1_000_000);
-      keepers.processes().get(leads).start();
+      leaderlessMs.recordValue((System.nanoTime() - from) / 1_000_000);
+      stewardProcesses.processes().get(leads).start();
       Thread.sleep(3_000);
     }
     out.printf("no word for p50 %d ms, p99 %d ms, most %d ms after %d kills of the leader%n",
-        without.getValueAtPercentile(50), without.getValueAtPercentile(99), without.getMaxValue(), count);
+        leaderlessMs.getValueAtPercentile(50), leaderlessMs.getValueAtPercentile(99),
+        leaderlessMs.getMaxValue(), count);
     out.flush();
     return 0;
   }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/AgreedOperator.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AgreedOperator.java
@@ -27,8 +27,9 @@
 final class AgreedOperator implements Runnable {
 
   /** What all operators of a run came to. */
-  record Counts(AtomicInteger granted, AtomicInteger waited, AtomicInteger out, AtomicInteger unanswered,
-      AtomicInteger died) {
+  record Counts(AtomicInteger granted, AtomicInteger gaveUpWaiting, AtomicInteger backendsOut,
+      AtomicInteger unanswered,
+      AtomicInteger abandoned) {
 
     Counts() {
       this(new AtomicInteger(), new AtomicInteger(), new AtomicInteger(), new AtomicInteger(),
@@ -36,29 +37,29 @@
     }
   }
 
-  private static final long PATIENCE_MS = 2_500;
-  private static final long CALL_MS = 1_500;
-  private static final double DIES = 0.1;
+  private static final long WAIT_LIMIT_MS = 2_500;
+  private static final long CALL_TIMEOUT_MS = 1_500;
+  private static final double ABANDON_PROBABILITY = 0.1;
 
   private final Stewards stewards;
   private final EventHistory ledger;
   private final String name;
   private final Map<Subject, String> subjects;
   private final Random random;
-  private final AtomicBoolean going;
+  private final AtomicBoolean running;
   private final Counts counts;
   private int requests;
 
   /** One of that name, who takes out any of these, by the name that the ledger has for it. */
   AgreedOperator(Stewards stewards, EventHistory ledger, String name, Map<Subject, String> subjects,
       long seed,
-      AtomicBoolean going, Counts counts) {
+      AtomicBoolean running, Counts counts) {
     this.stewards = stewards;
     this.ledger = ledger;
     this.name = name;
     this.subjects = subjects;
     this.random = new Random(seed);
-    this.going = going;
+    this.running = running;
     this.counts = counts;
   }
 
@@ -66,7 +67,7 @@
   public void run() {
     List<Subject> all = List.copyOf(subjects.keySet());
     try (OperatorClient operator = stewards.operator(name)) {
-      while (going.get()) {
+      while (running.get()) {
         takeOut(operator, all.get(random.nextInt(all.size())));
         Thread.sleep(random.nextInt(200));
       }
@@ -77,11 +78,12 @@
 
   private void takeOut(OperatorClient operator, Subject subject) throws InterruptedException {
     String request = name + "-" + ++requests;
-    long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+    long until = System.nanoTime() + WAIT_LIMIT_MS * 1_000_000;
     long permit = -1;
     boolean granted = false;
     do {
-      Answer answer = operator.put(new RequestPermit(0, request, subject, name, "test", false), CALL_MS);
+      Answer answer = operator
+          .put(new RequestPermit(0, request, subject, name, "test", false), CALL_TIMEOUT_MS);
       Outcome outcome = answer instanceof Answer.Came came ? came.outcome() : null;
       if (outcome instanceof Granted e) {
         permit = e.permit();
@@ -96,9 +98,9 @@
       } else {
         counts.unanswered.incrementAndGet();
       }
-    } while (!granted && System.nanoTime() < until && going.get());
-    if (random.nextDouble() < DIES) {
-      counts.died.incrementAndGet();
+    } while (!granted && System.nanoTime() < until && running.get());
+    if (random.nextDouble() < ABANDON_PROBABILITY) {
+      counts.abandoned.incrementAndGet();
       return;
     }
     if (granted && subject.kind() == Kind.BACKEND) {
@@ -107,38 +109,40 @@
     if (granted) {
       Thread.sleep(300 + random.nextInt(700));
     } else {
-      counts.waited.incrementAndGet();
+      counts.gaveUpWaiting.incrementAndGet();
     }
     if (permit >= 0) {
-      giveBack(operator, subject, permit);
+      returnPermit(operator, subject, permit);
     }
   }
 
   private void awaitOut(Subject subject, long permit) throws InterruptedException {
-    long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+    long until = System.nanoTime() + WAIT_LIMIT_MS * 1_000_000;
     while (System.nanoTime() < until) {
-      FleetStatus s = stewards.look();
+      FleetStatus s = stewards.status();
       if (s != null && s.permits().stream().anyMatch(x -> x.id() == permit && x.stage() == Stage.OUT)) {
         ledger.addMachineEntry(EventHistory.Kind.OUT, subjects.get(subject), Long.toString(permit));
-        counts.out.incrementAndGet();
+        counts.backendsOut.incrementAndGet();
         return;
       }
       Thread.sleep(50);
     }
   }
 
-  private void giveBack(OperatorClient operator, Subject subject, long permit) throws InterruptedException {
+  private void returnPermit(OperatorClient operator, Subject subject,
+      long permit) throws InterruptedException {
     ledger.addMachineEntry(EventHistory.Kind.GIVEN_BACK, subjects.get(subject), Long.toString(permit));
-    operator.put(new ReturnPermit(0, subject, permit, name), CALL_MS);
+    operator.put(new ReturnPermit(0, subject, permit, name), CALL_TIMEOUT_MS);
   }
 
   /** Has everything come back that anybody left; true once nothing is out any more. */
-  static boolean tidy(Stewards stewards, EventHistory ledger, Map<Subject, String> subjects, long limitMs)
+  static boolean returnAllPermits(Stewards stewards, EventHistory ledger, Map<Subject, String> subjects,
+      long limitMs)
       throws InterruptedException {
     long until = System.nanoTime() + limitMs * 1_000_000;
     try (OperatorClient operator = stewards.operator("tidy")) {
       while (System.nanoTime() < until) {
-        FleetStatus s = stewards.look();
+        FleetStatus s = stewards.status();
         if (s != null && s.permits().isEmpty() && s.doorsOut() == 0 && s.backendsOut() == 0) {
           return true;
         }
@@ -146,7 +150,7 @@
           if (x.stage() != Stage.RETURNING) {
             ledger.addMachineEntry(EventHistory.Kind.GIVEN_BACK, subjects.get(x.subject()),
                 Long.toString(x.id()));
-            operator.put(new ReturnPermit(0, x.subject(), x.id(), "tidy"), CALL_MS);
+            operator.put(new ReturnPermit(0, x.subject(), x.id(), "tidy"), CALL_TIMEOUT_MS);
           }
         }
         Thread.sleep(100);
--- a/daemon/src/main/java/willowdoor/daemon/fleet/AgreedSchedule.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AgreedSchedule.java
@@ -15,33 +15,36 @@
 record AgreedSchedule(long seed, List<AgreedSchedule.Fault> faults) {
 
   /** What breaks; a leader is whoever leads at that moment. */
-  enum What { KILL_STEWARD, KILL_LEADER, STOP_STEWARD, STOP_LEADER, LINKS_OF_STEWARD, LINKS_OF_LEADER,
+  enum FaultKind { KILL_STEWARD, KILL_LEADER, STOP_STEWARD, STOP_LEADER, LINKS_OF_STEWARD, LINKS_OF_LEADER,
     ONE_WAY, LINKS_OF_DOOR, KILL_DOOR, STOP_DOOR, ALL_STEWARDS }
 
   /** One fault; afterwards what it broke is whole again. */
-  record Fault(double atMs, What what, int target, int other, Mode mode, double lastsMs) {
+  record Fault(double atMs, FaultKind kind, int target, int other, Mode mode, double durationMs) {
 
     @Override
     public String toString() {
-      return String.format(Locale.ROOT, "%5.0f ms %s %d%s for %.0f ms", atMs, what, target,
-          what == What.ONE_WAY ? " to " + other + " " + mode
-              : what.name().startsWith("LINKS") ? " " + mode : "", lastsMs);
+      return String.format(Locale.ROOT, "%5.0f ms %s %d%s for %.0f ms", atMs, kind, target,
+          kind == FaultKind.ONE_WAY ? " to " + other + " " + mode
+              : kind.name().startsWith("LINKS") ? " " + mode : "", durationMs);
     }
   }
 
-  private static final Mode[] LINKS = {Mode.CUT, Mode.SILENT, Mode.DEAF, Mode.MUTE, Mode.LATE, Mode.TRICKLE};
+  private static final Mode[] LINK_MODES =
+      {Mode.CUT, Mode.SILENT, Mode.DEAF, Mode.MUTE, Mode.LATE, Mode.TRICKLE};
 
   /** Two to five faults within so long. */
-  static AgreedSchedule drawn(long seed, int stewards, int doors, double withinMs) {
+  static AgreedSchedule draw(long seed, int stewards, int doors, double withinMs) {
     Random random = new Random(seed);
     List<Fault> all = new ArrayList<>();
     int n = 2 + random.nextInt(4);
     for (int i = 0; i < n; i++) {
-      What what = What.values()[random.nextInt(What.values().length)];
-      boolean door = what == What.LINKS_OF_DOOR || what == What.KILL_DOOR || what == What.STOP_DOOR;
+      FaultKind what = FaultKind.values()[random.nextInt(FaultKind.values().length)];
+      boolean door = what == FaultKind.LINKS_OF_DOOR || what == FaultKind.KILL_DOOR
+          || what == FaultKind.STOP_DOOR;
       int target = random.nextInt(door ? doors : stewards);
       all.add(new Fault(random.nextDouble() * withinMs, what, target,
-          (target + 1 + random.nextInt(stewards - 1)) % stewards, LINKS[random.nextInt(LINKS.length)],
+          (target + 1 + random.nextInt(stewards - 1)) % stewards,
+          LINK_MODES[random.nextInt(LINK_MODES.length)],
           300 + random.nextInt(4_000)));
     }
     all.sort(Comparator.comparingDouble(Fault::atMs));
@@ -57,15 +60,15 @@
     });
     for (Fault fault : faults) {
       timer.schedule(() -> {
-        Runnable end = begin(fault, run, stewards);
-        timer.schedule(end, (long) fault.lastsMs(), TimeUnit.MILLISECONDS);
+        Runnable end = startFault(fault, run, stewards);
+        timer.schedule(end, (long) fault.durationMs(), TimeUnit.MILLISECONDS);
       }, (long) fault.atMs(), TimeUnit.MILLISECONDS);
     }
-    double lasts = faults.stream().mapToDouble(f -> f.atMs() + f.lastsMs()).max().orElse(0);
+    double lasts = faults.stream().mapToDouble(f -> f.atMs() + f.durationMs()).max().orElse(0);
     Thread.sleep((long) lasts + 2_000);
     timer.shutdown();
     timer.awaitTermination(30, TimeUnit.SECONDS);
-    stewards.mend();
+    stewards.restoreAll();
     for (int i = 0; i < run.doors().size(); i++) {
       run.doors().get(i).setSuspended(false);
       run.doors().get(i).start();
@@ -73,11 +76,11 @@
   }
 
   /** What ends it. */
-  private static Runnable begin(Fault f, FleetRun run, Stewards stewards) {
-    boolean leads = f.what() == What.KILL_LEADER || f.what() == What.STOP_LEADER
-        || f.what() == What.LINKS_OF_LEADER;
+  private static Runnable startFault(Fault f, FleetRun run, Stewards stewards) {
+    boolean leads = f.kind() == FaultKind.KILL_LEADER || f.kind() == FaultKind.STOP_LEADER
+        || f.kind() == FaultKind.LINKS_OF_LEADER;
     int target = leads ? Math.max(0, stewards.leader()) : f.target();
-    return switch (f.what()) {
+    return switch (f.kind()) {
       case KILL_STEWARD, KILL_LEADER -> killed(stewards.processes().get(target));
       case KILL_DOOR -> killed(run.doors().get(target));
       case STOP_STEWARD, STOP_LEADER -> stopped(stewards.processes().get(target));
@@ -87,16 +90,16 @@
         yield () -> stewards.processes().forEach(DoorProcess::start);
       }
       case LINKS_OF_STEWARD, LINKS_OF_LEADER -> {
-        stewards.steward(target, f.mode());
-        yield () -> stewards.steward(target, Mode.WHOLE);
+        stewards.setStewardLinks(target, f.mode());
+        yield () -> stewards.setStewardLinks(target, Mode.WHOLE);
       }
       case ONE_WAY -> {
-        stewards.between(target, f.other(), f.mode());
-        yield () -> stewards.between(target, f.other(), Mode.WHOLE);
+        stewards.setLink(target, f.other(), f.mode());
+        yield () -> stewards.setLink(target, f.other(), Mode.WHOLE);
       }
       case LINKS_OF_DOOR -> {
-        stewards.door(target, f.mode());
-        yield () -> stewards.door(target, Mode.WHOLE);
+        stewards.setDoorLinks(target, f.mode());
+        yield () -> stewards.setDoorLinks(target, Mode.WHOLE);
       }
     };
   }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/AuthorisedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AuthorisedCommand.java
@@ -49,7 +49,7 @@
   private static final String ALL_CLASSES = "classes = [\"check-quote\", \"register-buy\", \"move-title\"]\n";
   private static final long SETTLE_LIMIT_MS = 60_000;
   private static final double WARM_UP_MS = 5_000;
-  private static final long MOST_US = 60_000_000;
+  private static final long MAX_LATENCY_US = 60_000_000;
 
   @Parameters(paramLabel = "RUN", description = "${COMPLETION-CANDIDATES}")
   private Run what;
@@ -111,7 +111,7 @@
   }
 
   private static void waitUntil(FleetRun run, double atMs) {
-    while (run.rig().ledger().now() < atMs) {
+    while (run.rig().eventHistory().now() < atMs) {
       FleetRun.sleep(10);
     }
   }
@@ -123,11 +123,12 @@
     try (FleetRun run = fleet(rate, 20, 60)) {
       List<StandInAuthoriser> asked = authorisers(run, 3);
       run.rig().authorise(new InvariantChecker.Authorisation(a -> true, false));
-      run.more(tables(asked, log == null ? "" : log.toAbsolutePath().toString()) + member("all", "", asked,
+      run.addTables(tables(asked, log == null ? "" : log.toAbsolutePath().toString())
+          + member("all", "", asked,
           ALL_CLASSES + "choose = \"weight\"\nlimit_ms = 300\n"));
       run.start(new ClientFleet.Load(rate, (int) (rate / 2), 0.1, 5, 1));
       run.clients().start();
-      double from = run.rig().ledger().now();
+      double from = run.rig().eventHistory().now();
       List<FaultInjector.Fault> drawn = FaultInjector
           .draw(seed + 1, faults, KINDS, 3, WARM_UP_MS, seconds * 850.0, 300,
           4_000);
@@ -137,29 +138,30 @@
       }
       double resident = run.doors().get(0).residentMb();
       run.clients().stop();
-      FleetRun.until(() -> run.clients().outstanding() == 0, 10_000);
-      int differing = settle(run, asked);
+      FleetRun.await(() -> run.clients().outstanding() == 0, 10_000);
+      int differing = settleUnits(run, asked);
       Verdict verdict = run.finish();
       drawn.forEach(f -> out.printf(Locale.ROOT, "  %6.0f ms  %-20s a%d for %.0f ms%n", f.atMs(), f.what(),
           f.target(), f.lastsMs()));
-      out.printf("tries %d, checks %s, counter calls %d, resident %.1f MB%n", run.clients().sent(),
+      out.printf("tries %d, checks %s, counter calls %d, resident %.1f MB%n", run.clients().sentTries(),
           asked.stream().map(a -> a.name() + " " + a.checks()).toList(), run.rig().counter().calls(),
               resident);
       out.print(verdict);
-      unanswered(run);
+      printUnanswered(run);
       out.flush();
       return verdict.passed() && differing == 0 ? 0 : 1;
     }
   }
 
   /** How the histories of requests end that have no answer. */
-  private void unanswered(FleetRun run) {
-    long denied = run.rig().ledger().requestHistories().values().stream().filter(h -> h.stream().anyMatch(
+  private void printUnanswered(FleetRun run) {
+    long denied = run.rig().eventHistory().requestHistories().values().stream()
+        .filter(h -> h.stream().anyMatch(
         e -> e.kind() == Kind.DENIED) && h.stream().anyMatch(e -> e.kind() == Kind.ANSWERED
         && e.amount() == 403)).count();
     out.printf("denied %d%n", denied);
     Map<String, Integer> ends = new TreeMap<>();
-    run.rig().ledger().requestHistories().forEach((id, history) -> {
+    run.rig().eventHistory().requestHistories().forEach((id, history) -> {
       if (history.stream().noneMatch(e -> e.kind() == Kind.ANSWERED)) {
         ends.merge(history.stream().map(e -> String.format("%s %s near %.0f s", e.kind(), e.note(),
             e.atMs() / 1_000))
@@ -170,7 +172,7 @@
   }
 
   /** Has every firm's true units settled, and compares what the counter was told with what was done. */
-  private int settle(FleetRun run, List<StandInAuthoriser> asked) {
+  private int settleUnits(FleetRun run, List<StandInAuthoriser> asked) {
     asked.forEach(a -> {
       a.restart();
       a.setDelay(0);
@@ -179,12 +181,13 @@
     for (int round = 0; round < 2; round++) {
       run.clients().askOnceEach();
       FleetRun.sleep(50);
-      FleetRun.until(() -> run.clients().unservedFirms() == 0, SETTLE_LIMIT_MS);
+      FleetRun.await(() -> run.clients().unservedFirms() == 0, SETTLE_LIMIT_MS);
     }
     Map<String, Double> done = new TreeMap<>();
-    run.rig().ledger().requestHistories().forEach((id, history) -> history.stream()
+    run.rig().eventHistory().requestHistories().forEach((id, history) -> history.stream()
         .filter(e -> e.kind() == Kind.EFFECT)
-        .forEach(e -> done.merge(run.rig().ledger().clientRequest(id).firm(), e.amount(), Double::sum)));
+        .forEach(e ->
+        done.merge(run.rig().eventHistory().clientRequest(id).firm(), e.amount(), Double::sum)));
     int differing = 0;
     double units = 0;
     double counted = 0;
@@ -219,7 +222,7 @@
         if (!name.equals("off")) {
           List<StandInAuthoriser> asked = authorisers(run, 3);
           run.rig().authorise(new InvariantChecker.Authorisation(a -> true, false));
-          run.more(tables(asked, "") + member("all", "", asked, ALL_CLASSES + "choose = \"weight\"\n"));
+          run.addTables(tables(asked, "") + member("all", "", asked, ALL_CLASSES + "choose = \"weight\"\n"));
         }
         run.start(new ClientFleet.Load(rate, (int) rate, 0, 1, 1));
         if (name.startsWith("one")) {
@@ -229,13 +232,13 @@
       List<Double> began = new ArrayList<>();
       for (Side s : sides) {
         s.run().clients().start();
-        began.add(s.run().rig().ledger().now());
+        began.add(s.run().rig().eventHistory().now());
       }
       double measuredFromMs = Math.max(WARM_UP_MS, seconds * 1_000.0 / 3);
       waitUntil(sides.get(0).run(), began.get(0) + measuredFromMs);
       sides.forEach(s -> {
         s.cpuAndTries()[0] = s.run().doors().get(0).cpuSeconds();
-        s.cpuAndTries()[1] = s.run().clients().sent();
+        s.cpuAndTries()[1] = s.run().clients().sentTries();
       });
       waitUntil(sides.get(0).run(), began.get(0) + seconds * 1_000.0);
       int broken = 0;
@@ -248,10 +251,10 @@
       for (int i = 0; i < sides.size(); i++) {
         Side s = sides.get(i);
         double cpu = s.run().doors().get(0).cpuSeconds() - s.cpuAndTries()[0];
-        double tries = s.run().clients().sent() - s.cpuAndTries()[1];
+        double tries = s.run().clients().sentTries() - s.cpuAndTries()[1];
         double resident = s.run().doors().get(0).residentMb();
         Verdict verdict = s.run().finish();
-        Histogram h = times(s.run(), began.get(i) + measuredFromMs, Double.MAX_VALUE, a -> true);
+        Histogram h = answerTimes(s.run(), began.get(i) + measuredFromMs, Double.MAX_VALUE, a -> true);
         out.printf(Locale.ROOT, "%-18s %8.0f %10.2f %10.2f %14.0f %7.1f MB %8d%n", s.name(), tries,
             h.getValueAtPercentile(50) / 1e3, h.getValueAtPercentile(99) / 1e3, 1e6 * cpu / tries, resident,
             verdict.served());
@@ -270,14 +273,14 @@
   }
 
   /** From when a request was due to its answer by a node, in microseconds. */
-  static Histogram times(FleetRun run, double fromMs, double toMs, Predicate<ClientRequest> which) {
-    Histogram h = new Histogram(MOST_US, 3);
-    run.rig().ledger().requestHistories().forEach((id, history) -> {
-      ClientRequest asked = run.rig().ledger().clientRequest(id);
+  static Histogram answerTimes(FleetRun run, double fromMs, double toMs, Predicate<ClientRequest> which) {
+    Histogram h = new Histogram(MAX_LATENCY_US, 3);
+    run.rig().eventHistory().requestHistories().forEach((id, history) -> {
+      ClientRequest asked = run.rig().eventHistory().clientRequest(id);
       if (asked != null && asked.dueMs() >= fromMs && asked.dueMs() < toMs && which.test(asked)) {
         for (Entry e : history) {
           if (e.kind() == Kind.ANSWERED && e.amount() == 200) {
-            h.recordValue(Math.min(MOST_US, Math.max(0, (long) ((e.atMs() - asked.dueMs()) * 1_000))));
+            h.recordValue(Math.min(MAX_LATENCY_US, Math.max(0, (long) ((e.atMs() - asked.dueMs()) * 1_000))));
           }
         }
       }
@@ -294,13 +297,14 @@
       int firms = (int) rate;
       long border = 0x1000L + firms / 2;
       run.rig().authorise(new InvariantChecker.Authorisation(a -> true, false));
-      run.more(tables(asked, "") + member("first", String.format("\"0-%x\"", border - 1), asked.subList(0, 1),
+      run.addTables(tables(asked, "")
+          + member("first", String.format("\"0-%x\"", border - 1), asked.subList(0, 1),
           ALL_CLASSES + "limit_ms = 1500\n")
           + member("second", String.format("\"%x-ffffffff\"", border), asked.subList(1, 2), ALL_CLASSES
           + "limit_ms = 1500\n"));
       run.start(new ClientFleet.Load(rate, firms, 0, 1, 1));
       run.clients().start();
-      double from = run.rig().ledger().now();
+      double from = run.rig().eventHistory().now();
       double half = from + seconds * 500.0;
       waitUntil(run, half);
       asked.get(0).setBehaviour(StandInAuthoriser.Behaviour.STALLS);
@@ -309,7 +313,7 @@
       for (boolean first : new boolean[] {true, false}) {
         Predicate<ClientRequest> of = a -> Long.parseLong(a.firm(), 16) < border == first;
         for (boolean before : new boolean[] {true, false}) {
-          Histogram h = times(run, before ? from + WARM_UP_MS : half, before ? half - 2_000
+          Histogram h = answerTimes(run, before ? from + WARM_UP_MS : half, before ? half - 2_000
               : Double.MAX_VALUE,
               of);
           out.printf(Locale.ROOT, "%-7s %-28s served %6d  p50 %7.2f ms  p99 %7.2f ms%n", first ? "first"
--- a/daemon/src/main/java/willowdoor/daemon/fleet/BackendRestarts.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/BackendRestarts.java
@@ -21,20 +21,20 @@
 final class BackendRestarts implements AutoCloseable {
 
   /** A version whose processes die once they are warm and taken back. */
-  static final String FAINT = "b2-faint";
-  private static final long LOOK_MS = 50;
+  static final String CRASHING_VERSION = "b2-faint";
+  private static final long POLL_INTERVAL_MS = 50;
   /** Discovery says so late what it sees. */
-  private static final long NOTICE_MS = 100;
-  private static final long AWAY_MS = 300;
+  private static final long DISCOVERY_DELAY_MS = 100;
+  private static final long DOWNTIME_MS = 300;
 
   private final ReleaseRun fleet;
   private final Map<String, StandInBackend> backends = new HashMap<>();
   private final Map<String, String> versions = new TreeMap<>();
   private final Map<String, Long> restartedUnder = new HashMap<>();
-  private final Set<Long> told = new HashSet<>();
+  private final Set<Long> handledPermits = new HashSet<>();
   private final Thread thread = new Thread(this::run, "restarts");
-  private volatile boolean going = true;
-  private volatile int most;
+  private volatile boolean running = true;
+  private volatile int maxBackendsOut;
 
   /** Begins to look. */
   BackendRestarts(ReleaseRun fleet) {
@@ -51,35 +51,35 @@
   }
 
   /** How many backends were seen out at once at the most, by the record. */
-  int most() {
-    return most;
+  int maxBackendsOut() {
+    return maxBackendsOut;
   }
 
   private void run() {
-    while (going) {
-      FleetStatus s = fleet.stewards().look();
+    while (running) {
+      FleetStatus s = fleet.stewards().status();
       if (s != null) {
-        most = Math.max(most, s.backendsOut());
-        s.permits().stream().filter(x -> x.subject().kind() == Kind.BACKEND).forEach(this::see);
+        maxBackendsOut = Math.max(maxBackendsOut, s.backendsOut());
+        s.permits().stream().filter(x -> x.subject().kind() == Kind.BACKEND).forEach(this::restartIfOut);
       }
-      died();
-      FleetRun.sleep(LOOK_MS);
+      killCrashingBackends();
+      FleetRun.sleep(POLL_INTERVAL_MS);
     }
   }
 
-  private void see(Permit permit) {
+  private void restartIfOut(Permit permit) {
     StandInBackend backend = backends.get(permit.subject().name());
-    if (permit.stage() != Stage.OUT || !told.add(permit.id())) {
+    if (permit.stage() != Stage.OUT || !handledPermits.add(permit.id())) {
       return;
     }
-    EventHistory ledger = fleet.run().rig().ledger();
+    EventHistory ledger = fleet.run().rig().eventHistory();
     ledger.addMachineEntry(EventHistory.Kind.PERMITTED, backend.name(), Long.toString(permit.id()));
     ledger.addMachineEntry(EventHistory.Kind.OUT, backend.name(), Long.toString(permit.id()));
     BackendPool park = fleet.run().rig().backendPool();
-    park.kill(backend, NOTICE_MS);
-    FleetRun.sleep(AWAY_MS);
+    park.kill(backend, DISCOVERY_DELAY_MS);
+    FleetRun.sleep(DOWNTIME_MS);
     ledger.addMachineEntry(EventHistory.Kind.GIVEN_BACK, backend.name(), Long.toString(permit.id()));
-    park.restart(backend, NOTICE_MS);
+    park.restart(backend, DISCOVERY_DELAY_MS);
     synchronized (this) {
       versions.put(backend.name(), permit.reason());
       restartedUnder.put(permit.subject().name(), permit.id());
@@ -87,8 +87,8 @@
   }
 
   /** A faint version's process dies when its step is over. */
-  private void died() {
-    FleetStatus s = fleet.stewards().look();
+  private void killCrashingBackends() {
+    FleetStatus s = fleet.stewards().status();
     if (s == null) {
       return;
     }
@@ -96,8 +96,8 @@
       restartedUnder.entrySet().removeIf(e -> {
         StandInBackend backend = backends.get(e.getKey());
         boolean over = s.permits().stream().noneMatch(x -> x.id() == e.getValue());
-        if (over && FAINT.equals(versions.get(backend.name()))) {
-          fleet.run().rig().backendPool().kill(backend, NOTICE_MS);
+        if (over && CRASHING_VERSION.equals(versions.get(backend.name()))) {
+          fleet.run().rig().backendPool().kill(backend, DISCOVERY_DELAY_MS);
         }
         return over;
       });
@@ -106,7 +106,7 @@
 
   @Override
   public void close() {
-    going = false;
+    running = false;
     try {
       thread.join();
     } catch (InterruptedException e) {
--- a/daemon/src/main/java/willowdoor/daemon/fleet/CounterCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/CounterCommand.java
@@ -46,10 +46,10 @@
     loses_answers(5_000), answers_twice(5_000), a_tenth_of_the_rate(7_000), resets(5_000), door_anew(3_000),
     store_killed(3_000), store_promoted(1_000), store_split(10_000);
 
-    private final double forMs;
+    private final double durationMs;
 
-    Case(double forMs) {
-      this.forMs = forMs;
+    Case(double durationMs) {
+      this.durationMs = durationMs;
     }
 
     /** Whether the counts are in a stand-in of Valkey, which is what fails. */
@@ -59,16 +59,16 @@
   }
 
   private static final double QUIET_MS = 8_000;
-  private static final double AFTER_MS = 7_000;
-  private static final double TOLD_MS = 500;
+  private static final double RECOVERY_MS = 7_000;
+  private static final double DETECTION_MS = 500;
   /** The store connects again after 1.5 s at the most, and needs a call to learn whose counts these are. */
-  private static final double STORE_TOLD_MS = 2_000;
+  private static final double STORE_DETECTION_MS = 2_000;
   /** Writes of the last second are not with the replica that is promoted. */
-  private static final long REPLICA_LACKS_MS = 1_000;
+  private static final long REPLICA_LAG_MS = 1_000;
   private static final double FLAP_MS = 300;
   private static final double LATE_MS = 70;
   /** Below this share of its quota over the run a firm is one that stays below it. */
-  private static final double BELOW = 0.8;
+  private static final double LOW_USE_SHARE = 0.8;
 
   @Parameters(paramLabel = "RUN", description = "${COMPLETION-CANDIDATES}")
   private Run what;
@@ -96,7 +96,7 @@
   }
 
   /** Two servers, of which one begins as the other's replica; every third door finds its own address. */
-  private record Servers(StandInValkey first, StandInValkey second, InetSocketAddress ofSome)
+  private record Servers(StandInValkey first, StandInValkey second, InetSocketAddress addressOfSomeDoors)
       implements AutoCloseable {
 
     static Servers make() throws IOException {
@@ -107,32 +107,32 @@
 
     String lines(int door) {
       return "store = \"valkey\"\naddress = \""
-          + StandIns.text(door % 3 == 0 ? ofSome : first.address()) + '"';
+          + StandIns.text(door % 3 == 0 ? addressOfSomeDoors : first.address()) + '"';
     }
 
     void cause(Case c) throws IOException {
       switch (c) {
         case store_killed -> {
           first.kill();
-          FleetRun.sleep((long) c.forMs);
+          FleetRun.sleep((long) c.durationMs);
           first.start();
-          first.listenAt(ofSome);
+          first.listenAt(addressOfSomeDoors);
         }
         case store_promoted -> {
           second.runCommand("REPLICAOF NO ONE");
-          FleetRun.sleep(REPLICA_LACKS_MS);
+          FleetRun.sleep(REPLICA_LAG_MS);
           first.kill();
-          FleetRun.sleep((long) c.forMs);
+          FleetRun.sleep((long) c.durationMs);
           second.listenAt(first.address());
-          second.listenAt(ofSome);
+          second.listenAt(addressOfSomeDoors);
         }
         default -> {
-          first.stopListening(ofSome);
+          first.stopListening(addressOfSomeDoors);
           second.runCommand("REPLICAOF NO ONE");
-          second.listenAt(ofSome);
-          FleetRun.sleep((long) c.forMs);
-          second.stopListening(ofSome);
-          first.listenAt(ofSome);
+          second.listenAt(addressOfSomeDoors);
+          FleetRun.sleep((long) c.durationMs);
+          second.stopListening(addressOfSomeDoors);
+          first.listenAt(addressOfSomeDoors);
         }
       }
     }
@@ -153,7 +153,7 @@
         new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(12, 4, 64, 5, 15), doorCount, seed);
     run.rig().backendPool().chargeNamedUnits();
     if (servers != null) {
-      run.counter(servers::lines);
+      run.setCounterLines(servers::lines);
     }
     run.start(new ClientFleet.Load(rate, (int) (rate / 4), 0.15, 20, mostSpread, true));
     return run;
@@ -164,7 +164,7 @@
         "%d doors, %.0f requests/s, %d firms in sets of 2 to 4 doors, most of a "
         + "firm's requests through one or two of them, 15%% of firms at 20 times the others' load; %.0f s "
         + "before and %.0f s after each "
-        + "failure; seed %d%n", doorCount, rate, (int) (rate / 4), QUIET_MS / 1000, AFTER_MS / 1000, seed);
+        + "failure; seed %d%n", doorCount, rate, (int) (rate / 4), QUIET_MS / 1000, RECOVERY_MS / 1000, seed);
     out.printf("| %-20s | %-20s | %-20s | %-8s | %-24s | %-24s | %s |%n", "case", "basic: over, of bound",
         "full: over, of bound", "ceilings", "half unused, meanwhile", "half unused, else", "rules broken");
     out.flush();
@@ -179,19 +179,19 @@
     try (Servers servers = c.ofStore() ? Servers.make() : null; FleetRun run = fleet(4, servers)) {
       run.clients().start();
       FleetRun.sleep((long) QUIET_MS);
-      double from = run.rig().ledger().now();
+      double from = run.rig().eventHistory().now();
       if (servers != null) {
         servers.cause(c);
       } else {
         cause(c, run);
       }
-      double to = run.rig().ledger().now();
-      FleetRun.sleep((long) AFTER_MS);
+      double to = run.rig().eventHistory().now();
+      FleetRun.sleep((long) RECOVERY_MS);
       Verdict verdict = run.finish();
-      QuotaAudit quotas = new QuotaAudit(run.rig().ledger(), run.rig().terms());
+      QuotaAudit quotas = new QuotaAudit(run.rig().eventHistory(), run.rig().runSettings());
       List<FirmUse> uses = quotas.uses();
-      double seconds = (QUIET_MS + AFTER_MS + to - from) / 1000;
-      Set<String> below = uses.stream().filter(u -> u.asked() < BELOW * u.plan().rate() * seconds)
+      double seconds = (QUIET_MS + RECOVERY_MS + to - from) / 1000;
+      Set<String> below = uses.stream().filter(u -> u.asked() < LOW_USE_SHARE * u.plan().rate() * seconds)
           .map(FirmUse::firm).collect(Collectors.toSet());
       HalfBurstTries meanwhile = quotas.triesWithHalfBurst(from, to, below::contains, d -> true);
       HalfBurstTries before = quotas.triesWithHalfBurst(0, from, below::contains, d -> true);
@@ -200,7 +200,7 @@
           new HalfBurstTries(before.asked() + after.asked(), before.refused() + after.refused());
       boolean kept = verdict.passed();
       StringBuilder row = new StringBuilder(String.format("| %-20s |", c));
-      for (PlanTerms plan : run.rig().terms().plans()) {
+      for (PlanTerms plan : run.rig().runSettings().plans()) {
         double worst = uses.stream().filter(u ->
             u.plan().equals(plan)).mapToDouble(FirmUse::maxOverQuota).max().orElse(0);
         double bound = bound(c, plan, Math.min(4, doorCount), to - from);
@@ -225,8 +225,8 @@
   static double bound(Case c, PlanTerms plan, int n, double tookMs) {
     double b = plan.burst();
     double m = RunSettings.MAX_UNITS;
-    double told = c.ofStore() ? STORE_TOLD_MS : TOLD_MS;
-    double gives = plan.rate() * ((c.forMs > 0 ? tookMs : 0) + told) / 1000;
+    double told = c.ofStore() ? STORE_DETECTION_MS : DETECTION_MS;
+    double gives = plan.rate() * ((c.durationMs > 0 ? tookMs : 0) + told) / 1000;
     double away = n * (b + gives) + n * m;
     return b + n * m + switch (c) {
       case none -> 0;
@@ -246,7 +246,7 @@
       case none -> FleetRun.sleep(1_000);
       case away, briefly -> {
         counter.stop();
-        FleetRun.sleep((long) c.forMs);
+        FleetRun.sleep((long) c.durationMs);
         if (c == Case.away) {
           counter.restart();
         } else {
@@ -255,12 +255,12 @@
       }
       case hangs -> {
         counter.hang(true);
-        FleetRun.sleep((long) c.forMs);
+        FleetRun.sleep((long) c.durationMs);
         counter.hang(false);
       }
       case half_cut_off -> {
         counter.cutOff(d -> d % 2 == 0);
-        FleetRun.sleep((long) c.forMs);
+        FleetRun.sleep((long) c.durationMs);
         counter.reconnect();
       }
       case empty -> {
@@ -271,7 +271,7 @@
         for (int i = 0; i < 2; i++) {
           counter.stop();
           counter.restartEmpty();
-          FleetRun.sleep((long) c.forMs);
+          FleetRun.sleep((long) c.durationMs);
         }
       }
       case old_copy -> {
@@ -282,11 +282,11 @@
       }
       case split_first_wins, split_second_wins, split_empty -> {
         counter.splitInTwo(d -> d % 3 == 0, c != Case.split_empty);
-        FleetRun.sleep((long) c.forMs);
+        FleetRun.sleep((long) c.durationMs);
         counter.endSplit(c == Case.split_second_wins);
       }
       case flaps -> {
-        for (int i = 0; i < c.forMs / FLAP_MS / 2; i++) {
+        for (int i = 0; i < c.durationMs / FLAP_MS / 2; i++) {
           counter.stop();
           FleetRun.sleep((long) FLAP_MS);
           counter.restart();
@@ -295,37 +295,37 @@
       }
       case late -> {
         counter.delay(LATE_MS);
-        FleetRun.sleep((long) c.forMs);
+        FleetRun.sleep((long) c.durationMs);
         counter.delay(1);
       }
       case loses_answers -> {
         counter.loseAnswers(true);
-        FleetRun.sleep((long) c.forMs);
+        FleetRun.sleep((long) c.durationMs);
         counter.loseAnswers(false);
       }
       case answers_twice -> {
         counter.answerTwice(true);
-        FleetRun.sleep((long) c.forMs);
+        FleetRun.sleep((long) c.durationMs);
         counter.answerTwice(false);
       }
       case a_tenth_of_the_rate -> {
         long calls = counter.calls();
         FleetRun.sleep(1_000);
         counter.limitRate(Math.max(1, (counter.calls() - calls) / 10.0));
-        FleetRun.sleep((long) c.forMs);
+        FleetRun.sleep((long) c.durationMs);
         counter.limitRate(Double.POSITIVE_INFINITY);
       }
       case resets -> {
         counter.reset(true);
-        FleetRun.sleep((long) c.forMs);
+        FleetRun.sleep((long) c.durationMs);
         counter.reset(false);
       }
       case door_anew -> {
         counter.stop();
         run.doors().get(0).kill();
         run.doors().get(0).start();
-        FleetRun.until(() -> run.clients().isUp(0), 30_000);
-        FleetRun.sleep((long) c.forMs);
+        FleetRun.await(() -> run.clients().isUp(0), 30_000);
+        FleetRun.sleep((long) c.durationMs);
         counter.restart();
       }
       default -> throw new IllegalArgumentException("case: " + c + " (expected: one of the counter's)");
@@ -343,18 +343,18 @@
       counter.stop();
       FleetRun.sleep(2_000);
       counter.restartEmpty();
-      double back = run.rig().ledger().now();
+      double back = run.rig().eventHistory().now();
       long busiest = 0;
       long[] tenths = new long[51];
       tenths[0] = counter.calls();
       for (int i = 1; i < tenths.length; i++) {
-        while (run.rig().ledger().now() < back + 100 * i) {
+        while (run.rig().eventHistory().now() < back + 100 * i) {
           FleetRun.sleep(1);
         }
         tenths[i] = counter.calls();
         busiest = Math.max(busiest, tenths[i] - tenths[Math.max(0, i - 10)]);
       }
-      FleetRun.until(() -> counter.firstCalls().size() == doorCount, 10_000);
+      FleetRun.await(() -> counter.firstCalls().size() == doorCount, 10_000);
       List<Double> calledAgain = counter.firstCalls().values().stream().map(t -> t - back).sorted().toList();
       Verdict verdict = run.finish();
       out.printf(Locale.ROOT,
@@ -373,13 +373,13 @@
     }
   }
 
-  private static final double STORE_WARM_MS = 10_000;
+  private static final double STORE_WARM_UP_MS = 10_000;
   private static final double STORE_MEASURED_MS = 20_000;
 
   private int store() throws IOException {
     out.printf(Locale.ROOT,
         "two doors beside each other, %.0f requests/s each, %.0f s measured after %.0f s; seed %d%n",
-        rate, STORE_MEASURED_MS / 1000, STORE_WARM_MS / 1000, seed);
+        rate, STORE_MEASURED_MS / 1000, STORE_WARM_UP_MS / 1000, seed);
     out.flush();
     int broken = 0;
     try (StandInValkey server = new StandInValkey();
@@ -387,7 +387,7 @@
             new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(12, 4, 64, 2, 3), 1, seed);
         FleetRun valkey =
             new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(12, 4, 64, 2, 3), 1, seed)) {
-      valkey.counter("store = \"valkey\"\naddress = \"" + StandIns.text(server.address()) + '"');
+      valkey.setCounterLines("store = \"valkey\"\naddress = \"" + StandIns.text(server.address()) + '"');
       List<FleetRun> sides = List.of(lines, valkey);
       double[] from = new double[2];
       double[] cpu = new double[2];
@@ -398,20 +398,20 @@
       for (FleetRun side : sides) {
         side.clients().start();
       }
-      FleetRun.sleep((long) STORE_WARM_MS);
+      FleetRun.sleep((long) STORE_WARM_UP_MS);
       for (int i = 0; i < 2; i++) {
-        from[i] = sides.get(i).rig().ledger().now();
+        from[i] = sides.get(i).rig().eventHistory().now();
         cpu[i] = sides.get(i).doors().get(0).cpuSeconds();
-        tries[i] = sides.get(i).clients().sent();
+        tries[i] = sides.get(i).clients().sentTries();
       }
       FleetRun.sleep((long) STORE_MEASURED_MS);
       for (int i = 0; i < 2; i++) {
         FleetRun side = sides.get(i);
         double took = side.doors().get(0).cpuSeconds() - cpu[i];
-        double sent = side.clients().sent() - tries[i];
+        double sent = side.clients().sentTries() - tries[i];
         double resident = side.doors().get(0).residentMb();
         Verdict verdict = side.finish();
-        Histogram h = AuthorisedCommand.times(side, from[i], Double.MAX_VALUE, a -> true);
+        Histogram h = AuthorisedCommand.answerTimes(side, from[i], Double.MAX_VALUE, a -> true);
         out.printf(Locale.ROOT,
             "%-7s tries %6.0f  p50 %6.2f ms  p99 %6.2f ms  CPU %4.0f us a try  resident %5.1f MB  "
             + "rules broken %d%n", i == 0 ? "lines" : "valkey", sent, h.getValueAtPercentile(50) / 1e3,
--- a/daemon/src/main/java/willowdoor/daemon/fleet/DemoCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/DemoCommand.java
@@ -43,13 +43,13 @@
     try (FleetRun run =
         new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(6, 4, 32, 110, 200), DOORS, SEED)) {
       run.start(new ClientFleet.Load(RATE, FIRMS, 0.15, 6, DOORS));
-      double from = run.rig().ledger().now();
+      double from = run.rig().eventHistory().now();
       run.clients().start();
       try (FaultInjector faults = new FaultInjector(run.rig(), run.doors())) {
         faults.inject(List.of(new Fault(KILL_AT_MS, FaultInjector.FaultKind.KILL_DOOR, 1, AWAY_MS),
             new Fault(KILL_AT_MS, FaultInjector.FaultKind.KILL_BACKEND, 0, AWAY_MS)));
         for (int s = 1; s <= SECONDS; s++) {
-          while (run.rig().ledger().now() < from + s * 1_000) {
+          while (run.rig().eventHistory().now() < from + s * 1_000) {
             FleetRun.sleep(20);
           }
           IntervalStatistics last = run.clients().statistics()
@@ -88,7 +88,7 @@
   }
 
   private static void line(FleetRun run, PrintWriter out, String name, LoadStatistics.FirmUsage f) {
-    RunSettings.PlanTerms plan = run.rig().terms().plan(f.plan());
+    RunSettings.PlanTerms plan = run.rig().runSettings().plan(f.plan());
     double quota = plan.burst() + plan.rate() * SECONDS;
     out.printf(Locale.ROOT, "%-18s %-6s %10d %10d %8.0f %7.0f%%%n", name, f.plan(), f.offeredUnits(),
         f.servedUnits(),
--- a/daemon/src/main/java/willowdoor/daemon/fleet/DoorFiles.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/DoorFiles.java
@@ -18,9 +18,9 @@
   private final TestEnvironment rig;
   private final Path folder;
   private final int doors;
-  private IntFunction<String> more = door -> "";
+  private IntFunction<String> additionalTables = door -> "";
   /** Lines of the counter's table in the place of the rig's, or null. */
-  private IntFunction<String> counter;
+  private IntFunction<String> counterLines;
 
   public DoorFiles(TestEnvironment rig, Path folder, int doors) {
     this.rig = rig;
@@ -29,13 +29,13 @@
   }
 
   /** Further tables of every file that is written from here on. */
-  public void more(IntFunction<String> tables) {
-    more = tables;
+  public void addTables(IntFunction<String> tables) {
+    additionalTables = tables;
   }
 
   /** Has the shared counts of each door, by its number, elsewhere than at the rig's counter. */
-  public void counter(IntFunction<String> lines) {
-    counter = lines;
+  public void setCounterLines(IntFunction<String> lines) {
+    counterLines = lines;
   }
 
   /** Writes door number index's file, with the backends that discovery lists now. */
@@ -49,12 +49,12 @@
   }
 
   /** The control socket of door number index. */
-  public Path control(int index) {
+  public Path controlSocket(int index) {
     return folder.resolve("d" + index + ".sock");
   }
 
   String text(int index, InetSocketAddress listen) {
-    RunSettings t = rig.terms();
+    RunSettings t = rig.runSettings();
     StringBuilder text = new StringBuilder(String.format(Locale.ROOT, """
         [instance]
         name = "d%d"
@@ -99,9 +99,11 @@
         deadline_ms = %s
         repeat = "unsafe"
         """, index, text(listen), doors, index, index % 2 == 0 ? "a" : "b",
-        text(rig.discovery().agentOf("d" + index)), counter != null ? counter.apply(index) : "address = \"" +
+        text(rig.discovery().agentOf("d" + index)),
+        counterLines != null ? counterLines.apply(index) : "address = \"" +
             text(rig.counter().address(index)) + '"', t.counterLimitMs(),
-        control(index), t.coldFrom(), t.coldMs(), t.tipMultiple(), t.tipAfterMs(), RunSettings.MAX_UNITS,
+        controlSocket(index), t.coldFrom(), t.coldMs(), t.tipMultiple(), t.tipAfterMs(),
+        RunSettings.MAX_UNITS,
         t.deadlineMs(), t.deadlineMs(), t.keyWindowMs(), t.deadlineMs()));
     for (PlanTerms p : t.plans()) {
       text.append(String.format(Locale.ROOT, """
@@ -123,7 +125,7 @@
             text(b.address()), b.zone()));
       }
     }
-    return text.append(more.apply(index)).toString();
+    return text.append(additionalTables.apply(index)).toString();
   }
 
   private static String text(InetSocketAddress a) {
--- a/daemon/src/main/java/willowdoor/daemon/fleet/FairCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/FairCommand.java
@@ -24,8 +24,8 @@
     "Three runs: without the flood, with it, with it and the fair queue."})
 public final class FairCommand implements Callable<Integer> {
 
-  private static final double WARM_MS = 10_000;
-  private static final String QUEUE = "[fair]%nenabled = true%nclient_by = \"header\"%n"
+  private static final double WARM_UP_MS = 10_000;
+  private static final String QUEUE_TABLE = "[fair]%nenabled = true%nclient_by = \"header\"%n"
       + "client_header = \"X-Client\"%n";
 
   /** What the flooding firm's plan bounds. */
@@ -71,13 +71,13 @@
         "%d doors, 40 firms with %.0f requests/s, the first floods with %.0f requests/s of "
         + "%d clients (%s, %.0f times its quota); %d s; seed %d%n", doors, rate, flood, clients, kind, times,
         seconds, seed);
-    boolean kept = only || one(out, "no flood", 0, false);
-    kept = (only || one(out, "flood", flood, false)) && kept;
-    kept = one(out, "flood, queue", flood, true) && kept;
+    boolean kept = only || runOnce(out, "no flood", 0, false);
+    kept = (only || runOnce(out, "flood", flood, false)) && kept;
+    kept = runOnce(out, "flood, queue", flood, true) && kept;
     return kept ? 0 : 1;
   }
 
-  private boolean one(PrintWriter out, String name, double flood, boolean queue) throws IOException {
+  private boolean runOnce(PrintWriter out, String name, double flood, boolean queue) throws IOException {
     double quota = 40;
     double ofFirst = kind == Kind.metered ? quota : 0;
     PlanTerms first = new PlanTerms("first", ofFirst, 2 * ofFirst, 0, 0, 0);
@@ -85,17 +85,17 @@
         .withPlansAndKeyWindow(List.of(first, new PlanTerms("full", quota, 2 * quota, 0, 0, 0)), 4_000);
     try (FleetRun run = new FleetRun(terms, new BackendPool.BackendSpec(6, 2, 64, 10, 30), doors, seed)) {
       if (queue) {
-        run.more(String.format(QUEUE));
+        run.addTables(String.format(QUEUE_TABLE));
       }
       run.start(new ClientFleet.Load(rate, 40, 0, 1, doors));
       run.clients().start();
       if (flood > 0) {
         run.clients().flood(flood, clients);
       }
-      FleetRun.sleep((long) WARM_MS);
-      double from = run.rig().ledger().now();
+      FleetRun.sleep((long) WARM_UP_MS);
+      double from = run.rig().eventHistory().now();
       FleetRun.sleep(seconds * 1_000L);
-      double to = run.rig().ledger().now();
+      double to = run.rig().eventHistory().now();
       double resident = 0;
       for (int i = 0; i < doors; i++) {
         resident = Math.max(resident, run.doors().get(i).residentMb());
@@ -103,13 +103,13 @@
       Verdict verdict = run.finish();
       String flooding = run.clients().firms().get(0);
       LoadStatistics.FirmUsage f = run.clients().statistics().firms().get(flooding);
-      long asked = count(run, from, to, flooding, false);
-      Histogram served = AuthorisedCommand.times(run, from, to, a -> !a.firm().equals(flooding));
+      long asked = countAsked(run, from, to, flooding, false);
+      Histogram served = AuthorisedCommand.answerTimes(run, from, to, a -> !a.firm().equals(flooding));
       out.printf(Locale.ROOT, "%-13s others: %6d tries, served %.4f, p50 %.0f ms, p99 %.0f ms; the first: "
           + "%.1f units/s served, %d refused, %d came back when told, %s honoured; most resident %.0f MB; "
           + "rules broken %d%n", name, asked, (double) served.getTotalCount() / asked,
           served.getValueAtPercentile(50) / 1e3, served.getValueAtPercentile(99) / 1e3,
-          f.servedUnits() * 1_000.0 / (to - from + WARM_MS), f.refused(), f.promptedRetries(),
+          f.servedUnits() * 1_000.0 / (to - from + WARM_UP_MS), f.refused(), f.promptedRetries(),
           f.promptedRetries() == 0 ? "-" : String.format(Locale.ROOT, "%.4f",
               (double) f.acceptedRetries() / f.promptedRetries()), resident,
           verdict.violations().size());
@@ -125,10 +125,10 @@
     }
   }
 
-  private static long count(FleetRun run, double from, double to, String firm, boolean of) {
+  private static long countAsked(FleetRun run, double from, double to, String firm, boolean of) {
     long[] n = new long[1];
-    run.rig().ledger().requestHistories().forEach((id, history) -> {
-      ClientRequest asked = run.rig().ledger().clientRequest(id);
+    run.rig().eventHistory().requestHistories().forEach((id, history) -> {
+      ClientRequest asked = run.rig().eventHistory().clientRequest(id);
       n[0] += asked != null && asked.dueMs() >= from && asked.dueMs() < to && asked.firm().equals(firm) == of
           ? 1 : 0;
     });
--- a/daemon/src/main/java/willowdoor/daemon/fleet/FleetCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/FleetCommand.java
@@ -30,11 +30,11 @@
     subcommands = ReleaseCommand.class)
 public final class FleetCommand implements Callable<Integer> {
 
-  private static final double QUIET_PART = 0.25;
-  private static final double KILL_PART = 0.35;
-  private static final double LEAST_AWAY_MS = 1_000;
-  private static final double MOST_AWAY_MS = 6_000;
-  private static final double RECOVERED = 0.95;
+  private static final double QUIET_SHARE = 0.25;
+  private static final double KILL_SHARE = 0.35;
+  private static final double MIN_DOWNTIME_MS = 1_000;
+  private static final double MAX_DOWNTIME_MS = 6_000;
+  private static final double RECOVERED_SHARE = 0.95;
   private static final long REPLACE_LIMIT_MS = 30_000;
 
   @Option(names = "--doors", defaultValue = "10", description = "Instances (default: ${DEFAULT-VALUE}).")
@@ -113,24 +113,25 @@
   }
 
   private int run(FleetRun run, PrintWriter out) {
-    double from = run.rig().ledger().now();
+    double from = run.rig().eventHistory().now();
     double lengthMs = seconds * 1_000.0;
-    double quietEnd = from + lengthMs * QUIET_PART;
-    double span = withinMs > 0 ? withinMs : lengthMs * KILL_PART;
+    double quietEnd = from + lengthMs * QUIET_SHARE;
+    double span = withinMs > 0 ? withinMs : lengthMs * KILL_SHARE;
     double givenEnd = from + faultsGiven.stream().mapToDouble(f -> f.atMs() + f.lastsMs()).max().orElse(0);
-    double faultsEnd = Math.max(givenEnd, quietEnd + span + (kills > 0 ? MOST_AWAY_MS : 0));
+    double faultsEnd = Math.max(givenEnd, quietEnd + span + (kills > 0 ? MAX_DOWNTIME_MS : 0));
     run.clients().start();
     int rolled = 0;
     double[] cpu;
     long sent;
     try (FaultInjector faults = new FaultInjector(run.rig(), run.doors())) {
       if (kills > 0) {
-        faults.inject(FaultInjector.kills(seed, doorCount, kills, lengthMs * QUIET_PART, span, LEAST_AWAY_MS,
-            MOST_AWAY_MS));
+        faults.inject(FaultInjector
+            .kills(seed, doorCount, kills, lengthMs * QUIET_SHARE, span, MIN_DOWNTIME_MS,
+            MAX_DOWNTIME_MS));
       }
       if (slowCounter) {
-        faults.inject(List.of(new Fault(lengthMs * QUIET_PART, FaultInjector.FaultKind.SLOW_COUNTER, 0, span
-            + MOST_AWAY_MS)));
+        faults.inject(List.of(new Fault(lengthMs * QUIET_SHARE, FaultInjector.FaultKind.SLOW_COUNTER, 0, span
+            + MAX_DOWNTIME_MS)));
       }
       if (backendFaults > 0) {
         faults.inject(FaultInjector
@@ -139,11 +140,11 @@
             FaultInjector.FaultKind.RESETS_BACKEND,
             FaultInjector.FaultKind.SPOILS_BACKEND, FaultInjector.FaultKind.SLOW_BACKEND),
             run.rig().backendPool().all().size(),
-            lengthMs * QUIET_PART, lengthMs * (QUIET_PART + KILL_PART), 3_000, 8_000));
+            lengthMs * QUIET_SHARE, lengthMs * (QUIET_SHARE + KILL_SHARE), 3_000, 8_000));
       }
       faults.inject(faultsGiven);
       if (roll) {
-        FleetRun.sleep((long) (lengthMs * QUIET_PART));
+        FleetRun.sleep((long) (lengthMs * QUIET_SHARE));
         for (int i = 0; i < doorCount; i++) {
           if (run.replace(i, REPLACE_LIMIT_MS)) {
             rolled++;
@@ -151,17 +152,17 @@
             out.printf("door d%d was not replaced in order%n", i);
           }
         }
-        faultsEnd = run.rig().ledger().now();
+        faultsEnd = run.rig().eventHistory().now();
       }
       // CPU is told of the time after the first part: before it, compiling costs more than serving.
       waitUntil(run, quietEnd);
-      cpu = cpu(run);
-      sent = run.clients().sent();
+      cpu = cpuSeconds(run);
+      sent = run.clients().sentTries();
       waitUntil(run, from + lengthMs);
     }
-    double to = run.rig().ledger().now();
-    double used = used(run, cpu);
-    long sentBy = run.clients().sent();
+    double to = run.rig().eventHistory().now();
+    double used = cpuSecondsSince(run, cpu);
+    long sentBy = run.clients().sentTries();
     double resident = run.doors().stream().mapToDouble(DoorProcess::residentMb).average().orElse(0);
     Verdict verdict = run.finish();
     report(run, out, from, quietEnd, faultsEnd, to);
@@ -175,14 +176,14 @@
     }
     out.printf("resident %.1f MB a door; counter calls %d, tries %d, not begun for want of room %d%n",
         resident,
-        run.rig().counter().calls(), run.clients().sent(), run.clients().skipped());
+        run.rig().counter().calls(), run.clients().sentTries(), run.clients().skippedTries());
     out.print(verdict);
     out.flush();
     return verdict.passed() && (!roll || rolled == doorCount) ? 0 : 1;
   }
 
   private static void waitUntil(FleetRun run, double atMs) {
-    while (run.rig().ledger().now() < atMs) {
+    while (run.rig().eventHistory().now() < atMs) {
       FleetRun.sleep(20);
     }
   }
@@ -203,13 +204,13 @@
       for (double s = quietEnd; s + 1_000 <= to; s += 1_000) {
         double share = tally.interval(s, s + 1_000).servedShare();
         worst = Math.min(worst, share);
-        if (share < RECOVERED * before.servedShare()) {
+        if (share < RECOVERED_SHARE * before.servedShare()) {
           recovered = s + 1_000;
         }
       }
       out.printf(Locale.ROOT,
           "worst second served %.3f; within %.0f%% of before again %.0f s after the first kill%n",
-          worst, 100 * RECOVERED, (recovered - quietEnd) / 1_000);
+          worst, 100 * RECOVERED_SHARE, (recovered - quietEnd) / 1_000);
     }
   }
 
@@ -222,11 +223,11 @@
         s.notTaken(), s.p50Ms(), s.p99Ms());
   }
 
-  private static double[] cpu(FleetRun run) {
+  private static double[] cpuSeconds(FleetRun run) {
     return run.doors().stream().mapToDouble(DoorProcess::cpuSeconds).toArray();
   }
 
-  private static double used(FleetRun run, double[] before) {
+  private static double cpuSecondsSince(FleetRun run, double[] before) {
     double used = 0;
     for (int i = 0; i < before.length; i++) {
       used += Math.max(0, run.doors().get(i).cpuSeconds() - before[i]);
--- a/daemon/src/main/java/willowdoor/daemon/fleet/FleetRun.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/FleetRun.java
@@ -32,27 +32,28 @@
 public final class FleetRun implements AutoCloseable {
 
   /** Options of the doors' JVMs: small, as many share a machine here. */
-  private static final List<String> JVM = List.of("-XX:+UseSerialGC", "-Xms32m", "-Xmx64m", "-Xss256k",
+  private static final List<String> JVM_OPTIONS = List
+      .of("-XX:+UseSerialGC", "-Xms32m", "-Xmx64m", "-Xss256k",
       "-XX:MaxDirectMemorySize=32m", "-XX:-UsePerfData", "-Xshare:auto",
       "-Dio.netty.leakDetection.level=disabled");
   /** Without the optimising compiler, which forty instances on a few cores would wait for. */
-  private static final String NOT_OPTIMISED = "-XX:TieredStopAtLevel=1";
+  private static final String NO_OPTIMISING_COMPILER = "-XX:TieredStopAtLevel=1";
   /** Set to true, this property of the run allows its doors the optimising compiler, as the launcher does. */
-  private static final String OPTIMISED = "willowdoor.fleet.optimised";
+  private static final String OPTIMISED_PROPERTY = "willowdoor.fleet.optimised";
   private static final int PORT = 7070;
   /** Each run has a network of its own, on this machine: 127.N.x.x, by a file that it locks. */
-  private static final int FIRST_NET = 64;
-  private static final int NETS = 128;
+  private static final int FIRST_NETWORK = 64;
+  private static final int NETWORKS = 128;
   private static final AtomicInteger RUNS = new AtomicInteger();
   private static final long START_LIMIT_MS = 120_000;
-  private static final long QUIET_LIMIT_MS = 8_000;
+  private static final long DRAIN_LIMIT_MS = 8_000;
 
   private final TestEnvironment rig;
   private final Path folder;
   private final DoorFiles files;
   private final List<DoorProcess> doors = new ArrayList<>();
-  private final int net;
-  private FileChannel netLock;
+  private final int networkNumber;
+  private FileChannel networkLock;
   private ClientFleet clients;
   /** Null where doors have no versions. */
   private LaunchRecorder launches;
@@ -63,29 +64,30 @@
     rig = new TestEnvironment(terms, backends, seed);
     folder = Files.createTempDirectory("willowdoor-fleet");
     files = new DoorFiles(rig, folder, doorCount);
-    net = network();
+    networkNumber = reserveNetwork();
     for (int i = 0; i < doorCount; i++) {
       int index = i;
-      InetSocketAddress address = new InetSocketAddress("127." + net + '.' + i / 200 + '.' + (1 + i % 200),
+      InetSocketAddress address =
+          new InetSocketAddress("127." + networkNumber + '.' + i / 200 + '.' + (1 + i % 200),
           PORT);
       File log = folder.resolve("d" + i + ".log").toFile();
-      doors.add(new DoorProcess("d" + i, address, rig.ledger(),
+      doors.add(new DoorProcess("d" + i, address, rig.eventHistory(),
           () -> doorCommand(index, address), Map.of(), log));
     }
   }
 
   /** Guards against two runs at a time on the same addresses, whose clients would ask each other's doors. */
-  private int network() throws IOException {
+  private int reserveNetwork() throws IOException {
     Path folderOfLocks = Files.createDirectories(Path.of(System.getProperty("java.io.tmpdir"),
         "willowdoor-networks"));
-    int first = (int) ((ProcessHandle.current().pid() + RUNS.getAndIncrement()) % NETS);
-    for (int i = 0; i < NETS; i++) {
-      int number = FIRST_NET + (first + i) % NETS;
+    int first = (int) ((ProcessHandle.current().pid() + RUNS.getAndIncrement()) % NETWORKS);
+    for (int i = 0; i < NETWORKS; i++) {
+      int number = FIRST_NETWORK + (first + i) % NETWORKS;
       FileChannel file = FileChannel.open(folderOfLocks.resolve(Integer.toString(number)),
           StandardOpenOption.CREATE, StandardOpenOption.WRITE);
       try {
         if (file.tryLock() != null) {
-          netLock = file;
+          networkLock = file;
           return number;
         }
       } catch (OverlappingFileLockException e) {
@@ -93,7 +95,7 @@
       }
       file.close();
     }
-    throw new IOException("all " + NETS + " networks of runs are in use");
+    throw new IOException("all " + NETWORKS + " networks of runs are in use");
   }
 
   private List<String> doorCommand(int door, InetSocketAddress address) {
@@ -111,7 +113,7 @@
    * @return the words of the command that starts a version in a door's place, by the door's number: the
    *     version stands as {version}, also in its configuration's name ({@link #version})
    */
-  IntFunction<List<String>> versions(LaunchRecorder kept, String first) {
+  IntFunction<List<String>> useVersions(LaunchRecorder kept, String first) {
     launches = kept;
     version = first;
     doors.forEach(kept::follow);
@@ -124,7 +126,7 @@
   }
 
   /** Writes the configurations of a version, which differ from the doors' first ones by that. */
-  void version(String name, UnaryOperator<String> change) throws IOException {
+  void writeVersionConfigs(String name, UnaryOperator<String> change) throws IOException {
     for (int i = 0; i < doors.size(); i++) {
       Files.writeString(folder.resolve("d" + i + "-" + name + ".toml"),
           change.apply(files.text(i, doors.get(i).address())));
@@ -133,7 +135,7 @@
 
   /** The command that runs a daemon by that file, from the classes of this process. */
   public static List<String> command(Path config, boolean takeOver) {
-    List<String> words = words("daemon");
+    List<String> words = programCommand("daemon");
     words.addAll(List.of("--config", config.toString()));
     if (takeOver) {
       words.add("--take-over");
@@ -142,12 +144,12 @@
   }
 
   /** The command that runs this program's subcommand, from the classes of this process. */
-  static List<String> words(String subcommand) {
+  static List<String> programCommand(String subcommand) {
     List<String> words = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
         .toString()));
-    words.addAll(JVM);
-    if (!Boolean.getBoolean(OPTIMISED)) {
-      words.add(NOT_OPTIMISED);
+    words.addAll(JVM_OPTIONS);
+    if (!Boolean.getBoolean(OPTIMISED_PROPERTY)) {
+      words.add(NO_OPTIMISING_COMPILER);
     }
     words.addAll(List.of("-cp", System.getProperty("java.class.path"), "willowdoor.daemon.Cli", subcommand));
     return words;
@@ -166,18 +168,18 @@
   }
 
   /** Further tables of the doors' configurations; to be told before they start. */
-  public void more(String tables) {
-    more(door -> tables);
+  public void addTables(String tables) {
+    addTables(door -> tables);
   }
 
   /** The same by the door's number. */
-  public void more(IntFunction<String> tables) {
-    files.more(tables);
+  public void addTables(IntFunction<String> tables) {
+    files.addTables(tables);
   }
 
   /** An address that is this run's own, for a further process of it. */
   InetSocketAddress address(int number, int port) {
-    return new InetSocketAddress("127." + net + ".250." + (1 + number), port);
+    return new InetSocketAddress("127." + networkNumber + ".250." + (1 + number), port);
   }
 
   /** Where files of this run are, until it ends. */
@@ -186,13 +188,13 @@
   }
 
   /** Has the doors' shared counts elsewhere than at the rig's counter; to be told before they start. */
-  public void counter(String lines) {
-    counter(door -> lines);
+  public void setCounterLines(String lines) {
+    setCounterLines(door -> lines);
   }
 
   /** The same by the door's number. */
-  public void counter(IntFunction<String> lines) {
-    files.counter(lines);
+  public void setCounterLines(IntFunction<String> lines) {
+    files.setCounterLines(lines);
   }
 
   /** What one door has printed. */
@@ -205,7 +207,7 @@
   public void start(ClientFleet.Load load) throws IOException {
     doors.forEach(DoorProcess::start);
     clients = rig.fleet(doors, load);
-    if (!until(() -> clients.doorsUp() == doors.size(), START_LIMIT_MS)) {
+    if (!await(() -> clients.doorsUp() == doors.size(), START_LIMIT_MS)) {
       for (int i = 0; i < doors.size(); i++) {
         if (!clients.isUp(i)) {
           throw new IOException("door d" + i + " is not up after " + START_LIMIT_MS + " ms; it printed: "
@@ -218,7 +220,7 @@
   /** Asks nothing new, waits until all that is out has ended, and judges. */
   public Verdict finish() {
     clients.stop();
-    until(() -> clients.outstanding() == 0, QUIET_LIMIT_MS);
+    await(() -> clients.outstanding() == 0, DRAIN_LIMIT_MS);
     sleep(200);
     return rig.verdict();
   }
@@ -232,11 +234,11 @@
     Process old = door.process();
     door.replace(command(files.write(number, door.address()), true));
     return DoorProcess.join(old, limitMs) && old.exitValue() == 0
-        && until(() -> door.isAlive() && clients.isUp(number), limitMs);
+        && await(() -> door.isAlive() && clients.isUp(number), limitMs);
   }
 
   /** Waits for a condition, looking every 20 ms; false when the limit passed first. */
-  public static boolean until(BooleanSupplier condition, long limitMs) {
+  public static boolean await(BooleanSupplier condition, long limitMs) {
     long end = System.nanoTime() + limitMs * 1_000_000;
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > end) {
@@ -263,7 +265,7 @@
     if (launches != null) {
       launches.close();
     }
-    netLock.close();
+    networkLock.close();
     try (Stream<Path> all = Files.walk(folder)) {
       for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
         Files.deleteIfExists(p);
--- a/daemon/src/main/java/willowdoor/daemon/fleet/RecordGrowth.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/RecordGrowth.java
@@ -34,46 +34,47 @@
 final class RecordGrowth {
 
   private static final double LEASE_MS = 3_000;
-  private static final double BEAT_MS = 1_000;
+  private static final double HEARTBEAT_INTERVAL_MS = 1_000;
 
   private final PrintWriter out;
   private final FleetStateMachine record;
   private final int doors;
   private final List<String> incarnations = new ArrayList<>();
-  private final long[] beats;
-  private double at = 1_000;
+  private final long[] heartbeatNumbers;
+  private double nowMs = 1_000;
   private long commands;
   private long logBytes;
-  private int begun;
+  private int processCount;
 
   /** A fleet of so many doors, a tenth of which may be out. */
   RecordGrowth(PrintWriter out, int doors) {
     this.out = out;
     this.doors = doors;
-    beats = new long[doors];
+    heartbeatNumbers = new long[doors];
     Budget budget = new Budget(OutageLimit.of(Math.max(1, doors / 10)), OutageLimit.UNLIMITED, 0);
     record = new FleetStateMachine(new FleetSettings(budget, budget, LEASE_MS));
-    on(new LeaderElected(at));
+    apply(new LeaderElected(nowMs));
     for (int i = 0; i < doors; i++) {
-      incarnations.add(begin(i, "1"));
-      says(i, Activity.READY, Report.NONE);
+      incarnations.add(startProcess(i, "1"));
+      sendHeartbeat(i, Activity.READY, Report.NONE);
     }
   }
 
-  private String begin(int door, String version) {
-    String incarnation = "p" + ++begun;
-    on(new Join(at, "d" + door, incarnation, door % 2 == 0 ? "a" : "b", 1, begun, version));
+  private String startProcess(int door, String version) {
+    String incarnation = "p" + ++processCount;
+    apply(new Join(nowMs, "d" + door, incarnation, door % 2 == 0 ? "a" : "b", 1, processCount, version));
     return incarnation;
   }
 
-  private void on(Command command) {
+  private void apply(Command command) {
     commands++;
     logBytes += Codec.bytes(command).length;
     record.apply(command);
   }
 
-  private void says(int door, Activity what, Report report) {
-    on(new Heartbeats(at, List.of(new Heartbeat("d" + door, incarnations.get(door), what, ++beats[door],
+  private void sendHeartbeat(int door, Activity what, Report report) {
+    apply(new Heartbeats(nowMs,
+        List.of(new Heartbeat("d" + door, incarnations.get(door), what, ++heartbeatNumbers[door],
         record.state().index(), Set.of(), report))));
   }
 
@@ -85,48 +86,48 @@
       long bytesBefore = logBytes;
       String from = i % 2 == 1 ? "1" : "2";
       String to = i % 2 == 1 ? "2" : "1";
-      on(new StartRelease(at, "r" + i,
+      apply(new StartRelease(nowMs, "r" + i,
           new Plan(Plan.Kind.DOORS, from, to, List.of(0.02, 0.25, 1.0), 1_000, 500,
           60_000, 1_000, Comparison.DEFAULT), "ana"));
-      while (last().mode() == Release.Mode.GOING) {
-        round(to);
+      while (lastRelease().mode() == Release.Mode.GOING) {
+        playRound(to);
       }
-      if (last().mode() != Release.Mode.ENDED) {
-        throw new IllegalStateException(last().toString());
+      if (lastRelease().mode() != Release.Mode.ENDED) {
+        throw new IllegalStateException(lastRelease().toString());
       }
       if (i == next || i == releases) {
         next *= 10;
-        long from0 = System.nanoTime();
+        long encodeStartNanos = System.nanoTime();
         int size = Codec.bytes(record.state()).length;
         out.println(String.format(Locale.ROOT, "%d doors, %d releases: a snapshot has %d bytes and takes"
             + " %.1f ms; the last release was %d commands of %d bytes together", doors, i, size,
-            (System.nanoTime() - from0) / 1e6, commands - commandsBefore, logBytes - bytesBefore));
+            (System.nanoTime() - encodeStartNanos) / 1e6, commands - commandsBefore, logBytes - bytesBefore));
         out.flush();
       }
     }
   }
 
-  private Release last() {
+  private Release lastRelease() {
     List<Release> all = record.state().releases();
     return all.get(all.size() - 1);
   }
 
   /** Each door's heartbeat, and what its step asks of it. */
-  private void round(String to) {
+  private void playRound(String to) {
     for (int i = 0; i < doors; i++) {
       DoorView view = record.view("d" + i, incarnations.get(i), LEASE_MS);
       if (view.attempt() > 0 && view.version().equals(to)) {
-        says(i, Activity.EMPTY, new Report(view.attempt(), 0, Tally.NONE));
-        String old = incarnations.set(i, begin(i, to));
-        beats[i] = 0;
-        says(i, Activity.EMPTY, Report.NONE);
-        on(new Leave(at, "d" + i, old));
+        sendHeartbeat(i, Activity.EMPTY, new Report(view.attempt(), 0, Tally.NONE));
+        String old = incarnations.set(i, startProcess(i, to));
+        heartbeatNumbers[i] = 0;
+        sendHeartbeat(i, Activity.EMPTY, Report.NONE);
+        apply(new Leave(nowMs, "d" + i, old));
       }
       boolean goes = view.attempt() == 0 && view.permits().stream()
           .anyMatch(x -> x.stage() == Permit.Stage.GRANTED || x.stage() == Permit.Stage.OUT);
-      says(i, goes ? Activity.EMPTY : Activity.READY, Report.NONE);
+      sendHeartbeat(i, goes ? Activity.EMPTY : Activity.READY, Report.NONE);
     }
-    at += BEAT_MS;
-    on(new Tick(at));
+    nowMs += HEARTBEAT_INTERVAL_MS;
+    apply(new Tick(nowMs));
   }
 }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/ReleaseRun.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/ReleaseRun.java
@@ -32,24 +32,25 @@
 final class ReleaseRun implements AutoCloseable {
 
   /** What the doors have first. */
-  static final String OLD = "1.0";
+  static final String OLD_VERSION = "1.0";
   /** The same program under another name. */
-  static final String GOOD = "2.0";
+  static final String GOOD_VERSION = "2.0";
   /** Never says a word. */
-  static final String MUTE = "2.0-mute";
+  static final String SILENT_VERSION = "2.0-mute";
   /** Ends at once. */
-  static final String DEAD = "2.0-dead";
+  static final String EXITING_VERSION = "2.0-dead";
   /** Dies some seconds after its start, once it has taken over. */
-  static final String FAINT = "2.0-faint";
+  static final String CRASHING_VERSION = "2.0-faint";
   /** Serves, and refuses more: it believes in smaller plans. */
-  static final String STERN = "2.0-stern";
+  static final String STRICT_VERSION = "2.0-stern";
 
-  private static final List<String> VERSIONS = List.of(OLD, GOOD, MUTE, DEAD, FAINT, STERN);
-  private static final double STERN_SHARE = 0.4;
+  private static final List<String> VERSIONS = List
+      .of(OLD_VERSION, GOOD_VERSION, SILENT_VERSION, EXITING_VERSION, CRASHING_VERSION, STRICT_VERSION);
+  private static final double STRICT_QUOTA_SHARE = 0.4;
   /** A successor that isn't ready by then is killed. */
   private static final int READY_LIMIT_MS = 10_000;
-  private static final double LAPSE_MS = 15_000;
-  private static final long CALL_MS = 5_000;
+  private static final double LAPSE_LIMIT_MS = 15_000;
+  private static final long CALL_TIMEOUT_MS = 5_000;
 
   private final FleetRun run;
   private final Stewards stewards;
@@ -62,43 +63,45 @@
    *
    * @param budget so many doors may be out
    */
-  ReleaseRun(int keepers, int doors, int budget, double rate, long seed) throws IOException {
-    this(RunSettings.typical(), keepers, doors, budget, rate, seed);
+  ReleaseRun(int stewardCount, int doors, int budget, double rate, long seed) throws IOException {
+    this(RunSettings.typical(), stewardCount, doors, budget, rate, seed);
   }
 
   /** The same by other terms. */
-  ReleaseRun(RunSettings terms, int keepers, int doors, int budget, double rate,
+  ReleaseRun(RunSettings terms, int stewardCount, int doors, int budget, double rate,
       long seed) throws IOException {
     run = new FleetRun(terms, new BackendPool.BackendSpec(8, 4, 32, 5, 10), doors, seed);
-    run.rig().budgets(new InvariantChecker.Budgets(budget, budget, x -> x.startsWith("d"), LAPSE_MS));
-    stewards = new Stewards(run, keepers, "lease_ms = 1500\ndoors_out = " + budget + "\nbackends_out = "
+    run.rig().budgets(new InvariantChecker.Budgets(budget, budget, x -> x.startsWith("d"), LAPSE_LIMIT_MS));
+    stewards = new Stewards(run, stewardCount, "lease_ms = 1500\ndoors_out = " + budget + "\nbackends_out = "
         + budget
         + "\n");
-    launches = new LaunchRecorder(run.rig().ledger(), run.folder());
-    IntFunction<List<String>> successor = run.versions(launches, OLD);
-    stewards.more(door -> "successor = [" + successor.apply(door).stream().map(x -> '"' + x + '"')
+    launches = new LaunchRecorder(run.rig().eventHistory(), run.folder());
+    IntFunction<List<String>> successor = run.useVersions(launches, OLD_VERSION);
+    stewards.addLines(door -> "successor = [" + successor.apply(door).stream().map(x -> '"' + x + '"')
         .collect(Collectors.joining(", ")) + "]\n");
     for (String version : VERSIONS) {
-      run.version(version, text -> changed(version, text));
+      run.writeVersionConfigs(version, text -> configOf(version, text));
     }
     stewards.start();
     run.start(new ClientFleet.Load(rate, 40, 0.1, 5, 1));
     run.clients().start();
     operator = stewards.operator("ana");
-    if (!FleetRun.until(() -> knows(doors), 30_000)) {
-      throw new IOException("not all doors are known after 30 s: " + stewards.look());
+    if (!FleetRun.await(() -> allDoorsKnown(doors), 30_000)) {
+      throw new IOException("not all doors are known after 30 s: " + stewards.status());
     }
   }
 
-  private boolean knows(int doors) {
-    FleetStatus s = stewards.look();
+  private boolean allDoorsKnown(int doors) {
+    FleetStatus s = stewards.status();
     return s != null && s.doors() == doors && s.doorsOut() == 0 && s.backendsOut() == 0;
   }
 
-  private static String changed(String version, String text) {
+  private static String configOf(String version, String text) {
     String limited = text.replace("[take_over]", "[take_over]\nready_limit_ms = " + READY_LIMIT_MS);
-    return !version.equals(STERN) ? limited : limited.lines().map(line -> line.startsWith("units_per_s = ")
-        ? "units_per_s = " + STERN_SHARE * Double.parseDouble(line.substring("units_per_s = ".length()))
+    return !version.equals(STRICT_VERSION) ? limited
+        : limited.lines().map(line -> line.startsWith("units_per_s = ")
+        ? "units_per_s = " + STRICT_QUOTA_SHARE
+        * Double.parseDouble(line.substring("units_per_s = ".length()))
             : line)
         .collect(Collectors.joining("\n", "", "\n"));
   }
@@ -109,7 +112,7 @@
   }
 
   static Plan plan(String to, double bakeMs) {
-    return new Plan(Plan.Kind.DOORS, OLD, to, List.of(0.01, 0.4, 1.0), bakeMs, 1_500, 30_000, 1_500,
+    return new Plan(Plan.Kind.DOORS, OLD_VERSION, to, List.of(0.01, 0.4, 1.0), bakeMs, 1_500, 30_000, 1_500,
         new Comparison(1.25, 2.5,
         0.01, 2));
   }
@@ -128,20 +131,20 @@
 
   /** Asks for a release; null where nobody answered. */
   Outcome start(Plan plan) throws InterruptedException {
-    note(EventHistory.Kind.LET_ON, plan, plan.to());
-    return outcome(operator.put(new StartRelease(0, "start-" + ++requests, plan, "ana"), CALL_MS));
+    recordEvent(EventHistory.Kind.LET_ON, plan, plan.to());
+    return outcome(operator.put(new StartRelease(0, "start-" + ++requests, plan, "ana"), CALL_TIMEOUT_MS));
   }
 
   /** Steers the last release; null where nobody answered. */
   Outcome steer(Steering what) throws InterruptedException {
-    Release last = awaitRelease(x -> true, CALL_MS);
+    Release last = awaitRelease(x -> true, CALL_TIMEOUT_MS);
     if (last != null && (what == Steering.BACK || what == Steering.RESUME)) {
-      note(EventHistory.Kind.LET_ON, last.plan(),
+      recordEvent(EventHistory.Kind.LET_ON, last.plan(),
           what == Steering.BACK ? last.plan().from() : last.targetVersion());
     }
     return last == null ? null : outcome(operator.put(new SteerRelease(0, "steer-" + ++requests, last.id(),
         what,
-        "ana"), CALL_MS));
+        "ana"), CALL_TIMEOUT_MS));
   }
 
   private static Outcome outcome(Answer answer) {
@@ -149,37 +152,38 @@
   }
 
   /** The last release as it stands; null where there is none, or nobody says so. */
-  Release look() {
-    FleetStatus s = stewards.look();
+  Release lastRelease() {
+    FleetStatus s = stewards.status();
     return s == null || s.releases().isEmpty() ? null : s.releases().get(s.releases().size() - 1);
   }
 
   /** Waits until the last release is so; null where it wasn't within the time. */
-  Release awaitRelease(Predicate<Release> so, long limitMs) {
+  Release awaitRelease(Predicate<Release> condition, long limitMs) {
     Release[] found = {null};
-    FleetRun.until(() -> {
-      Release now = look();
-      found[0] = now != null && so.test(now) ? now : null;
+    FleetRun.await(() -> {
+      Release now = lastRelease();
+      found[0] = now != null && condition.test(now) ? now : null;
       return found[0] != null;
     }, limitMs);
     return found[0];
   }
 
   /** Waits until it has ended, or is halted with nothing under way; null where it wasn't within the time. */
-  Release awaitStill(long limitMs) {
-    Release still = awaitRelease(x -> x.mode() == Mode.ENDED || x.mode() == Mode.HALTED && x.hasStopped(),
+  Release awaitSettled(long limitMs) {
+    Release settled = awaitRelease(x -> x.mode() == Mode.ENDED || x.mode() == Mode.HALTED && x.hasStopped(),
         limitMs);
-    if (still != null) {
-      note(still.mode() == Mode.ENDED ? EventHistory.Kind.RELEASED : EventHistory.Kind.HALTED, still.plan(),
-          still.targetVersion());
+    if (settled != null) {
+      recordEvent(settled.mode() == Mode.ENDED ? EventHistory.Kind.RELEASED : EventHistory.Kind.HALTED,
+          settled.plan(),
+          settled.targetVersion());
     }
-    return still;
+    return settled;
   }
 
   /** The versions that the ledger knows of are the doors'. */
-  private void note(EventHistory.Kind kind, Plan plan, String version) {
+  private void recordEvent(EventHistory.Kind kind, Plan plan, String version) {
     if (plan.of() == Plan.Kind.DOORS) {
-      run.rig().ledger().addMachineEntry(kind, "", version);
+      run.rig().eventHistory().addMachineEntry(kind, "", version);
     }
   }
 
--- a/daemon/src/main/java/willowdoor/daemon/fleet/ReleasedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/ReleasedCommand.java
@@ -38,11 +38,12 @@
 
   private static final long RELEASE_LIMIT_MS = 300_000;
   private static final long BEGIN_LIMIT_MS = 30_000;
-  private static final long TIDY_LIMIT_MS = 180_000;
-  private static final double WITHIN_MS = 8_000;
+  private static final long CLEANUP_LIMIT_MS = 180_000;
+  private static final double FAULTS_WITHIN_MS = 8_000;
   private static final long CUT_MS = 20_000;
-  private static final List<String> BAD = List.of(ReleaseRun.MUTE, ReleaseRun.DEAD, ReleaseRun.FAINT,
-      ReleaseRun.STERN);
+  private static final List<String> BAD_VERSIONS = List
+      .of(ReleaseRun.SILENT_VERSION, ReleaseRun.EXITING_VERSION, ReleaseRun.CRASHING_VERSION,
+      ReleaseRun.STRICT_VERSION);
 
   @Parameters(paramLabel = "RUN", description = "${COMPLETION-CANDIDATES}")
   private Run what;
@@ -67,14 +68,14 @@
   private CommandSpec spec;
   private PrintWriter out;
   private int breaches;
-  private final Histogram tookMs = new Histogram(3);
+  private final Histogram releaseMs = new Histogram(3);
   private final Histogram haltedMs = new Histogram(3);
   private final Histogram backMs = new Histogram(3);
 
   @Override
   public Integer call() throws IOException, InterruptedException {
     out = spec.commandLine().getOut();
-    say("%d stewards, %d doors, %.0f requests/s, at most %d doors out, seed %d", stewards, doors, rate,
+    print("%d stewards, %d doors, %.0f requests/s, at most %d doors out, seed %d", stewards, doors, rate,
         budget,
         seed);
     try (ReleaseRun run = new ReleaseRun(stewards, doors, budget, rate, seed)) {
@@ -82,7 +83,7 @@
         switch (what) {
           case schedules -> schedule(run, seed + i);
           case good -> good(run, i);
-          case bad -> bad(run, BAD.get(i % BAD.size()));
+          case bad -> bad(run, BAD_VERSIONS.get(i % BAD_VERSIONS.size()));
           case broken -> broken(run);
           default -> throw new IllegalStateException(what.name());
         }
@@ -90,27 +91,27 @@
       }
       Verdict verdict = run.run().finish();
       out.print(verdict);
-      for (Histogram h : List.of(tookMs, haltedMs, backMs)) {
+      for (Histogram h : List.of(releaseMs, haltedMs, backMs)) {
         if (h.getTotalCount() > 0) {
-          say("%s: %d, p50 %d ms, most %d ms", h == tookMs ? "released" : h == haltedMs
+          print("%s: %d, p50 %d ms, most %d ms", h == releaseMs ? "released" : h == haltedMs
               ? "halted after the first start of the version" : "back after it was asked for",
               h.getTotalCount(), h.getValueAtPercentile(50), h.getMaxValue());
         }
       }
       breaches += verdict.violations().size();
-      say("breaches %d", breaches);
+      print("breaches %d", breaches);
       return breaches == 0 ? 0 : 1;
     }
   }
 
-  private void say(String form, Object... values) {
+  private void print(String form, Object... values) {
     out.println(String.format(Locale.ROOT, form, values));
     out.flush();
   }
 
-  private void breach(String text) {
+  private void reportBreach(String text) {
     breaches++;
-    say("BREACH: %s", text);
+    print("BREACH: %s", text);
   }
 
   private Plan plan(String from, String to) {
@@ -118,14 +119,14 @@
         Comparison.DEFAULT);
   }
 
-  private static long since(long nanos) {
+  private static long elapsedMs(long nanos) {
     return (System.nanoTime() - nanos) / 1_000_000;
   }
 
   private Release begin(ReleaseRun run, Plan plan) throws InterruptedException {
     Outcome outcome = run.start(plan);
     if (!(outcome instanceof Outcome.ReleaseStarted e)) {
-      breach("a release of " + plan.to() + " could not begin: " + outcome);
+      reportBreach("a release of " + plan.to() + " could not begin: " + outcome);
       return null;
     }
     return run.awaitRelease(x -> x.id() == e.release(), RELEASE_LIMIT_MS);
@@ -134,78 +135,82 @@
   /** There and back again by turns; a halt is one without a cause. */
   private void good(ReleaseRun run, int number) throws InterruptedException {
     long from = System.nanoTime();
-    AtomicBoolean going = new AtomicBoolean(true);
-    AtomicInteger most = new AtomicInteger();
+    AtomicBoolean running = new AtomicBoolean(true);
+    AtomicInteger maxDoorsOut = new AtomicInteger();
     Thread watching = new Thread(() -> {
-      while (going.get()) {
-        FleetStatus s = run.stewards().look();
-        most.accumulateAndGet(s == null ? 0 : s.doorsOut(), Math::max);
+      while (running.get()) {
+        FleetStatus s = run.stewards().status();
+        maxDoorsOut.accumulateAndGet(s == null ? 0 : s.doorsOut(), Math::max);
         FleetRun.sleep(50);
       }
     }, "watching");
     watching.start();
-    begin(run, plan(ReleaseRun.OLD, ReleaseRun.GOOD));
-    Release still = run.awaitStill(RELEASE_LIMIT_MS);
-    going.set(false);
+    begin(run, plan(ReleaseRun.OLD_VERSION, ReleaseRun.GOOD_VERSION));
+    Release settled = run.awaitSettled(RELEASE_LIMIT_MS);
+    running.set(false);
     watching.join();
-    if (still == null) {
-      breach("release " + number + " neither ended nor halted: " + run.look());
+    if (settled == null) {
+      reportBreach("release " + number + " neither ended nor halted: " + run.lastRelease());
       return;
     }
-    say("good release %d: %s after %d ms, at most %d doors out", number, still.mode() == Mode.ENDED ? "ended"
-        : "HALTED WITHOUT A CAUSE (" + still.why() + ")", since(from), most.get());
-    tookMs.recordValue(since(from));
-    if (most.get() > budget) {
-      breach(most + " doors were out");
+    print("good release %d: %s after %d ms, at most %d doors out", number,
+        settled.mode() == Mode.ENDED ? "ended"
+        : "HALTED WITHOUT A CAUSE (" + settled.why() + ")", elapsedMs(from), maxDoorsOut.get());
+    releaseMs.recordValue(elapsedMs(from));
+    if (maxDoorsOut.get() > budget) {
+      reportBreach(maxDoorsOut + " doors were out");
     }
   }
 
   private void bad(ReleaseRun run, String version) throws InterruptedException {
     long from = System.nanoTime();
-    begin(run, plan(ReleaseRun.OLD, version));
-    FleetRun.until(() -> run.launches().doorsStarted(version) > 0, BEGIN_LIMIT_MS);
+    begin(run, plan(ReleaseRun.OLD_VERSION, version));
+    FleetRun.await(() -> run.launches().doorsStarted(version) > 0, BEGIN_LIMIT_MS);
     long began = System.nanoTime();
-    Release still = run.awaitStill(RELEASE_LIMIT_MS);
-    if (still == null || still.mode() != Mode.HALTED) {
-      breach(version + " was not halted: " + run.look());
+    Release settled = run.awaitSettled(RELEASE_LIMIT_MS);
+    if (settled == null || settled.mode() != Mode.HALTED) {
+      reportBreach(version + " was not halted: " + run.lastRelease());
       return;
     }
-    haltedMs.recordValue(since(began));
-    say("%s: halted %d ms after its first start, %d ms after it was asked for; %d doors got it: %s", version,
-        since(began), since(from), run.launches().doorsStarted(version), still.why());
+    haltedMs.recordValue(elapsedMs(began));
+    print("%s: halted %d ms after its first start, %d ms after it was asked for; %d doors got it: %s",
+        version,
+        elapsedMs(began), elapsedMs(from), run.launches().doorsStarted(version), settled.why());
   }
 
   private void broken(ReleaseRun run) throws InterruptedException {
     long from = System.nanoTime();
-    begin(run, plan(ReleaseRun.OLD, ReleaseRun.GOOD));
-    run.awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD) >= 2, RELEASE_LIMIT_MS);
+    begin(run, plan(ReleaseRun.OLD_VERSION, ReleaseRun.GOOD_VERSION));
+    run.awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD_VERSION) >= 2, RELEASE_LIMIT_MS);
     DoorProcess leader = run.stewards().processes().get(Math.max(0, run.stewards().leader()));
     leader.kill();
-    run.awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD) >= 4, RELEASE_LIMIT_MS);
+    run.awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD_VERSION) >= 4, RELEASE_LIMIT_MS);
     leader.start();
     for (int i = 1; i < doors; i += 2) {
-      run.stewards().door(i, FaultyLink.Mode.SILENT);
+      run.stewards().setDoorLinks(i, FaultyLink.Mode.SILENT);
     }
     FleetRun.sleep(CUT_MS);
-    run.stewards().mend();
+    run.stewards().restoreAll();
     for (int i = 1; i < doors; i += 2) {
-      run.stewards().door(i, FaultyLink.Mode.WHOLE);
+      run.stewards().setDoorLinks(i, FaultyLink.Mode.WHOLE);
     }
-    Release still = run.awaitStill(RELEASE_LIMIT_MS);
-    say("the leader killed, zone b cut off for %d s: %s after %d ms", CUT_MS / 1_000, still == null
-        ? "neither ended nor halted" : still.mode() + " (" + still.why() + ")", since(from));
-    if (still == null || still.mode() != Mode.ENDED) {
-      breach("not all doors have it: " + run.look());
+    Release settled = run.awaitSettled(RELEASE_LIMIT_MS);
+    print("the leader killed, zone b cut off for %d s: %s after %d ms", CUT_MS / 1_000, settled == null
+        ? "neither ended nor halted" : settled.mode() + " (" + settled.why() + ")", elapsedMs(from));
+    if (settled == null || settled.mode() != Mode.ENDED) {
+      reportBreach("not all doors have it: " + run.lastRelease());
     }
   }
 
   private void schedule(ReleaseRun run, long number) throws InterruptedException {
     Random random = new Random(number);
-    String version = random.nextInt(3) > 0 ? ReleaseRun.GOOD : BAD.get(random.nextInt(BAD.size()));
-    AgreedSchedule faults = AgreedSchedule.drawn(number, stewards, doors, WITHIN_MS);
+    String version = random.nextInt(3) > 0 ? ReleaseRun.GOOD_VERSION
+        : BAD_VERSIONS.get(random.nextInt(BAD_VERSIONS.size()));
+    AgreedSchedule faults = AgreedSchedule.draw(number, stewards, doors, FAULTS_WITHIN_MS);
     Steering steering = Steering.values()[random.nextInt(Steering.values().length)];
     long steerAfterMs = 1_000 + random.nextInt(10_000);
-    say("schedule %d at %.0f ms: %s, %s after %d ms, %s", number, run.run().rig().ledger().now(), version,
+    print("schedule %d at %.0f ms: %s, %s after %d ms, %s", number, run.run().rig().eventHistory().now(),
+        version,
         steering, steerAfterMs, faults.faults());
     Thread causing = new Thread(() -> {
       try {
@@ -214,7 +219,7 @@
         Thread.currentThread().interrupt();
       }
     }, "causing");
-    begin(run, plan(ReleaseRun.OLD, version));
+    begin(run, plan(ReleaseRun.OLD_VERSION, version));
     causing.start();
     Thread.sleep(steerAfterMs);
     run.steer(steering);
@@ -223,41 +228,43 @@
       run.steer(Steering.RESUME);
     }
     causing.join();
-    Release still = run.awaitStill(TIDY_LIMIT_MS);
-    say("  %s", still == null ? "neither ended nor halted: " + run.look() : still.course() + " "
-        + still.mode()
-        + ": " + still.why());
+    Release settled = run.awaitSettled(CLEANUP_LIMIT_MS);
+    print("  %s", settled == null ? "neither ended nor halted: " + run.lastRelease() : settled.course() + " "
+        + settled.mode()
+        + ": " + settled.why());
   }
 
   /** Every door as in the beginning: the way back where it stands, or a release of the old version. */
   private void restore(ReleaseRun run) throws InterruptedException {
     run.run().doors().forEach(DoorProcess::start);
-    Release last = run.look();
+    Release last = run.lastRelease();
     if (last == null) {
-      last = run.awaitRelease(x -> true, TIDY_LIMIT_MS);
+      last = run.awaitRelease(x -> true, CLEANUP_LIMIT_MS);
     }
     long from = System.nanoTime();
     boolean back = last != null && last.mode() != Mode.ENDED;
     if (back) {
       run.steer(Steering.BACK);
-    } else if (last != null && !last.targetVersion().equals(ReleaseRun.OLD)) {
+    } else if (last != null && !last.targetVersion().equals(ReleaseRun.OLD_VERSION)) {
       begin(run,
-          new Plan(Plan.Kind.DOORS, last.targetVersion(), ReleaseRun.OLD, List.of(1.0), 0, 1_500, 60_000,
+          new Plan(Plan.Kind.DOORS, last.targetVersion(), ReleaseRun.OLD_VERSION, List.of(1.0), 0, 1_500,
+          60_000,
           2_000, Comparison.DEFAULT));
     }
-    Release ended = run.awaitStill(TIDY_LIMIT_MS);
+    Release ended = run.awaitSettled(CLEANUP_LIMIT_MS);
     for (int i = 0; i < 3 && ended != null && ended.mode() != Mode.ENDED; i++) {
-      say("  halted on the way back: %s", ended.why());
+      print("  halted on the way back: %s", ended.why());
       run.steer(Steering.BACK);
-      ended = run.awaitStill(TIDY_LIMIT_MS);
+      ended = run.awaitSettled(CLEANUP_LIMIT_MS);
     }
     if (ended == null || ended.mode() != Mode.ENDED) {
-      breach("not back after " + TIDY_LIMIT_MS + " ms: " + run.look());
+      reportBreach("not back after " + CLEANUP_LIMIT_MS + " ms: " + run.lastRelease());
     } else if (back) {
-      backMs.recordValue(since(from));
+      backMs.recordValue(elapsedMs(from));
     }
-    if (!FleetRun.until(() -> run.versions().stream().allMatch(ReleaseRun.OLD::equals), TIDY_LIMIT_MS)) {
-      breach("these versions are there at the end: " + run.versions());
+    if (!FleetRun
+        .await(() -> run.versions().stream().allMatch(ReleaseRun.OLD_VERSION::equals), CLEANUP_LIMIT_MS)) {
+      reportBreach("these versions are there at the end: " + run.versions());
     }
   }
 }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/Stewards.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/Stewards.java
@@ -30,48 +30,49 @@
   private final String terms;
   private final List<DoorProcess> processes = new ArrayList<>();
   /** From the first steward to the second; null from each to itself. */
-  private final FaultyLink[][] between;
+  private final FaultyLink[][] stewardLinks;
   /** From the door to the steward. */
-  private final FaultyLink[][] doors;
-  private IntFunction<String> more = door -> "";
-  private boolean begun;
+  private final FaultyLink[][] doorLinks;
+  private IntFunction<String> extraLines = door -> "";
+  private boolean started;
 
   Stewards(FleetRun run, int count, String terms) {
     this.run = run;
     this.terms = terms;
-    between = new FaultyLink[count][count];
-    doors = new FaultyLink[run.doors().size()][count];
+    stewardLinks = new FaultyLink[count][count];
+    doorLinks = new FaultyLink[run.doors().size()][count];
     for (int i = 0; i < count; i++) {
       for (int k = 0; k < count; k++) {
-        between[i][k] = i == k ? null : run.rig().relay(address(k));
+        stewardLinks[i][k] = i == k ? null : run.rig().relay(address(k));
       }
       int me = i;
-      processes.add(new DoorProcess("s" + i, address(i), run.rig().ledger(), () -> command(me), Map.of(),
+      processes.add(
+          new DoorProcess("s" + i, address(i), run.rig().eventHistory(), () -> command(me), Map.of(),
           run.folder().resolve("s" + i + ".log").toFile()));
     }
-    for (int d = 0; d < doors.length; d++) {
+    for (int d = 0; d < doorLinks.length; d++) {
       for (int k = 0; k < count; k++) {
-        doors[d][k] = run.rig().relay(address(k));
+        doorLinks[d][k] = run.rig().relay(address(k));
       }
     }
-    run.more(this::table);
+    run.addTables(this::agreementTable);
   }
 
   private InetSocketAddress address(int steward) {
     return run.address(steward, PORT);
   }
 
-  private String table(int door) {
-    return "[agreement]\nenabled = true\nstewards = [" + texts(List.of(doors[door])) + "]\n"
-        + more.apply(door);
+  private String agreementTable(int door) {
+    return "[agreement]\nenabled = true\nstewards = [" + quotedAddresses(List.of(doorLinks[door])) + "]\n"
+        + extraLines.apply(door);
   }
 
   /** Further lines of the doors' tables of agreement; to be told before they start. */
-  void more(IntFunction<String> lines) {
-    more = lines;
+  void addLines(IntFunction<String> lines) {
+    extraLines = lines;
   }
 
-  private static String texts(List<FaultyLink> relays) {
+  private static String quotedAddresses(List<FaultyLink> relays) {
     return relays.stream().map(r -> '"' + StandIns.text(r.address()) + '"').collect(Collectors.joining(", "));
   }
 
@@ -80,7 +81,7 @@
         + run.folder().resolve("s" + me + ".db") + "\"\n");
     for (int k = 0; k < processes.size(); k++) {
       text.append("[[member]]\nname = \"s").append(k).append("\"\naddress = \"")
-          .append(StandIns.text(k == me ? address(k) : between[me][k].address())).append("\"\n");
+          .append(StandIns.text(k == me ? address(k) : stewardLinks[me][k].address())).append("\"\n");
     }
     Path file = run.folder().resolve("s" + me + ".toml");
     try {
@@ -88,9 +89,9 @@
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    List<String> words = new ArrayList<>(FleetRun.words("steward"));
+    List<String> words = new ArrayList<>(FleetRun.programCommand("steward"));
     words.addAll(List.of("--config", file.toString()));
-    if (!begun) {
+    if (!started) {
       words.add("--begin");
     }
     return words;
@@ -99,14 +100,14 @@
   /** Starts all on new disks, and waits until one leads. */
   void start() throws IOException {
     processes.forEach(DoorProcess::start);
-    begun = true;
-    if (!FleetRun.until(() -> look() != null, 30_000)) {
+    started = true;
+    if (!FleetRun.await(() -> status() != null, 30_000)) {
       throw new IOException("no steward leads after 30 s; the first printed: " + log(0));
     }
   }
 
   /** How all stands, or null where nobody says so within a second. */
-  FleetStatus look() {
+  FleetStatus status() {
     try (OperatorClient operator = operator("look")) {
       return operator.status(1_000) instanceof Answer.Stands e ? e.standing() : null;
     } catch (InterruptedException e) {
@@ -116,11 +117,11 @@
   }
 
   /** The same, asked until somebody says so. */
-  FleetStatus awaitLook() {
-    FleetStatus standing = look();
+  FleetStatus awaitStatus() {
+    FleetStatus standing = status();
     while (standing == null) {
       FleetRun.sleep(50);
-      standing = look();
+      standing = status();
     }
     return standing;
   }
@@ -136,7 +137,7 @@
 
   /** The number of the one that leads by the others' word; -1 where nobody says so. */
   int leader() {
-    var standing = look();
+    var standing = status();
     return standing == null ? -1 : Integer.parseInt(standing.leader().substring(1));
   }
 
@@ -146,39 +147,39 @@
   }
 
   /** Has the links of a steward, to and from the others and from the doors, be so. */
-  void steward(int steward, FaultyLink.Mode mode) {
+  void setStewardLinks(int steward, FaultyLink.Mode mode) {
     for (int k = 0; k < processes.size(); k++) {
       if (k != steward) {
-        between[steward][k].setMode(mode);
-        between[k][steward].setMode(mode);
+        stewardLinks[steward][k].setMode(mode);
+        stewardLinks[k][steward].setMode(mode);
       }
     }
-    for (FaultyLink[] door : doors) {
+    for (FaultyLink[] door : doorLinks) {
       door[steward].setMode(mode);
     }
   }
 
   /** Has one directed link between stewards be so. */
-  void between(int from, int to, FaultyLink.Mode mode) {
-    between[from][to].setMode(mode);
+  void setLink(int from, int to, FaultyLink.Mode mode) {
+    stewardLinks[from][to].setMode(mode);
   }
 
   /** Has the links of a door to all stewards be so. */
-  void door(int door, FaultyLink.Mode mode) {
-    for (FaultyLink link : doors[door]) {
+  void setDoorLinks(int door, FaultyLink.Mode mode) {
+    for (FaultyLink link : doorLinks[door]) {
       link.setMode(mode);
     }
   }
 
   /** Bytes between doors and stewards so far, and between stewards. */
-  long[] passed() {
+  long[] relayedBytes() {
     long[] sums = new long[2];
-    for (FaultyLink[] door : doors) {
+    for (FaultyLink[] door : doorLinks) {
       for (FaultyLink link : door) {
         sums[0] += link.bytesForwarded();
       }
     }
-    for (FaultyLink[] steward : between) {
+    for (FaultyLink[] steward : stewardLinks) {
       for (FaultyLink link : steward) {
         sums[1] += link == null ? 0 : link.bytesForwarded();
       }
@@ -187,7 +188,7 @@
   }
 
   /** Bytes of a steward's record on its disk. */
-  long stored(int steward) throws IOException {
+  long storedBytes(int steward) throws IOException {
     long sum = 0;
     for (String end : new String[] {"", "-wal"}) {
       Path file = run.folder().resolve("s" + steward + ".db" + end);
@@ -197,9 +198,9 @@
   }
 
   /** All links whole, all processes there and going on. */
-  void mend() {
+  void restoreAll() {
     for (int i = 0; i < processes.size(); i++) {
-      steward(i, FaultyLink.Mode.WHOLE);
+      setStewardLinks(i, FaultyLink.Mode.WHOLE);
       processes.get(i).setSuspended(false);
       processes.get(i).start();
     }
--- a/daemon/src/test/java/willowdoor/daemon/fleet/AgreedTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/AgreedTest.java
@@ -46,7 +46,7 @@
 class AgreedTest {
 
   private static final long LIMIT_MS = 20_000;
-  private static final int MANAGED = 20;
+  private static final int MANAGEMENT_ADDRESS_OFFSET = 20;
   private static final String TERMS = "lease_ms = 1500\ndoors_out = 1\nbackends_out = 1\n";
 
   private final AtomicInteger requests = new AtomicInteger();
@@ -59,13 +59,14 @@
     run = new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(4, 4, 32, 5, 10), 3, 7);
     run.rig().budgets(new InvariantChecker.Budgets(1, 1, x -> x.startsWith("d"), 15_000));
     stewards = new Stewards(run, 3, TERMS);
-    stewards.more(door -> "management = \"" + StandIns.text(run.address(MANAGED + door, 7300)) + "\"\n");
+    stewards.addLines(door ->
+        "management = \"" + StandIns.text(run.address(MANAGEMENT_ADDRESS_OFFSET + door, 7300)) + "\"\n");
     stewards.start();
     run.start(new ClientFleet.Load(60, 20, 0.1, 5, 1));
     run.clients().start();
     operator = stewards.operator("ana");
     await("all doors and backends known", () -> {
-      FleetStatus s = stewards.look();
+      FleetStatus s = stewards.status();
       return s != null && s.doors() == 3 && s.doorsOut() == 0 && s.backends() == 4 && s.backendsOut() == 0;
     });
   }
@@ -78,8 +79,8 @@
   }
 
   private void await(String what, BooleanSupplier condition) {
-    if (!FleetRun.until(condition, LIMIT_MS)) {
-      throw new AssertionError("not within " + LIMIT_MS + " ms: " + what + "; " + stewards.look());
+    if (!FleetRun.await(condition, LIMIT_MS)) {
+      throw new AssertionError("not within " + LIMIT_MS + " ms: " + what + "; " + stewards.status());
     }
   }
 
@@ -98,35 +99,36 @@
     return assertInstanceOf(Answer.Came.class, answer, answer::toString).outcome();
   }
 
-  private void granted(Subject subject, String name) throws InterruptedException {
+  private void requestGranted(Subject subject, String name) throws InterruptedException {
     Granted granted = assertInstanceOf(Granted.class, ask(subject));
-    run.rig().ledger().addMachineEntry(EventHistory.Kind.PERMITTED, name, Long.toString(granted.permit()));
+    run.rig().eventHistory()
+        .addMachineEntry(EventHistory.Kind.PERMITTED, name, Long.toString(granted.permit()));
   }
 
-  private void giveBack(Subject subject, String name) throws InterruptedException {
-    run.rig().ledger().addMachineEntry(EventHistory.Kind.GIVEN_BACK, name, "");
-    long permit = stewards.look().permits().stream().filter(x -> x.subject().equals(subject)).findFirst()
+  private void returnPermit(Subject subject, String name) throws InterruptedException {
+    run.rig().eventHistory().addMachineEntry(EventHistory.Kind.GIVEN_BACK, name, "");
+    long permit = stewards.status().permits().stream().filter(x -> x.subject().equals(subject)).findFirst()
         .orElseThrow().id();
     assertInstanceOf(Answer.Came.class, operator.put(new ReturnPermit(0, subject, permit, "ana"), LIMIT_MS));
   }
 
   private Stage stage(Subject subject) {
-    FleetStatus s = stewards.look();
+    FleetStatus s = stewards.status();
     return s == null ? null : s.permits().stream().filter(x -> x.subject().equals(subject))
         .map(x -> x.stage()).findFirst().orElse(null);
   }
 
   private void awaitOut(int backend) {
     await("out", () -> stage(backend(backend)) == Stage.OUT);
-    run.rig().ledger().addMachineEntry(EventHistory.Kind.OUT, "b" + backend, "");
+    run.rig().eventHistory().addMachineEntry(EventHistory.Kind.OUT, "b" + backend, "");
   }
 
   private boolean says(int door, Activity what) {
-    FleetStatus s = stewards.look();
+    FleetStatus s = stewards.status();
     return s != null && s.lives().stream().anyMatch(x -> x.door().equals("d" + door) && x.doing() == what);
   }
 
-  private void kept() {
+  private void assertRulesKept() {
     InvariantChecker.Verdict verdict = run.finish();
     assertTrue(verdict.passed(), verdict::toString);
     assertTrue(verdict.served() > 0, verdict::toString);
@@ -134,99 +136,100 @@
 
   @Test
   void doorsGoOutOneAtATimeAndBackendsAreOutWhenNobodySendsThereAnyMore() throws Exception {
-    granted(door(0), "d0");
+    requestGranted(door(0), "d0");
     await("d0 sends clients away", () -> says(0, Activity.EMPTY) && !run.clients().isUp(0));
     assertInstanceOf(Waiting.class, ask(door(1)));
-    granted(backend(2), "b2");
+    requestGranted(backend(2), "b2");
     awaitOut(2);
     assertInstanceOf(Waiting.class, ask(backend(3)));
     FleetRun.sleep(500);
-    giveBack(door(0), "d0");
+    returnPermit(door(0), "d0");
     await("d0 back, then d1 out", () -> run.clients().isUp(0) && says(1, Activity.EMPTY));
-    giveBack(backend(2), "b2");
+    returnPermit(backend(2), "b2");
     await("b3 in its place", () -> stage(backend(3)) == Stage.OUT && stage(backend(2)) == null);
-    kept();
+    assertRulesKept();
   }
 
   /** A door that is killed counts as out, so nothing else may go; back, it makes room. */
   @Test
-  void whatFailuresTookCounts() throws Exception {
+  void aKilledDoorCountsAgainstTheBudget() throws Exception {
     run.doors().get(2).kill();
-    await("d2 counts as out", () -> stewards.look() != null && stewards.look().doorsOut() == 1);
+    await("d2 counts as out", () -> stewards.status() != null && stewards.status().doorsOut() == 1);
     assertInstanceOf(Waiting.class, ask(door(0)));
     run.doors().get(2).start();
     await("d0 out", () -> says(0, Activity.EMPTY));
-    kept();
+    assertRulesKept();
   }
 
   /** In the middle of it, and with all at once: what was told yes holds. */
   @Test
-  void aLeaderIsKilledThenAllStewards() throws Exception {
-    granted(door(0), "d0");
+  void permitsSurviveAKilledLeaderAndThenAllStewards() throws Exception {
+    requestGranted(door(0), "d0");
     stewards.processes().get(stewards.leader()).kill();
     assertInstanceOf(Waiting.class, ask(door(1)));
     stewards.processes().forEach(DoorProcess::kill);
     assertInstanceOf(Answer.Failed.class, operator.status(500));
-    stewards.mend();
-    await("back", () -> stewards.look() != null);
+    stewards.restoreAll();
+    await("back", () -> stewards.status() != null);
     assertNotEquals(null, stage(door(0)));
-    giveBack(door(0), "d0");
+    returnPermit(door(0), "d0");
     await("d1", () -> says(1, Activity.EMPTY));
-    kept();
+    assertRulesKept();
   }
 
   /** Cut off from the stewards and not from the backend: nobody is told that it is out until it knows. */
   @Test
   void aBackendIsNotOutWhileADoorThatWasCutOffMaySendThere() throws Exception {
-    stewards.door(1, FaultyLink.Mode.SILENT);
-    granted(backend(0), "b0");
+    stewards.setDoorLinks(1, FaultyLink.Mode.SILENT);
+    requestGranted(backend(0), "b0");
     await("held up by d1 alone", () -> {
-      FleetStatus s = stewards.look();
+      FleetStatus s = stewards.status();
       return s != null && s.held().get(0).size() == 1 && s.held().get(0).get(0).startsWith("d1/");
     });
     FleetRun.sleep(2_500);
     assertEquals(Stage.GRANTED, stage(backend(0)));
-    stewards.door(1, FaultyLink.Mode.WHOLE);
+    stewards.setDoorLinks(1, FaultyLink.Mode.WHOLE);
     awaitOut(0);
     FleetRun.sleep(500);
-    kept();
+    assertRulesKept();
   }
 
   /** Stopped for longer than a lease; it goes on, and can give nothing away by what it believed. */
   @Test
-  void aLeaderIsStoppedAndGoesOn() throws Exception {
+  void aStoppedLeaderGrantsNothingAfterItResumes() throws Exception {
     int old = stewards.leader();
     stewards.processes().get(old).setSuspended(true);
-    granted(door(0), "d0");
+    requestGranted(door(0), "d0");
     FleetRun.sleep(2_000);
     stewards.processes().get(old).setSuspended(false);
     assertInstanceOf(Waiting.class, ask(door(1)));
     assertNotEquals(old, stewards.leader());
-    kept();
+    assertRulesKept();
   }
 
   /** Begun anew while no steward is reached, it goes by what the process before it kept. */
   @Test
   void aDoorThatIsStartedWithoutContactSendsToNoneThatIsOut() throws Exception {
     // Of its own zone, where it would send first.
-    granted(backend(1), "b1");
+    requestGranted(backend(1), "b1");
     awaitOut(1);
-    stewards.door(1, FaultyLink.Mode.CUT);
+    stewards.setDoorLinks(1, FaultyLink.Mode.CUT);
     run.doors().get(1).kill();
     await("d1 is missed", () -> !run.clients().isUp(1));
     run.doors().get(1).start();
     await("d1 serves", () -> run.clients().isUp(1));
     FleetRun.sleep(1_500);
-    stewards.door(1, FaultyLink.Mode.WHOLE);
+    stewards.setDoorLinks(1, FaultyLink.Mode.WHOLE);
     FleetRun.sleep(500);
-    giveBack(backend(1), "b1");
+    returnPermit(backend(1), "b1");
     await("back", () -> stage(backend(1)) == null);
-    kept();
+    assertRulesKept();
   }
 
   private HttpResponse<String> call(int door, String target) throws Exception {
     return HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create("http://"
-        + StandIns.text(run.address(MANAGED + door, 7300)) + target)).timeout(Duration.ofSeconds(2))
+        + StandIns.text(run.address(MANAGEMENT_ADDRESS_OFFSET + door, 7300)) + target))
+        .timeout(Duration.ofSeconds(2))
         .POST(HttpRequest.BodyPublishers.noBody()).build(), HttpResponse.BodyHandlers.ofString());
   }
 
@@ -237,7 +240,7 @@
 
   /** The same record, whichever door is called; yes of a backend only once nobody sends there. */
   @Test
-  void operatorsMayCallAtAnyDoor() throws Exception {
+  void operatorsMayCallAnyDoor() throws Exception {
     says(200, "goes out by permit", call(0, "/drain"));
     says(200, "goes out by permit", call(0, "/drain"));
     says(503, "waits as number 1", call(1, "/drain"));
@@ -251,20 +254,20 @@
       out = call(0, "/backends/disable?member=b2");
     }
     says(200, "out by permit", out);
-    run.rig().ledger().addMachineEntry(EventHistory.Kind.OUT, "b2", "");
+    run.rig().eventHistory().addMachineEntry(EventHistory.Kind.OUT, "b2", "");
     says(409, "asked for by an operator at d0", call(2, "/backends/disable?member=b2"));
     says(409, "is known", call(0, "/backends/disable?member=zz"));
     FleetRun.sleep(500);
-    run.rig().ledger().addMachineEntry(EventHistory.Kind.GIVEN_BACK, "b2", "");
+    run.rig().eventHistory().addMachineEntry(EventHistory.Kind.GIVEN_BACK, "b2", "");
     says(200, "comes back", call(2, "/backends/enable?member=b2"));
     says(200, "not out on purpose", call(2, "/backends/enable?member=b1"));
-    stewards.door(0, FaultyLink.Mode.SILENT);
+    stewards.setDoorLinks(0, FaultyLink.Mode.SILENT);
     FleetRun.sleep(2_000);
     says(409, "nothing can be agreed on", call(0, "/drain"));
     says(503, "no steward says how it stands", call(0, "/undrain"));
-    stewards.door(0, FaultyLink.Mode.WHOLE);
-    await("all back", () -> stewards.look() != null && stewards.look().permits().isEmpty());
-    kept();
+    stewards.setDoorLinks(0, FaultyLink.Mode.WHOLE);
+    await("all back", () -> stewards.status() != null && stewards.status().permits().isEmpty());
+    assertRulesKept();
   }
 
   /** It would vote again on what it had voted on, and forget what it had helped to agree on. */
@@ -276,7 +279,7 @@
     Path copy = Files.createDirectory(run.folder().resolve("copy"));
     copy(run.folder(), copy, "s" + one + ".db");
     process.start();
-    granted(door(0), "d0");
+    requestGranted(door(0), "d0");
     // By then it has caught up, as each heartbeat is agreed on.
     FleetRun.sleep(3_000);
     process.kill();
@@ -285,7 +288,7 @@
     await("it ends", () -> !process.isAlive());
     assertTrue(stewards.log(one).contains("It is an older copy, or new"), stewards.log(one));
     assertInstanceOf(Waiting.class, ask(door(1)));
-    kept();
+    assertRulesKept();
   }
 
   private static void copy(Path from, Path to, String name) throws IOException {
@@ -299,18 +302,18 @@
 
   /** Replies that are up to a second late, and then one byte at a time. */
   @Test
-  void linksAreSlowAndNotCut() throws Exception {
+  void permitsAreGrantedOverSlowLinks() throws Exception {
     for (FaultyLink.Mode mode : new FaultyLink.Mode[] {FaultyLink.Mode.LATE, FaultyLink.Mode.TRICKLE}) {
       for (int i = 0; i < 3; i++) {
-        stewards.door(i, mode);
+        stewards.setDoorLinks(i, mode);
       }
-      granted(backend(1), "b1");
+      requestGranted(backend(1), "b1");
       FleetRun.sleep(1_500);
-      stewards.mend();
+      stewards.restoreAll();
       awaitOut(1);
-      giveBack(backend(1), "b1");
+      returnPermit(backend(1), "b1");
       await("back", () -> stage(backend(1)) == null);
     }
-    kept();
+    assertRulesKept();
   }
 }
--- a/daemon/src/test/java/willowdoor/daemon/fleet/BackendReleaseTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/BackendReleaseTest.java
@@ -29,7 +29,7 @@
 class BackendReleaseTest {
 
   private static final int BACKENDS = 8;
-  private static final int MAY_BE_OUT = 2;
+  private static final int BUDGET = 2;
   private static final long LIMIT_MS = 90_000;
 
   private ReleaseRun fleet;
@@ -37,7 +37,7 @@
 
   @BeforeEach
   void open() throws IOException {
-    fleet = new ReleaseRun(RunSettings.typical().withColdMs(1_500), 3, 3, MAY_BE_OUT, 60, 11);
+    fleet = new ReleaseRun(RunSettings.typical().withColdMs(1_500), 3, 3, BUDGET, 60, 11);
     restarts = new BackendRestarts(fleet);
   }
 
@@ -47,24 +47,24 @@
     fleet.close();
   }
 
-  private void begin(String version) throws InterruptedException {
-    begin(version, 1_000);
+  private void startRelease(String version) throws InterruptedException {
+    startRelease(version, 1_000);
   }
 
-  private void begin(String version, double bakeMs) throws InterruptedException {
+  private void startRelease(String version, double bakeMs) throws InterruptedException {
     assertInstanceOf(Outcome.ReleaseStarted.class, fleet.start(new Plan(Plan.Kind.BACKENDS, "b1", version,
         List.of(0.1, 1.0), bakeMs, 0, 30_000, 0, Comparison.DEFAULT)));
   }
 
-  private Release still() {
-    Release r = fleet.awaitStill(LIMIT_MS);
-    assertNotNull(r, () -> "neither ended nor halted: " + fleet.look());
+  private Release awaitSettled() {
+    Release r = fleet.awaitSettled(LIMIT_MS);
+    assertNotNull(r, () -> "neither ended nor halted: " + fleet.lastRelease());
     return r;
   }
 
-  private Release having(String version, int n) {
+  private Release awaitHaving(String version, int n) {
     Release r = fleet.awaitRelease(x -> x.countWithVersion(version) >= n, LIMIT_MS);
-    assertNotNull(r, () -> "not " + n + " have " + version + ": " + fleet.look());
+    assertNotNull(r, () -> "not " + n + " have " + version + ": " + fleet.lastRelease());
     return r;
   }
 
@@ -72,52 +72,52 @@
     return new TreeSet<>(restarts.versions().values());
   }
 
-  private void kept() {
+  private void assertRulesKept() {
     InvariantChecker.Verdict verdict = fleet.run().finish();
     assertTrue(verdict.passed(), verdict::toString);
     assertTrue(verdict.served() > 0, verdict::toString);
     assertEquals(0, verdict.failed(), verdict::toString);
-    assertTrue(restarts.most() <= MAY_BE_OUT, () -> restarts.most() + " were out");
+    assertTrue(restarts.maxBackendsOut() <= BUDGET, () -> restarts.maxBackendsOut() + " were out");
   }
 
   /** No door sends to one that is out, a cold one gets its part from all doors together, and none is lost. */
   @Test
-  void allAreRestartedWithinTheBudgetThoughTheLeaderIsKilled() throws Exception {
-    begin("b2");
-    having("b2", 2);
+  void allAreRestartedWithinTheBudgetAlthoughTheLeaderIsKilled() throws Exception {
+    startRelease("b2");
+    awaitHaving("b2", 2);
     DoorProcess leader = fleet.stewards().processes().get(fleet.stewards().leader());
     leader.kill();
-    having("b2", 4);
+    awaitHaving("b2", 4);
     leader.start();
-    assertEquals(Mode.ENDED, still().mode(), () -> fleet.look().toString());
+    assertEquals(Mode.ENDED, awaitSettled().mode(), () -> fleet.lastRelease().toString());
     assertEquals(BACKENDS, restarts.versions().size());
     assertEquals(Set.of("b2"), startedWith());
-    kept();
+    assertRulesKept();
   }
 
   @Test
-  void isHaltedWhileOneIsAwayAndGoesBack() throws Exception {
-    begin("b2");
-    having("b2", 1);
+  void isHaltedDuringARestartAndRolledBack() throws Exception {
+    startRelease("b2");
+    awaitHaving("b2", 1);
     assertNotNull(fleet.awaitRelease(x -> !x.steps().isEmpty(), LIMIT_MS));
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.HALT));
-    Release halted = still();
+    Release halted = awaitSettled();
     long with = halted.countWithVersion("b2");
     assertEquals(Mode.HALTED, halted.mode());
     FleetRun.sleep(2_000);
     assertEquals(with, restarts.versions().size(), "none begins after the word that it is halted");
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.BACK));
-    assertEquals(Mode.ENDED, still().mode(), () -> fleet.look().toString());
+    assertEquals(Mode.ENDED, awaitSettled().mode(), () -> fleet.lastRelease().toString());
     assertEquals(with, restarts.versions().size());
     assertEquals(Set.of("b1"), startedWith());
-    kept();
+    assertRulesKept();
   }
 
   /** It starts, is warm, is taken back, and dies; no other gets that version. */
   @Test
-  void aVersionThatDiesOnceItServesIsHalted() throws Exception {
-    begin(BackendRestarts.FAINT, 10_000);
-    Release halted = still();
+  void aVersionThatCrashesOnceItServesIsHalted() throws Exception {
+    startRelease(BackendRestarts.CRASHING_VERSION, 10_000);
+    Release halted = awaitSettled();
     assertEquals(Mode.HALTED, halted.mode(), halted::toString);
     assertTrue(halted.why().startsWith("released doors are lost"), halted::toString);
     assertEquals(1, restarts.versions().size());
@@ -126,9 +126,9 @@
         .orElseThrow();
     // Somebody starts it once more as it was; the way back has it restarted with the old one.
     fleet.run().rig().backendPool().restart(dead, 100);
-    assertEquals(Mode.ENDED, still().mode(), () -> fleet.look().toString());
+    assertEquals(Mode.ENDED, awaitSettled().mode(), () -> fleet.lastRelease().toString());
     assertEquals(Set.of("b1"), startedWith());
-    assertTrue(FleetRun.until(() -> fleet.stewards().awaitLook().backendsOut() == 0, LIMIT_MS));
+    assertTrue(FleetRun.await(() -> fleet.stewards().awaitStatus().backendsOut() == 0, LIMIT_MS));
     InvariantChecker.Verdict verdict = fleet.run().finish();
     assertTrue(verdict.passed(), verdict::toString);
   }
--- a/daemon/src/test/java/willowdoor/daemon/fleet/DeploymentShapesTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/DeploymentShapesTest.java
@@ -74,7 +74,7 @@
       }
       run.start(new ClientFleet.Load(70, 24, 0.2, 6, 4));
       run.clients().start();
-      assertTrue(FleetRun.until(() -> run.clients().sent() >= 150, 30_000));
+      assertTrue(FleetRun.await(() -> run.clients().sentTries() >= 150, 30_000));
       List<Fault> schedule = List.of(new Fault(0, FaultKind.DRAIN_BACKEND, 0, 2_500),
           new Fault(100, FaultKind.STALLS_BACKEND, 1, 1_500),
           new Fault(300, FaultKind.KILL_BACKEND, 2, 1_000),
@@ -82,14 +82,14 @@
           new Fault(2_000, FaultKind.ERRORS_BACKEND, 3, 800),
           new Fault(2_400, FaultKind.SLOW_COUNTER, 0, 800));
       faults.inject(schedule);
-      assertTrue(FleetRun.until(() -> faults.startedFaults() == schedule.size(), 30_000));
-      long then = run.clients().sent();
-      assertTrue(FleetRun.until(() -> run.clients().sent() >= then + 150, 30_000));
+      assertTrue(FleetRun.await(() -> faults.startedFaults() == schedule.size(), 30_000));
+      long then = run.clients().sentTries();
+      assertTrue(FleetRun.await(() -> run.clients().sentTries() >= then + 150, 30_000));
       Verdict verdict = run.finish();
       assertTrue(verdict.passed(), () -> shape + ", seed " + SEED + ": " + verdict);
       assertTrue(verdict.served() > 100, () -> shape + ": " + verdict);
       for (PlanTerms plan : shape.plans) {
-        double beyond = beyondCap(run.rig().ledger(), plan);
+        double beyond = beyondCap(run.rig().eventHistory(), plan);
         assertTrue(beyond < 0.1, () -> shape + ": " + plan.name() + ": " + beyond + " sent beyond the cap");
       }
     }
--- a/daemon/src/test/java/willowdoor/daemon/fleet/FleetTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/FleetTest.java
@@ -38,8 +38,9 @@
     }
   }
 
-  private static void sent(FleetRun run, long tries) {
-    assertTrue(FleetRun.until(() -> run.clients().sent() >= tries, 60_000), () -> run.clients().sent()
+  private static void awaitSent(FleetRun run, long tries) {
+    assertTrue(FleetRun.await(() -> run.clients().sentTries() >= tries, 60_000),
+        () -> run.clients().sentTries()
         + " sent");
   }
 
@@ -47,7 +48,7 @@
   @Test
   void halfOfTheFleetIsKilledInASecondWhileTheCounterIsSlowAndAllStartAgainAtOnce() throws Exception {
     try (FleetRun run = fleet(); FaultInjector faults = new FaultInjector(run.rig(), run.doors())) {
-      sent(run, 500);
+      awaitSent(run, 500);
       List<Fault> schedule = new ArrayList<>();
       for (Fault f : FaultInjector.kills(SEED, DOORS, DOORS / 2, 0, 1_000, 0, 0)) {
         schedule.add(new Fault(f.atMs(), f.what(), f.target(), 2_500 - f.atMs()));
@@ -56,10 +57,10 @@
       schedule.add(new Fault(100, FaultKind.KILL_BACKEND, 2, 1_500));
       schedule.add(new Fault(100, FaultKind.KILL_BACKEND, 5, 1_500));
       faults.inject(schedule);
-      assertTrue(FleetRun.until(() -> faults.startedFaults() == schedule.size(), 30_000));
-      assertTrue(FleetRun.until(() -> run.clients().doorsUp() <= DOORS / 2, 30_000));
-      assertTrue(FleetRun.until(() -> run.clients().doorsUp() == DOORS, 60_000));
-      sent(run, run.clients().sent() + 500);
+      assertTrue(FleetRun.await(() -> faults.startedFaults() == schedule.size(), 30_000));
+      assertTrue(FleetRun.await(() -> run.clients().doorsUp() <= DOORS / 2, 30_000));
+      assertTrue(FleetRun.await(() -> run.clients().doorsUp() == DOORS, 60_000));
+      awaitSent(run, run.clients().sentTries() + 500);
       Verdict verdict = run.finish();
       assertTrue(verdict.passed(), () -> "seed " + SEED + ": " + verdict);
       assertTrue(verdict.served() > 1_000, verdict::toString);
@@ -70,16 +71,16 @@
   @Test
   void aSplitOfTheCounterAndItsEndBreakNoCeiling() throws Exception {
     try (FleetRun run = fleet()) {
-      sent(run, 500);
-      double before = run.rig().ledger().now();
+      awaitSent(run, 500);
+      double before = run.rig().eventHistory().now();
       run.rig().counter().splitInTwo(door -> door % 3 == 0, true);
-      sent(run, run.clients().sent() + 900);
+      awaitSent(run, run.clients().sentTries() + 900);
       run.rig().counter().endSplit(true);
-      double took = run.rig().ledger().now() - before;
-      sent(run, run.clients().sent() + 300);
+      double took = run.rig().eventHistory().now() - before;
+      awaitSent(run, run.clients().sentTries() + 300);
       Verdict verdict = run.finish();
       assertTrue(verdict.passed(), () -> "seed " + SEED + ": " + verdict);
-      for (QuotaAudit.FirmUse u : new QuotaAudit(run.rig().ledger(), run.rig().terms()).uses()) {
+      for (QuotaAudit.FirmUse u : new QuotaAudit(run.rig().eventHistory(), run.rig().runSettings()).uses()) {
         double bound = CounterCommand.bound(CounterCommand.Case.split_second_wins, u.plan(), 4, took);
         assertTrue(u.maxOverQuota() <= bound, () -> "seed " + SEED + ": " + u + ", bound " + bound);
       }
@@ -89,11 +90,11 @@
   @Test
   void aRollReplacesEveryDoorUnderLoadAndCostsNoRequest() throws Exception {
     try (FleetRun run = fleet()) {
-      sent(run, 400);
+      awaitSent(run, 400);
       for (int i = 0; i < DOORS; i++) {
         assertTrue(run.replace(i, 30_000), "d" + i + " printed: " + run.log(i));
       }
-      sent(run, run.clients().sent() + 300);
+      awaitSent(run, run.clients().sentTries() + 300);
       Verdict verdict = run.finish();
       assertTrue(verdict.passed(), () -> "seed " + SEED + ": " + verdict);
       IntervalStatistics all = run.clients().statistics().interval(0, 1e6);
--- a/daemon/src/test/java/willowdoor/daemon/fleet/InnerStewardTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/InnerStewardTest.java
@@ -32,7 +32,7 @@
   private static final long LIMIT_MS = 20_000;
 
   private static void await(OperatorClient operator, String what, Predicate<FleetStatus> condition) {
-    assertTrue(FleetRun.until(() -> {
+    assertTrue(FleetRun.await(() -> {
       try {
         return operator.status(1_000) instanceof Answer.Stands s && condition.test(s.standing());
       } catch (InterruptedException e) {
@@ -51,7 +51,8 @@
       Path file = Files.writeString(run.folder().resolve("steward.toml"), "[steward]\nname = \"a\"\nstore = "
           + '"' + run.folder().resolve("a.db") + "\"\n[[member]]\nname = \"a\"\naddress = \"" + address
           + "\"\n[terms]\nlease_ms = 1500\n");
-      run.more("[agreement]\nenabled = true\nstewards = [\"" + address + "\"]\nsteward = \"" + file + "\"\n");
+      run.addTables("[agreement]\nenabled = true\nstewards = [\"" + address + "\"]\nsteward = \"" + file
+          + "\"\n");
       run.rig().budgets(new InvariantChecker.Budgets(1, 1, x -> x.startsWith("d"), 15_000));
       run.start(new ClientFleet.Load(40, 10, 0.1, 5, 1));
       run.clients().start();
@@ -62,14 +63,14 @@
         Granted granted = assertInstanceOf(Granted.class,
             assertInstanceOf(Answer.Came.class, answer).outcome());
         await(ana, "out", s -> s.permits().get(0).stage() == Stage.OUT);
-        run.rig().ledger().addMachineEntry(willowdoor.testkit.EventHistory.Kind.OUT, "b0", "");
+        run.rig().eventHistory().addMachineEntry(willowdoor.testkit.EventHistory.Kind.OUT, "b0", "");
         assertTrue(run.replace(0, LIMIT_MS), () -> "replaced");
         await(ana, "out after the upgrade",
             s -> s.permits().get(0).stage() == Stage.OUT && s.doorsOut() == 0);
         run.doors().get(0).kill();
         run.doors().get(0).start();
         await(ana, "out after the kill", s -> s.permits().get(0).stage() == Stage.OUT && s.doorsOut() == 0);
-        run.rig().ledger().addMachineEntry(willowdoor.testkit.EventHistory.Kind.GIVEN_BACK, "b0", "");
+        run.rig().eventHistory().addMachineEntry(willowdoor.testkit.EventHistory.Kind.GIVEN_BACK, "b0", "");
         ana.put(new ReturnPermit(0, b0, granted.permit(), "ana"), LIMIT_MS);
         await(ana, "back", s -> s.permits().isEmpty());
       }
--- a/daemon/src/test/java/willowdoor/daemon/fleet/ReleaseTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/ReleaseTest.java
@@ -38,107 +38,108 @@
     fleet.close();
   }
 
-  private Release still() {
-    Release r = fleet.awaitStill(LIMIT_MS);
-    assertNotNull(r, () -> "neither ended nor halted: " + fleet.look());
+  private Release awaitSettled() {
+    Release r = fleet.awaitSettled(LIMIT_MS);
+    assertNotNull(r, () -> "neither ended nor halted: " + fleet.lastRelease());
     return r;
   }
 
-  private void all(String version) {
+  private void assertAllHaveVersion(String version) {
     assertEquals(Collections.nCopies(DOORS, version), fleet.versions());
   }
 
-  private InvariantChecker.Verdict kept() {
+  private InvariantChecker.Verdict assertRulesKept() {
     InvariantChecker.Verdict verdict = fleet.run().finish();
     assertTrue(verdict.passed(), verdict::toString);
     assertTrue(verdict.served() > 0, verdict::toString);
     return verdict;
   }
 
-  private void back() throws InterruptedException {
+  private void rollBack() throws InterruptedException {
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.BACK));
-    assertEquals(Mode.ENDED, still().mode(), () -> fleet.look().toString());
-    all(ReleaseRun.OLD);
+    assertEquals(Mode.ENDED, awaitSettled().mode(), () -> fleet.lastRelease().toString());
+    assertAllHaveVersion(ReleaseRun.OLD_VERSION);
   }
 
   /** The leader is killed in the middle, and nobody who began it is needed any more. */
   @Test
-  void allDoorsGetItWithoutALostRequestThoughTheLeaderIsKilled() throws Exception {
-    assertInstanceOf(Outcome.ReleaseStarted.class, fleet.start(ReleaseRun.plan(ReleaseRun.GOOD)));
-    assertInstanceOf(Outcome.Refused.class, fleet.start(ReleaseRun.plan(ReleaseRun.MUTE)));
-    assertNotNull(fleet.awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD) >= 1, LIMIT_MS));
+  void allDoorsAreReplacedWithoutALostRequestAlthoughTheLeaderIsKilled() throws Exception {
+    assertInstanceOf(Outcome.ReleaseStarted.class, fleet.start(ReleaseRun.plan(ReleaseRun.GOOD_VERSION)));
+    assertInstanceOf(Outcome.Refused.class, fleet.start(ReleaseRun.plan(ReleaseRun.SILENT_VERSION)));
+    assertNotNull(fleet.awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD_VERSION) >= 1, LIMIT_MS));
     DoorProcess leader = fleet.stewards().processes().get(fleet.stewards().leader());
     leader.kill();
-    Release ended = still();
+    Release ended = awaitSettled();
     assertEquals(Mode.ENDED, ended.mode(), ended::toString);
-    all(ReleaseRun.GOOD);
+    assertAllHaveVersion(ReleaseRun.GOOD_VERSION);
     leader.start();
-    InvariantChecker.Verdict verdict = kept();
+    InvariantChecker.Verdict verdict = assertRulesKept();
     assertEquals(0, verdict.failed(), verdict::toString);
   }
 
   /** Halted by an operator in the middle of a step, then back, halted on the way back, and back again. */
   @Test
-  void isHaltedAndGoesBack() throws Exception {
-    fleet.start(ReleaseRun.plan(ReleaseRun.GOOD));
+  void isHaltedAndRolledBack() throws Exception {
+    fleet.start(ReleaseRun.plan(ReleaseRun.GOOD_VERSION));
     assertNotNull(fleet
-        .awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD) >= 1 && !x.steps().isEmpty(), LIMIT_MS));
+        .awaitRelease(x -> x.countWithVersion(ReleaseRun.GOOD_VERSION) >= 1 && !x.steps().isEmpty(),
+        LIMIT_MS));
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.HALT));
-    assertEquals(Mode.HALTED, still().mode());
+    assertEquals(Mode.HALTED, awaitSettled().mode());
     FleetRun.sleep(2_000);
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.BACK));
     assertNotNull(fleet.awaitRelease(x -> !x.steps().isEmpty(), LIMIT_MS));
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.HALT));
-    assertEquals(Mode.HALTED, still().mode());
-    back();
-    assertEquals(0, kept().failed());
+    assertEquals(Mode.HALTED, awaitSettled().mode());
+    rollBack();
+    assertEquals(0, assertRulesKept().failed());
   }
 
   @Test
-  void aVersionThatNeverSaysYesReachesOneDoorWhichServesOn() throws Exception {
-    bad(ReleaseRun.MUTE);
+  void aVersionThatNeverBecomesReadyReachesOneDoorWhichKeepsServing() throws Exception {
+    assertHaltedAfterOneDoor(ReleaseRun.SILENT_VERSION);
   }
 
   @Test
-  void aVersionThatEndsAtOnceReachesOneDoorWhichServesOn() throws Exception {
-    bad(ReleaseRun.DEAD);
+  void aVersionThatExitsAtOnceReachesOneDoorWhichKeepsServing() throws Exception {
+    assertHaltedAfterOneDoor(ReleaseRun.EXITING_VERSION);
   }
 
-  private void bad(String version) throws InterruptedException {
+  private void assertHaltedAfterOneDoor(String version) throws InterruptedException {
     fleet.start(ReleaseRun.plan(version));
-    Release halted = still();
+    Release halted = awaitSettled();
     assertEquals(Mode.HALTED, halted.mode(), halted::toString);
     assertTrue(halted.why().contains("could not be replaced"), halted::toString);
     assertEquals(1, fleet.launches().doorsStarted(version));
-    back();
-    assertEquals(0, kept().failed());
+    rollBack();
+    assertEquals(0, assertRulesKept().failed());
   }
 
   @Test
-  void aVersionThatSaysYesAndDiesIsHalted() throws Exception {
-    fleet.start(ReleaseRun.plan(ReleaseRun.FAINT, 10_000));
-    Release halted = still();
+  void aVersionThatBecomesReadyAndCrashesIsHalted() throws Exception {
+    fleet.start(ReleaseRun.plan(ReleaseRun.CRASHING_VERSION, 10_000));
+    Release halted = awaitSettled();
     assertEquals(Mode.HALTED, halted.mode(), halted::toString);
-    assertEquals(1, fleet.launches().doorsStarted(ReleaseRun.FAINT));
+    assertEquals(1, fleet.launches().doorsStarted(ReleaseRun.CRASHING_VERSION));
     fleet.run().doors().forEach(DoorProcess::start);
-    back();
-    kept();
+    rollBack();
+    assertRulesKept();
   }
 
   /** Cut off from the stewards while its successor starts: that one is not let in, and nothing is lost. */
   @Test
-  void aDoorThatIsCutOffInItsStepServesOn() throws Exception {
-    fleet.start(ReleaseRun.plan(ReleaseRun.GOOD));
+  void aDoorThatIsCutOffDuringItsStepKeepsServing() throws Exception {
+    fleet.start(ReleaseRun.plan(ReleaseRun.GOOD_VERSION));
     assertNotNull(fleet.awaitRelease(x -> x.steps().stream().anyMatch(s -> s.state()
         == willowdoor.rollout.Step.State.GOING), LIMIT_MS));
-    assertTrue(FleetRun.until(() -> fleet.launches().doorsStarted(ReleaseRun.GOOD) == 1, LIMIT_MS));
-    int door = Integer.parseInt(fleet.look().steps().get(0).door().substring(1));
-    fleet.stewards().door(door, FaultyLink.Mode.SILENT);
+    assertTrue(FleetRun.await(() -> fleet.launches().doorsStarted(ReleaseRun.GOOD_VERSION) == 1, LIMIT_MS));
+    int door = Integer.parseInt(fleet.lastRelease().steps().get(0).door().substring(1));
+    fleet.stewards().setDoorLinks(door, FaultyLink.Mode.SILENT);
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.HALT));
     FleetRun.sleep(3_000);
-    fleet.stewards().door(door, FaultyLink.Mode.WHOLE);
-    assertEquals(Mode.HALTED, still().mode());
-    back();
-    assertEquals(0, kept().failed());
+    fleet.stewards().setDoorLinks(door, FaultyLink.Mode.WHOLE);
+    assertEquals(Mode.HALTED, awaitSettled().mode());
+    rollBack();
+    assertEquals(0, assertRulesKept().failed());
   }
 }
--- a/daemon/src/test/java/willowdoor/daemon/life/CounterLossTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/CounterLossTest.java
@@ -45,7 +45,7 @@
   private int ask() throws Exception {
     String id = "r" + number++;
     caller.sendRaw(caller.requestText(id, RequestKind.BUY, 2_000).replace("spread=1", "spread=40"));
-    fixture.rig.ledger().addRequestEntry(Kind.ASKED, id, "d0", 0, "");
+    fixture.rig.eventHistory().addRequestEntry(Kind.ASKED, id, "d0", 0, "");
     return caller.receiveStatus(id);
   }
 
@@ -60,8 +60,8 @@
     double before = fixture.rig.counter().total(FIRM);
     fixture.rig.counter().stop();
     replace.run();
-    double limit = fixture.rig.ledger().now() + 700;
-    while (fixture.rig.ledger().now() < limit) {
+    double limit = fixture.rig.eventHistory().now() + 700;
+    while (fixture.rig.eventHistory().now() < limit) {
       if (before >= REQUESTS && fixture.rig.counter().total(FIRM) >= REQUESTS) {
         return true;
       }
--- a/daemon/src/test/java/willowdoor/daemon/life/DaemonFixture.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/DaemonFixture.java
@@ -85,13 +85,13 @@
   }
 
   static void await(String what, BooleanSupplier condition) {
-    if (!FleetRun.until(condition, TIMEOUT_MS)) {
+    if (!FleetRun.await(condition, TIMEOUT_MS)) {
       throw new AssertionError("not within " + TIMEOUT_MS + " ms: " + what);
     }
   }
 
   boolean recorded(String id, Kind kind) {
-    return rig.ledger().requestHistory(id).stream().anyMatch(e -> e.kind() == kind);
+    return rig.eventHistory().requestHistory(id).stream().anyMatch(e -> e.kind() == kind);
   }
 
   void awaitRecorded(String id, Kind kind) {
@@ -126,9 +126,9 @@
 
     String requestText(String id, RequestKind kind, int timeoutMs, String firm) {
       boolean post = kind.method().equals("POST");
-      rig.ledger().registerRequest(
+      rig.eventHistory().registerRequest(
           new ClientRequest(id, firm, "full", kind, kind.keyed() ? "key-" + id : null, 1,
-          timeoutMs, 0, rig.ledger().now()));
+          timeoutMs, 0, rig.eventHistory().now()));
       return kind.method() + " /" + kind.className() + "/1 HTTP/1.1\r\nHost: b\r\nRequest-Id: " + id
           + "\r\nRequest-Class: " + kind.className() + "\r\nX-Plan: full\r\nX-Customer: " + firm
           + "\r\nRequest-Timeout-Ms: " + timeoutMs + "\r\nX-Quota: units=1,spread=1,first=0\r\n"
@@ -143,7 +143,7 @@
     void send(String id, RequestKind kind, int timeoutMs, String firm) throws IOException {
       currentRequest = id;
       sendRaw(requestText(id, kind, timeoutMs, firm));
-      rig.ledger().addRequestEntry(Kind.ASKED, id, door, 0, kept ? "kept" : "");
+      rig.eventHistory().addRequestEntry(Kind.ASKED, id, door, 0, kept ? "kept" : "");
     }
 
     void sendRaw(String text) throws IOException {
@@ -185,13 +185,13 @@
         status = -1;
       }
       if (status < 0) {
-        rig.ledger().addRequestEntry(Kind.CUT, currentRequest, door, 0, kept ? "kept" : "");
+        rig.eventHistory().addRequestEntry(Kind.CUT, currentRequest, door, 0, kept ? "kept" : "");
         return -1;
       }
       body = new String(in.readNBytes(length), StandardCharsets.US_ASCII);
-      rig.ledger().addRequestEntry(Kind.ANSWERED, currentRequest, door, status, "");
+      rig.eventHistory().addRequestEntry(Kind.ANSWERED, currentRequest, door, status, "");
       if (status == 200 && !body.startsWith("made for " + currentRequest + " by")) {
-        rig.ledger().addRequestEntry(Kind.FORGED, currentRequest, door, 0, "");
+        rig.eventHistory().addRequestEntry(Kind.FORGED, currentRequest, door, 0, "");
       }
       kept = true;
       return status;
@@ -222,7 +222,7 @@
   }
 
   List<Entry> history(String id) {
-    return rig.ledger().requestHistory(id);
+    return rig.eventHistory().requestHistory(id);
   }
 
   @Override
--- a/daemon/src/test/java/willowdoor/daemon/life/ExternalAuthorisationTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ExternalAuthorisationTest.java
@@ -269,7 +269,7 @@
     DaemonFixture.Caller caller = fixture.caller(daemon);
     caller.send("r1", RequestKind.BUY, 4_000);
     fixture.daemons.awaitRecorded("r1", Kind.CHECKED);
-    fixture.daemons.rig.ledger().addRequestEntry(Kind.LEFT, "r1", "d0", 0, "");
+    fixture.daemons.rig.eventHistory().addRequestEntry(Kind.LEFT, "r1", "d0", 0, "");
     caller.close();
     DaemonFixture.await("the call given up", () -> authoriser.abandoned() == 1);
     assertFalse(fixture.reachedBackend("r1"));
@@ -287,7 +287,7 @@
       String id = "r" + i;
       authoriser.setScript(r -> {
         try {
-          fixture.daemons.rig.ledger().addRequestEntry(Kind.LEFT, id, "d0", 0, "");
+          fixture.daemons.rig.eventHistory().addRequestEntry(Kind.LEFT, id, "d0", 0, "");
           caller.close();
         } catch (IOException e) {
           throw new java.io.UncheckedIOException(e);
--- a/daemon/src/test/java/willowdoor/daemon/life/FairGateTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/FairGateTest.java
@@ -56,7 +56,7 @@
   private CompletableFuture<Integer> sendRequest(Daemon daemon, String id) throws Exception {
     DaemonFixture.Caller caller = fixture.new Caller(daemon.address(), "d0");
     caller.sendRaw(caller.requestText(id, RequestKind.QUOTE, 3_000));
-    fixture.rig.ledger().addRequestEntry(Kind.ASKED, id, "d0", 0, "");
+    fixture.rig.eventHistory().addRequestEntry(Kind.ASKED, id, "d0", 0, "");
     return CompletableFuture.supplyAsync(() -> {
       try {
         return caller.receiveStatus(id);
--- a/daemon/src/test/java/willowdoor/daemon/life/HandoverTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/HandoverTest.java
@@ -50,7 +50,7 @@
   }
 
   private Path controlSocketPath() {
-    return fixture.files.control(0);
+    return fixture.files.controlSocket(0);
   }
 
   private Daemon startWithControlSocket() throws Exception {
@@ -144,7 +144,7 @@
   private int statusOfBuyWithCeiling(DaemonFixture.Caller caller, String id) throws IOException {
     caller.sendRaw(caller.requestText(id, RequestKind.BUY, 3_000).replace("X-Plan: full", "X-Plan: basic")
         .replace("spread=1", "spread=2"));
-    fixture.rig.ledger().addRequestEntry(Kind.ASKED, id, "d0", 0, "");
+    fixture.rig.eventHistory().addRequestEntry(Kind.ASKED, id, "d0", 0, "");
     return caller.receiveStatus(id);
   }
 
--- a/daemon/src/test/java/willowdoor/daemon/life/ProcessTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ProcessTest.java
@@ -41,7 +41,7 @@
       address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
     }
     log = fixture.folder.resolve("d0.log").toFile();
-    door = new DoorProcess("d0", address, fixture.rig.ledger(),
+    door = new DoorProcess("d0", address, fixture.rig.eventHistory(),
         () -> FleetRun.command(fixture.files.write(0, address), false), Map.of(), log);
   }
 
@@ -134,7 +134,7 @@
   @Test
   void successorServesIfThePredecessorIsKilledDuringTheWarmUp() throws Exception {
     startAndAwaitUp();
-    DaemonFixture.await("control socket", () -> Files.exists(fixture.files.control(0)));
+    DaemonFixture.await("control socket", () -> Files.exists(fixture.files.controlSocket(0)));
     Process old = door.process();
     Process fresh = door.replace(FleetRun.command(fixture.files.write(0, address), true));
     DaemonFixture.await("socket in hand", () -> readLog().contains("holds the listening socket"));
@@ -152,7 +152,7 @@
   @Test
   void predecessorServesIfTheSuccessorIsKilledDuringTheWarmUp() throws Exception {
     startAndAwaitUp();
-    DaemonFixture.await("control socket", () -> Files.exists(fixture.files.control(0)));
+    DaemonFixture.await("control socket", () -> Files.exists(fixture.files.controlSocket(0)));
     Process old = door.process();
     Process fresh = door.replace(FleetRun.command(fixture.files.write(0, address), true));
     DaemonFixture.await("socket in hand", () -> readLog().contains("holds the listening socket"));
@@ -177,12 +177,13 @@
     DaemonFixture.Caller gone = fixture.new Caller(address, "d0");
     gone.send("gone", RequestKind.BUY, 1_000);
     fixture.rig.backendPool().drain(fixture.rig.backendPool().backend(0));
-    DaemonFixture.await("told", () -> fixture.rig.ledger().machineEntries().stream()
+    DaemonFixture.await("told", () -> fixture.rig.eventHistory().machineEntries().stream()
         .anyMatch(e -> e.kind() == Kind.TOLD_DRAIN && e.other().equals("b0")));
-    double toldAt = fixture.rig.ledger().now();
+    double toldAt = fixture.rig.eventHistory().now();
     gone.close();
     DaemonFixture.Caller[] waiting = new DaemonFixture.Caller[8];
-    DaemonFixture.await("five seconds passed", () -> fixture.rig.ledger().now() > toldAt + SUSPENDED_MS);
+    DaemonFixture
+        .await("five seconds passed", () -> fixture.rig.eventHistory().now() > toldAt + SUSPENDED_MS);
     for (int i = 0; i < waiting.length; i++) {
       waiting[i] = fixture.new Caller(address, "d0");
       waiting[i].send("w" + i, i % 2 == 0 ? RequestKind.BUY : RequestKind.QUOTE, 3_000);
@@ -192,9 +193,10 @@
       assertEquals(200, waiting[i].receiveStatus(), "w" + i);
     }
     assertFalse(fixture.recorded("gone", Kind.FIRST_BYTE), () -> fixture.history("gone").toString());
-    assertTrue(fixture.rig.ledger().requestHistories().values().stream().flatMap(List::stream)
+    assertTrue(fixture.rig.eventHistory().requestHistories().values().stream().flatMap(List::stream)
         .noneMatch(e -> e.kind() == Kind.FIRST_BYTE && e.other().equals("b0")),
-        () -> fixture.rig.ledger().machineEntries() + "\n" + fixture.rig.ledger().requestHistories());
+        () -> fixture.rig.eventHistory().machineEntries() + "\n"
+        + fixture.rig.eventHistory().requestHistories());
     assertRulesKept();
   }
 
--- a/daemon/src/test/java/willowdoor/daemon/life/ValkeyCountsTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/life/ValkeyCountsTest.java
@@ -55,7 +55,7 @@
     String id = "r" + number++;
     caller.sendRaw(caller.requestText(id, RequestKind.BUY, 2_000)
         .replace("units=1,spread=1", "units=" + units + ",spread=40"));
-    fixture.rig.ledger().addRequestEntry(Kind.ASKED, id, caller.door, 0, "");
+    fixture.rig.eventHistory().addRequestEntry(Kind.ASKED, id, caller.door, 0, "");
     return caller.receiveStatus(id);
   }
 
@@ -110,8 +110,8 @@
       double before = countedUnits();
       server.kill();
       server.start();
-      double limit = fixture.rig.ledger().now() + 1_500;
-      while (fixture.rig.ledger().now() < limit) {
+      double limit = fixture.rig.eventHistory().now() + 1_500;
+      while (fixture.rig.eventHistory().now() < limit) {
         if (before >= REQUESTS && countedUnits() >= REQUESTS) {
           return;
         }
--- a/testkit/src/main/java/willowdoor/testkit/BackendPool.java
+++ b/testkit/src/main/java/willowdoor/testkit/BackendPool.java
@@ -31,8 +31,8 @@
   }
 
   private final EventLoopGroup group;
-  private final EventHistory ledger;
-  private final RunSettings terms;
+  private final EventHistory eventHistory;
+  private final RunSettings runSettings;
   private final StandInDiscovery discovery;
   private final BackendSpec spec;
   private final Random random;
@@ -41,12 +41,13 @@
   private boolean exactUnits;
 
   /** Starts the backends, half of them in each of two zones, all warm, and lists them. */
-  public BackendPool(EventLoopGroup group, EventHistory ledger, RunSettings terms, StandInDiscovery discovery,
+  public BackendPool(EventLoopGroup group, EventHistory eventHistory, RunSettings runSettings,
+      StandInDiscovery discovery,
       BackendSpec spec,
       long seed) {
     this.group = group;
-    this.ledger = ledger;
-    this.terms = terms;
+    this.eventHistory = eventHistory;
+    this.runSettings = runSettings;
     this.discovery = discovery;
     this.spec = spec;
     this.random = new Random(seed);
@@ -63,12 +64,12 @@
     exactUnits = true;
   }
 
-  EventHistory ledger() {
-    return ledger;
+  EventHistory eventHistory() {
+    return eventHistory;
   }
 
-  RunSettings terms() {
-    return terms;
+  RunSettings runSettings() {
+    return runSettings;
   }
 
   BackendSpec spec() {
@@ -102,15 +103,15 @@
 
   /** Remembers a key from the moment its effect runs; false when it is remembered already: a repeat. */
   synchronized boolean rememberIfNew(String key) {
-    double now = ledger.now();
+    double nowMs = eventHistory.now();
     if (keys.size() >= MAX_KEYS) {
-      keys.values().removeIf(at -> now - at > terms.keyWindowMs());
+      keys.values().removeIf(at -> nowMs - at > runSettings.keyWindowMs());
     }
-    Double before = keys.get(key);
-    if (before != null && now - before <= terms.keyWindowMs()) {
+    Double lastMs = keys.get(key);
+    if (lastMs != null && nowMs - lastMs <= runSettings.keyWindowMs()) {
       return false;
     }
-    keys.put(key, now);
+    keys.put(key, nowMs);
     return true;
   }
 
--- a/testkit/src/main/java/willowdoor/testkit/ClientFleet.java
+++ b/testkit/src/main/java/willowdoor/testkit/ClientFleet.java
@@ -73,8 +73,8 @@
   private record Firm(String id, String plan, int first, int spread, double weight) { }
 
   private final EventLoop loop;
-  private final EventHistory ledger;
-  private final RunSettings terms;
+  private final EventHistory eventHistory;
+  private final RunSettings runSettings;
   private final DoorHealthChecker doorHealth;
   private final Load load;
   private final Random random;
@@ -84,17 +84,18 @@
   private final Map<Door, ArrayDeque<DoorConnection>> idleConnections = new HashMap<>();
   private double nextDueMs;
   private final AtomicInteger outstanding = new AtomicInteger();
-  private final AtomicLong sent = new AtomicLong();
+  private final AtomicLong sentTries = new AtomicLong();
   private final AtomicInteger unservedFirms = new AtomicInteger();
-  private final AtomicLong skipped = new AtomicLong();
+  private final AtomicLong skippedTries = new AtomicLong();
   private volatile boolean running;
 
-  public ClientFleet(EventLoop loop, EventHistory ledger, RunSettings terms, List<? extends Door> doors,
+  public ClientFleet(EventLoop loop, EventHistory eventHistory, RunSettings runSettings,
+      List<? extends Door> doors,
       Load load,
       long seed) {
     this.loop = loop;
-    this.ledger = ledger;
-    this.terms = terms;
+    this.eventHistory = eventHistory;
+    this.runSettings = runSettings;
     this.doorHealth = new DoorHealthChecker(loop, doors);
     this.load = load;
     this.random = new Random(seed);
@@ -112,7 +113,7 @@
 
   /** Every third firm has the first plan, all others have the second. */
   private RunSettings.PlanTerms plan(int firm) {
-    return terms.plans().get(firm % 3 == 0 ? 0 : Math.min(1, terms.plans().size() - 1));
+    return runSettings.plans().get(firm % 3 == 0 ? 0 : Math.min(1, runSettings.plans().size() - 1));
   }
 
   /** Its figures so far. */
@@ -121,13 +122,13 @@
   }
 
   /** Tries sent so far. */
-  public long sent() {
-    return sent.get();
+  public long sentTries() {
+    return sentTries.get();
   }
 
   /** Tries that were due and not begun, as too many were out. */
-  public long skipped() {
-    return skipped.get();
+  public long skippedTries() {
+    return skippedTries.get();
   }
 
   /** Tries without their end yet. */
@@ -148,7 +149,7 @@
   public void start() {
     running = true;
     loop.execute(() -> {
-      nextDueMs = ledger.now();
+      nextDueMs = eventHistory.now();
       sendDueRequests();
     });
   }
@@ -158,16 +159,17 @@
    * itself; one that is told when to come back asks the same door then.
    */
   public void flood(double perSecond, int clients) {
-    loop.execute(() -> flood(perSecond, clients, ledger.now()));
+    loop.execute(() -> flood(perSecond, clients, eventHistory.now()));
   }
 
   private void flood(double perSecond, int clients, double from) {
     double due = from;
-    while (running && due <= ledger.now()) {
+    while (running && due <= eventHistory.now()) {
       if (outstanding.get() >= MAX_OUTSTANDING_TRIES) {
-        skipped.incrementAndGet();
+        skippedTries.incrementAndGet();
       } else {
-        Try t = new Try(firms.get(0), RequestKind.QUOTE, units(), terms.deadlineMs(), null, 0, ledger.now());
+        Try t = new Try(firms.get(0), RequestKind.QUOTE, units(), runSettings.deadlineMs(), null, 0,
+            eventHistory.now());
         t.client = 1 + random.nextInt(clients);
         t.start();
       }
@@ -214,7 +216,7 @@
   }
 
   private void askOnce(Firm firm) {
-    Try t = new Try(firm, RequestKind.QUOTE, 1, terms.deadlineMs(), null, RETRIES, ledger.now());
+    Try t = new Try(firm, RequestKind.QUOTE, 1, runSettings.deadlineMs(), null, RETRIES, eventHistory.now());
     t.onEnd = how -> {
       if (how == TryOutcome.SERVED) {
         unservedFirms.decrementAndGet();
@@ -234,15 +236,15 @@
   }
 
   private void sendDueRequests() {
-    double now = ledger.now();
+    double now = eventHistory.now();
     while (running && nextDueMs <= now) {
       if (outstanding.get() >= MAX_OUTSTANDING_TRIES) {
-        skipped.incrementAndGet();
+        skippedTries.incrementAndGet();
       } else {
         Firm firm = drawFirm();
         RequestKind kind = drawKind();
         int units = units();
-        double timeout = terms.deadlineMs()
+        double timeout = runSettings.deadlineMs()
             * (MIN_DEADLINE_SHARE + random.nextDouble() * (1 - MIN_DEADLINE_SHARE));
         String key = kind.keyed() ? String.format("%016x%016x", random.nextLong(), random.nextLong()) : null;
         new Try(firm, kind, units, Math.floor(timeout), key, 0, now).start();
@@ -277,7 +279,8 @@
       return random.nextInt(f.spread());
     }
     // A firm's busiest doors follow from its number and the span of time.
-    Random busiest = new Random(31 * f.id().hashCode() + (long) (ledger.now() / BUSIEST_DOORS_PERIOD_MS +
+    Random busiest =
+        new Random(31 * f.id().hashCode() + (long) (eventHistory.now() / BUSIEST_DOORS_PERIOD_MS +
         (f.id().hashCode() & 15) / 16.0));
     double[] weights = new double[f.spread()];
     double sum = 0;
@@ -302,7 +305,7 @@
     private final String key;
     private final int number;
     private final String id = String.format("%016x", random.nextLong());
-    private final double dueMs = ledger.now();
+    private final double dueMs = eventHistory.now();
     private final double firstDueMs;
     private Door door;
     private DoorConnection connection;
@@ -328,18 +331,18 @@
 
     void start() {
       outstanding.incrementAndGet();
-      sent.incrementAndGet();
+      sentTries.incrementAndGet();
       door = returnDoor != null ? returnDoor
           : doorHealth.choose(firm.first(), firm.spread(), chooseOffset(firm));
       if (door == null) {
         end(TryOutcome.NO_DOOR, 0);
         return;
       }
-      ledger.registerRequest(
+      eventHistory.registerRequest(
           new ClientRequest(id, firm.id(), firm.plan(), kind, key, units, timeoutMs, number, dueMs));
       timer = loop.schedule(() -> {
         if (!ended) {
-          ledger.addRequestEntry(Kind.GAVE_UP, id, door.name(), 0, "");
+          eventHistory.addRequestEntry(Kind.GAVE_UP, id, door.name(), 0, "");
           DoorConnection used = connection;
           end(TryOutcome.UNANSWERED, 0);
           if (used != null) {
@@ -378,7 +381,7 @@
             } else if (f.isSuccess()) {
               fresh.send(this);
             } else {
-              ledger.addRequestEntry(Kind.NOT_TAKEN, id, door.name(), 0,
+              eventHistory.addRequestEntry(Kind.NOT_TAKEN, id, door.name(), 0,
                   String.valueOf(f.cause().getMessage()));
               end(TryOutcome.NOT_TAKEN, 0);
             }
@@ -392,7 +395,7 @@
       DefaultFullHttpRequest m = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
           HttpMethod.valueOf(kind.method()),
           "/" + kind.className() + "/" + number, body);
-      double left = Math.max(1, dueMs + timeoutMs - ledger.now());
+      double left = Math.max(1, dueMs + timeoutMs - eventHistory.now());
       m.headers().set("Host", DoorHealthChecker.hostAndPort(door.address())).set("Request-Id", id)
           .set("Request-Class", kind.className()).set("X-Plan", firm.plan()).set("X-Customer", firm.id())
           .set("Request-Timeout-Ms", (long) Math.ceil(left))
@@ -415,13 +418,13 @@
     void onAnswer(FullHttpResponse answer) {
       int status = answer.status().code();
       if (ended) {
-        ledger.addRequestEntry(Kind.ANSWERED, id, door.name(), status, "after its end");
+        eventHistory.addRequestEntry(Kind.ANSWERED, id, door.name(), status, "after its end");
         return;
       }
-      ledger.addRequestEntry(Kind.ANSWERED, id, door.name(), status, "");
+      eventHistory.addRequestEntry(Kind.ANSWERED, id, door.name(), status, "");
       if (status == 200 && !answer.content().toString(StandardCharsets.US_ASCII).startsWith("made for " + id
           + " by")) {
-        ledger.addRequestEntry(Kind.FORGED, id, door.name(), 0, "");
+        eventHistory.addRequestEntry(Kind.FORGED, id, door.name(), 0, "");
       }
       double wait = 0;
       String advice = answer.headers().get("Retry-After");
@@ -436,7 +439,7 @@
       if (ended) {
         return;
       }
-      ledger.addRequestEntry(Kind.CUT, id, door.name(), 0, kept ? "kept" : "");
+      eventHistory.addRequestEntry(Kind.CUT, id, door.name(), 0, kept ? "kept" : "");
       connection = null;
       if (kept && !resent) {
         resent = true;
@@ -448,7 +451,7 @@
 
     void onWriteFailed() {
       if (!ended) {
-        ledger.addRequestEntry(Kind.NOT_TAKEN, id, door.name(), 0, "not written whole");
+        eventHistory.addRequestEntry(Kind.NOT_TAKEN, id, door.name(), 0, "not written whole");
         end(TryOutcome.NOT_TAKEN, 0);
       }
     }
@@ -459,7 +462,7 @@
       if (timer != null) {
         timer.cancel(false);
       }
-      statistics.recordTry(dueMs, how, ledger.now() - dueMs, firm.id(), firm.plan(), units);
+      statistics.recordTry(dueMs, how, eventHistory.now() - dueMs, firm.id(), firm.plan(), units);
       if (returnDoor != null) {
         statistics.recordPromptedRetry(firm.id(), firm.plan(), how);
       }
@@ -510,7 +513,7 @@
       t.connection = this;
       channel.writeAndFlush(t.toHttpRequest()).addListener(f -> {
         if (f.isSuccess()) {
-          ledger.addRequestEntry(Kind.ASKED, t.id, door.name(), 0, reused ? "kept" : "");
+          eventHistory.addRequestEntry(Kind.ASKED, t.id, door.name(), 0, reused ? "kept" : "");
         } else if (current == t) {
           current = null;
           if (reused) {
--- a/testkit/src/main/java/willowdoor/testkit/DoorProcess.java
+++ b/testkit/src/main/java/willowdoor/testkit/DoorProcess.java
@@ -31,7 +31,7 @@
 
   private final String name;
   private final InetSocketAddress address;
-  private final EventHistory ledger;
+  private final EventHistory eventHistory;
   private final Supplier<List<String>> command;
   private final Map<String, String> environment;
   private final File log;
@@ -46,12 +46,12 @@
    * A door by the command that the supplier gives at each start (it may write a fresh configuration first).
    * What it prints goes to the end of the log.
    */
-  public DoorProcess(String name, InetSocketAddress address, EventHistory ledger,
+  public DoorProcess(String name, InetSocketAddress address, EventHistory eventHistory,
       Supplier<List<String>> command,
       Map<String, String> environment, File log) {
     this.name = name;
     this.address = address;
-    this.ledger = ledger;
+    this.eventHistory = eventHistory;
     this.command = command;
     this.environment = environment;
     this.log = log;
@@ -76,7 +76,7 @@
     successorPid = 0;
     process = launch(command.get());
     killed = false;
-    ledger.addMachineEntry(Kind.STARTED, name, "");
+    eventHistory.addMachineEntry(Kind.STARTED, name, "");
     recordExit(process);
   }
 
@@ -133,7 +133,8 @@
     started.onExit().thenAccept(p -> {
       synchronized (this) {
         if (!killed || p != process) {
-          ledger.addMachineEntry(new Entry(ledger.now(), Kind.EXITED, name, "", p.exitValue(), ""));
+          eventHistory.addMachineEntry(
+              new Entry(eventHistory.now(), Kind.EXITED, name, "", p.exitValue(), ""));
         }
       }
     });
@@ -143,7 +144,7 @@
   public synchronized void kill() {
     if (isAlive()) {
       killed = true;
-      ledger.addMachineEntry(Kind.KILLED, name, "");
+      eventHistory.addMachineEntry(Kind.KILLED, name, "");
       killProcesses();
     }
   }
@@ -168,7 +169,7 @@
   @Override
   public synchronized void terminate() {
     if (isAlive()) {
-      ledger.addMachineEntry(Kind.ENDING, name, "");
+      eventHistory.addMachineEntry(Kind.ENDING, name, "");
       process.destroy();
       if (isRunning(successorPid)) {
         ProcessHandle.of(successorPid).ifPresent(ProcessHandle::destroy);
@@ -180,11 +181,11 @@
   public synchronized void setSuspended(boolean on) {
     if (isAlive()) {
       if (on) {
-        ledger.addMachineEntry(Kind.STOPPED, name, "");
+        eventHistory.addMachineEntry(Kind.STOPPED, name, "");
       }
       signal(on ? "STOP" : "CONT");
       if (!on) {
-        ledger.addMachineEntry(Kind.CONTINUED, name, "");
+        eventHistory.addMachineEntry(Kind.CONTINUED, name, "");
       }
     }
   }
--- a/testkit/src/main/java/willowdoor/testkit/InvariantChecker.java
+++ b/testkit/src/main/java/willowdoor/testkit/InvariantChecker.java
@@ -73,8 +73,8 @@
     }
   }
 
-  private final EventHistory ledger;
-  private final RunSettings terms;
+  private final EventHistory eventHistory;
+  private final RunSettings runSettings;
   private final BackendCapacity capacity;
   private final Authorisation authorisation;
   private Budgets budgets;
@@ -110,37 +110,37 @@
     return this;
   }
 
-  public InvariantChecker(EventHistory ledger, RunSettings terms, BackendCapacity shape) {
-    this(ledger, terms, shape, null);
+  public InvariantChecker(EventHistory eventHistory, RunSettings runSettings, BackendCapacity capacity) {
+    this(eventHistory, runSettings, capacity, null);
   }
 
   /** With authorisation null, as without any. */
-  public InvariantChecker(EventHistory ledger, RunSettings terms, BackendCapacity shape,
+  public InvariantChecker(EventHistory eventHistory, RunSettings runSettings, BackendCapacity capacity,
       Authorisation authorisation) {
     this.authorisation = authorisation;
-    this.ledger = ledger;
-    this.terms = terms;
-    this.capacity = shape;
+    this.eventHistory = eventHistory;
+    this.runSettings = runSettings;
+    this.capacity = capacity;
   }
 
   /** Holds the whole ledger to all rules. */
   public Verdict verdict() {
-    if (ledger.overflowed()) {
+    if (eventHistory.overflowed()) {
       throw new IllegalStateException("the ledger is over its " + EventHistory.MAX_ENTRIES
           + " entries: no verdict");
     }
     collectDoorDowntimes();
-    Map<String, List<Entry>> histories = ledger.requestHistories();
+    Map<String, List<Entry>> histories = eventHistory.requestHistories();
     histories.forEach((id, history) -> {
-      ClientRequest asked = ledger.clientRequest(id);
-      if (asked == null) {
+      ClientRequest request = eventHistory.clientRequest(id);
+      if (request == null) {
         addViolation(Rule.ANSWERED_ONCE, "no client sent a request " + id, history);
       } else {
-        checkAnswers(asked, history);
-        checkEffects(asked, history);
+        checkAnswers(request, history);
+        checkEffects(request, history);
         checkSingleAttempt(id, history);
         if (authorisation != null) {
-          checkAuthorisation(asked, history);
+          checkAuthorisation(request, history);
         }
       }
     });
@@ -162,7 +162,7 @@
   /** The spans in which each door was no live door: from a kill to its start, from a stop to its going on. */
   private void collectDoorDowntimes() {
     Map<String, Double> since = new HashMap<>();
-    for (Entry e : ledger.machineEntries()) {
+    for (Entry e : eventHistory.machineEntries()) {
       switch (e.kind()) {
         case KILLED, STOPPED -> since.putIfAbsent(e.subject(), e.atMs());
         case STARTED, CONTINUED -> {
@@ -184,7 +184,7 @@
   }
 
   /** Rule 1: a request taken by a live door has exactly one final answer, in time. */
-  private void checkAnswers(ClientRequest asked, List<Entry> history) {
+  private void checkAnswers(ClientRequest request, List<Entry> history) {
     Entry lastSend = null;
     int answers = 0;
     int sends = 0;
@@ -200,18 +200,18 @@
         case ANSWERED -> {
           answers++;
           countOutcome(e.amount());
-          if (e.atMs() - asked.dueMs() > asked.timeoutMs() + DEADLINE_SLACK_MS
-              && !wasDown(e.other(), asked.dueMs(),
+          if (e.atMs() - request.dueMs() > request.timeoutMs() + DEADLINE_SLACK_MS
+              && !wasDown(e.other(), request.dueMs(),
               e.atMs())) {
             addViolation(Rule.ANSWERED_ONCE, String.format(
                 "answered %.0f ms after it was sent, with %.0f ms to wait",
-                e.atMs() - asked.dueMs(), asked.timeoutMs()), history);
+                e.atMs() - request.dueMs(), request.timeoutMs()), history);
           }
         }
         case FIRST_BYTE -> forwarded = true;
         case CUT -> {
           cutsOnReusedConnections += e.note().equals("kept") ? 1 : 0;
-          if (forwarded && !wasDown(e.other(), asked.dueMs(), e.atMs() + DEADLINE_SLACK_MS)) {
+          if (forwarded && !wasDown(e.other(), request.dueMs(), e.atMs() + DEADLINE_SLACK_MS)) {
             addViolation(Rule.ANSWERED_ONCE, "its connection was cut after it was sent on", history);
             return;
           }
@@ -224,7 +224,7 @@
     if (answers > 1) {
       addViolation(Rule.ANSWERED_ONCE, answers + " final answers", history);
     } else if (answers == 0 && lastSend != null) {
-      double until = asked.dueMs() + asked.timeoutMs();
+      double until = request.dueMs() + request.timeoutMs();
       if (clientLeft || wasDown(lastSend.other(), lastSend.atMs(), until)
           || sends == cutsOnReusedConnections) {
         excused++;
@@ -249,23 +249,23 @@
   /**
    * Rule 2: no effect runs twice, and what was refused to the client has not run where it can't be undone.
    */
-  private void checkEffects(ClientRequest asked, List<Entry> history) {
+  private void checkEffects(ClientRequest request, List<Entry> history) {
     List<Entry> effects = history.stream().filter(e -> e.kind() == Kind.EFFECT).toList();
-    if (asked.kind().runsOnce() && effects.size() > 1) {
+    if (request.kind().runsOnce() && effects.size() > 1) {
       addViolation(Rule.EFFECT_ONCE, "its effect ran " + effects.size() + " times", history);
     }
     boolean wasRefused = history.stream().anyMatch(
         e -> e.kind() == Kind.ANSWERED && (e.amount() == 429 || e.amount() == 503));
     // Where all backends drop repeats, a client that was refused may ask again whatever ran.
-    if (!asked.kind().isSafeToRepeat() && wasRefused && !effects.isEmpty()) {
+    if (!request.kind().isSafeToRepeat() && wasRefused && !effects.isEmpty()) {
       addViolation(Rule.REFUSED_HARMLESS, "refused, though its effect ran", history);
     }
   }
 
   /** Asked about once unless that may be repeated, and nothing sent on before an allow or after a denial. */
-  private void checkAuthorisation(ClientRequest asked, List<Entry> history) {
+  private void checkAuthorisation(ClientRequest request, List<Entry> history) {
     List<Entry> checks = history.stream().filter(e -> e.kind() == Kind.CHECKED).toList();
-    boolean required = authorisation.required().test(asked);
+    boolean required = authorisation.required().test(request);
     if (checks.size() > (!required ? 0 : authorisation.idempotent() ? Integer.MAX_VALUE : 1)) {
       addViolation(Rule.CHECKED_ONCE, checks.size() + " checks of it", history);
     }
@@ -284,24 +284,24 @@
 
   /** Never two attempts out: the second's last byte may not come while the first has not ended. */
   private void checkSingleAttempt(String id, List<Entry> history) {
-    Map<String, Entry> out = new HashMap<>();
-    double overlap = Double.NaN;
+    Map<String, Entry> outstanding = new HashMap<>();
+    double overlapMs = Double.NaN;
     for (Entry e : history) {
       switch (e.kind()) {
         case LAST_BYTE -> {
-          overlap = out.isEmpty() ? Double.NaN : e.atMs();
-          out.put(e.note(), e);
+          overlapMs = outstanding.isEmpty() ? Double.NaN : e.atMs();
+          outstanding.put(e.note(), e);
         }
         case REPLIED, TURNED_AWAY, ATTEMPT_ENDED -> {
-          out.remove(e.note());
-          if (e.atMs() - overlap <= CLOSE_REORDERING_MS && out.size() <= 1) {
-            overlap = Double.NaN;
+          outstanding.remove(e.note());
+          if (e.atMs() - overlapMs <= CLOSE_REORDERING_MS && outstanding.size() <= 1) {
+            overlapMs = Double.NaN;
           }
         }
         default -> { }
       }
     }
-    if (!Double.isNaN(overlap)) {
+    if (!Double.isNaN(overlapMs)) {
       addViolation(Rule.ONE_ATTEMPT_OUT, "two attempts of " + id + " out at once", history);
     }
   }
@@ -309,7 +309,7 @@
   /** Rule 3: nothing new to a backend later than the grace after the door was told that it drains. */
   private void checkDrains(Map<String, List<Entry>> histories) {
     Map<String, TreeMap<Double, Boolean>> drainStates = new HashMap<>();
-    for (Entry e : ledger.machineEntries()) {
+    for (Entry e : eventHistory.machineEntries()) {
       if (e.kind() == Kind.TOLD_DRAIN || e.kind() == Kind.TOLD_SERVING) {
         drainStates.computeIfAbsent(e.subject() + '>' + e.other(), k -> new TreeMap<>())
             .put(e.atMs(), e.kind() == Kind.TOLD_DRAIN);
@@ -323,7 +323,7 @@
         } else if (e.kind() == Kind.FIRST_BYTE && drainStates.containsKey(door + '>' + e.other())) {
           var lastNotice = drainStates.get(door + '>' + e.other()).floorEntry(e.atMs());
           if (lastNotice != null && lastNotice.getValue() && e.atMs()
-              - lastNotice.getKey() > terms.drainGraceMs() + DEADLINE_SLACK_MS) {
+              - lastNotice.getKey() > runSettings.drainGraceMs() + DEADLINE_SLACK_MS) {
             addViolation(Rule.DRAIN_KEPT, String.format("sent to %s %.0f ms after %s was told that it drains",
                 e.other(), e.atMs() - lastNotice.getKey(), door), history);
           }
@@ -338,33 +338,33 @@
    * found that was not so.
    */
   private void checkPermits() {
-    Map<String, Entry> out = new HashMap<>();
+    Map<String, Entry> membersOut = new HashMap<>();
     Map<String, String> holders = new HashMap<>();
     Map<String, Double> killedAtMs = new HashMap<>();
-    for (Entry e : ledger.machineEntries()) {
+    for (Entry e : eventHistory.machineEntries()) {
       switch (e.kind()) {
         case KILLED -> killedAtMs.put(e.subject(), e.atMs());
         case STARTED -> killedAtMs.remove(e.subject());
-        case GIVEN_BACK -> out.remove(e.subject());
+        case GIVEN_BACK -> membersOut.remove(e.subject());
         case PERMITTED -> {
           String holder = holders.putIfAbsent(e.other(), e.subject());
-          Entry previous = out.put(e.subject(), e);
+          Entry previous = membersOut.put(e.subject(), e);
           if (holder != null && !holder.equals(e.subject())
               || previous != null && !previous.other().equals(e.other())) {
             addViolation(Rule.PERMIT_ONE_HOLDER,
                 "permit " + e.other() + " of " + e.subject() + " beside that of "
                 + (holder == null ? previous.other() : holder), List.of(e));
           }
-          boolean door = budgets.isDoor().test(e.subject());
-          List<Entry> sameKind = out.values().stream()
-              .filter(x -> budgets.isDoor().test(x.subject()) == door).toList();
-          long longKilledDoors = !door ? 0
+          boolean isDoor = budgets.isDoor().test(e.subject());
+          List<Entry> sameKind = membersOut.values().stream()
+              .filter(x -> budgets.isDoor().test(x.subject()) == isDoor).toList();
+          long longKilledDoors = !isDoor ? 0
               : killedAtMs.entrySet().stream().filter(x -> budgets.isDoor().test(x.getKey())
-              && !out.containsKey(x.getKey()) && x.getValue() < e.atMs() - budgets.countedOutAfterMs())
+              && !membersOut.containsKey(x.getKey()) && x.getValue() < e.atMs() - budgets.countedOutAfterMs())
               .count();
           if (previous == null
-              && sameKind.size() + longKilledDoors > (door ? budgets.doors() : budgets.backends())) {
-            addViolation(Rule.BUDGET_KEPT, sameKind.size() + " " + (door ? "doors" : "backends")
+              && sameKind.size() + longKilledDoors > (isDoor ? budgets.doors() : budgets.backends())) {
+            addViolation(Rule.BUDGET_KEPT, sameKind.size() + " " + (isDoor ? "doors" : "backends")
                 + " are out on purpose and " + longKilledDoors + " were killed", sameKind);
           }
         }
@@ -382,7 +382,7 @@
     Map<Double, Entry> processes = new HashMap<>();
     Entry halted = null;
     Entry pendingRequest = null;
-    for (Entry e : ledger.machineEntries()) {
+    for (Entry e : eventHistory.machineEntries()) {
       switch (e.kind()) {
         case RUNS -> {
           processes.put(e.amount(), e);
@@ -429,7 +429,7 @@
   /** Nothing comes to a backend between the word that it is out and the wish to have it back. */
   private void checkBackendsOut(Map<String, List<Entry>> histories) {
     Map<String, TreeMap<Double, Boolean>> outStates = new HashMap<>();
-    for (Entry e : ledger.machineEntries()) {
+    for (Entry e : eventHistory.machineEntries()) {
       if (e.kind() == Kind.OUT || e.kind() == Kind.GIVEN_BACK) {
         outStates.computeIfAbsent(e.subject(), k -> new TreeMap<>()).put(e.atMs(), e.kind() == Kind.OUT);
       }
@@ -451,7 +451,7 @@
   /** Rule 4: within any window, a cold backend gets no more work than the multiple of what it can do. */
   private void checkColdStarts(Map<String, List<Entry>> histories) {
     Map<String, List<Double>> starts = new HashMap<>();
-    for (Entry e : ledger.machineEntries()) {
+    for (Entry e : eventHistory.machineEntries()) {
       if (e.kind() == Kind.STARTED && e.note().equals("cold")) {
         starts.computeIfAbsent(e.subject(), k -> new ArrayList<>()).add(e.atMs());
       }
@@ -464,20 +464,20 @@
         .forEach(e -> sent.computeIfAbsent(e.other(), k -> new ArrayList<>()).add(e)));
     starts.forEach((backend, times) -> times.forEach(start -> {
       List<Entry> attempts = sent.getOrDefault(backend, List.of()).stream()
-          .filter(e -> e.atMs() >= start && e.atMs() < start + terms.coldMs())
+          .filter(e -> e.atMs() >= start && e.atMs() < start + runSettings.coldMs())
           .sorted(Comparator.comparingDouble(Entry::atMs)).toList();
       ArrayDeque<Entry> window = new ArrayDeque<>();
       for (Entry e : attempts) {
         window.add(e);
-        while (window.peekFirst().atMs() <= e.atMs() - terms.tipAfterMs()) {
+        while (window.peekFirst().atMs() <= e.atMs() - runSettings.tipAfterMs()) {
           window.pollFirst();
         }
-        double capacityMs = capacity(start, e.atMs()) * terms.tipAfterMs();
+        double capacityMs = capacity(start, e.atMs()) * runSettings.tipAfterMs();
         double allowanceMs = COLD_SPARE_ATTEMPTS * capacity.workMs();
-        if (window.size() * capacity.workMs() > terms.tipMultiple() * capacityMs + allowanceMs) {
+        if (window.size() * capacity.workMs() > runSettings.tipMultiple() * capacityMs + allowanceMs) {
           addViolation(Rule.COLD_SPARED, String.format(
               "%s, %.0f ms after its start, was sent %d attempts in %.0f ms",
-              backend, e.atMs() - start, window.size(), terms.tipAfterMs()), List.copyOf(window));
+              backend, e.atMs() - start, window.size(), runSettings.tipAfterMs()), List.copyOf(window));
           return;
         }
       }
@@ -486,7 +486,8 @@
 
   /** Milliseconds of work that a backend does in a millisecond, so long after a cold start. */
   private double capacity(double start, double at) {
-    double share = terms.coldFrom() + (1 - terms.coldFrom()) * Math.min(1, (at - start) / terms.coldMs());
+    double share = runSettings.coldFrom() + (1 - runSettings.coldFrom())
+        * Math.min(1, (at - start) / runSettings.coldMs());
     return capacity.cores() * share;
   }
 
@@ -495,11 +496,11 @@
     Map<String, List<Entry>> byFirm = new HashMap<>();
     Map<String, PlanTerms> plans = new HashMap<>();
     histories.forEach((id, history) -> {
-      ClientRequest asked = ledger.clientRequest(id);
-      if (asked != null && terms.plan(asked.plan()).ceilingRate() > 0) {
+      ClientRequest request = eventHistory.clientRequest(id);
+      if (request != null && runSettings.plan(request.plan()).ceilingRate() > 0) {
         history.stream().filter(e -> e.kind() == Kind.LAST_BYTE).findFirst().ifPresent(e -> {
-          plans.put(asked.firm(), terms.plan(asked.plan()));
-          byFirm.computeIfAbsent(asked.firm(), f -> new ArrayList<>()).add(e);
+          plans.put(request.firm(), runSettings.plan(request.plan()));
+          byFirm.computeIfAbsent(request.firm(), f -> new ArrayList<>()).add(e);
         });
       }
     });
@@ -516,7 +517,7 @@
         if (level < -slack) {
           addViolation(Rule.CEILING_KEPT,
               String.format("firm %s of %s: %.1f units over its ceiling (slack %.1f)",
-              firm, plan.name(), -level, slack), ledger.requestHistory(e.subject()));
+              firm, plan.name(), -level, slack), eventHistory.requestHistory(e.subject()));
           return;
         }
       }
--- a/testkit/src/main/java/willowdoor/testkit/LaunchRecorder.java
+++ b/testkit/src/main/java/willowdoor/testkit/LaunchRecorder.java
@@ -32,33 +32,33 @@
       exec "$@"
       """;
 
-  private final EventHistory ledger;
+  private final EventHistory eventHistory;
   private final Path folder;
   private final Path script;
   private final Path log;
   private final Map<String, DoorProcess> doors = new HashMap<>();
   private final Map<Long, Entry> running = new HashMap<>();
   private final long offsetNanos;
-  private final Thread thread = new Thread(this::watch, "launches");
+  private final Thread poller = new Thread(this::pollUntilClosed, "launches");
   private int linesRead;
   private volatile boolean closed;
 
   /** In a folder that is there. */
-  public LaunchRecorder(EventHistory ledger, Path folder) {
-    this.ledger = ledger;
+  public LaunchRecorder(EventHistory eventHistory, Path folder) {
+    this.eventHistory = eventHistory;
     this.folder = folder;
     script = folder.resolve("launch.sh");
     log = folder.resolve("launches");
     java.time.Instant now = java.time.Instant.now();
-    offsetNanos = now.getEpochSecond() * 1_000_000_000 + now.getNano() - (long) (ledger.now() * 1e6);
+    offsetNanos = now.getEpochSecond() * 1_000_000_000 + now.getNano() - (long) (eventHistory.now() * 1e6);
     try {
       Files.writeString(script, SCRIPT);
       Files.writeString(log, "");
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    thread.setDaemon(true);
-    thread.start();
+    poller.setDaemon(true);
+    poller.start();
   }
 
   /** The words that go before a door's command; a version of {version} is put in by who runs it. */
@@ -81,11 +81,12 @@
   /** How many doors ever began that version. */
   public synchronized long doorsStarted(String version) {
     poll();
-    return ledger.machineEntries().stream().filter(x -> x.kind() == Kind.RUNS && x.other().equals(version))
+    return eventHistory.machineEntries().stream()
+        .filter(x -> x.kind() == Kind.RUNS && x.other().equals(version))
         .map(Entry::subject).distinct().count();
   }
 
-  private void watch() {
+  private void pollUntilClosed() {
     try {
       while (!closed) {
         poll();
@@ -105,7 +106,7 @@
         Entry entry =
             new Entry((Long.parseLong(fields[0]) - offsetNanos) / 1e6, Kind.RUNS, fields[1], fields[2],
             pid, "");
-        ledger.addMachineEntry(entry);
+        eventHistory.addMachineEntry(entry);
         running.put(pid, entry);
         if (doors.containsKey(fields[1])) {
           doors.get(fields[1]).followSuccessor(pid);
@@ -118,10 +119,11 @@
       boolean gone = !DoorProcess.isRunning(e.getKey());
       if (gone) {
         Entry x = e.getValue();
-        ledger.addMachineEntry(new Entry(ledger.now(), Kind.RAN, x.subject(), x.other(), x.amount(), ""));
+        eventHistory.addMachineEntry(
+            new Entry(eventHistory.now(), Kind.RAN, x.subject(), x.other(), x.amount(), ""));
         if (x.other().endsWith("-faint") && running.values().stream().noneMatch(y -> y != x
             && y.subject().equals(x.subject()))) {
-          ledger.addMachineEntry(Kind.KILLED, x.subject(), "");
+          eventHistory.addMachineEntry(Kind.KILLED, x.subject(), "");
         }
       }
       return gone;
@@ -132,7 +134,7 @@
   public synchronized void close() {
     poll();
     closed = true;
-    thread.interrupt();
+    poller.interrupt();
     running.keySet().forEach(pid -> ProcessHandle.of(pid).ifPresent(ProcessHandle::destroyForcibly));
   }
 }
--- a/testkit/src/main/java/willowdoor/testkit/LoadStatistics.java
+++ b/testkit/src/main/java/willowdoor/testkit/LoadStatistics.java
@@ -20,7 +20,7 @@
   /** One second of asking. */
   private static final class Second {
     private int tries;
-    private final int[] ends = new int[TryOutcome.values().length];
+    private final int[] outcomes = new int[TryOutcome.values().length];
     private final Histogram served = new Histogram(MAX_LATENCY_US, 2);
   }
 
@@ -86,7 +86,7 @@
 
   /** A request's last try ended so; its first try was due at that moment. */
   synchronized void recordRequest(double firstDueMs, TryOutcome end, String firm, String plan, int units) {
-    second(firstDueMs).ends[end.ordinal()]++;
+    second(firstDueMs).outcomes[end.ordinal()]++;
     firm(firm, plan).offeredUnits += units;
   }
 
@@ -124,24 +124,24 @@
    * Figures of the requests that were first due between two moments of the ledger's clock, in whole seconds.
    */
   public synchronized IntervalStatistics interval(double fromMs, double toMs) {
-    int[] ends = new int[TryOutcome.values().length];
+    int[] outcomes = new int[TryOutcome.values().length];
     int tries = 0;
     Histogram served = new Histogram(MAX_LATENCY_US, 2);
     for (Second s : seconds.subMap((int) (fromMs / 1000), (int) Math.ceil(toMs / 1000)).values()) {
-      for (int i = 0; i < ends.length; i++) {
-        ends[i] += s.ends[i];
+      for (int i = 0; i < outcomes.length; i++) {
+        outcomes[i] += s.outcomes[i];
       }
       tries += s.tries;
       served.add(s.served);
     }
     int offered = 0;
-    for (int n : ends) {
+    for (int n : outcomes) {
       offered += n;
     }
-    return new IntervalStatistics(tries, offered, ends[TryOutcome.SERVED.ordinal()],
-        ends[TryOutcome.REFUSED.ordinal()],
-        ends[TryOutcome.FAILED.ordinal()], ends[TryOutcome.UNANSWERED.ordinal()],
-        ends[TryOutcome.NOT_TAKEN.ordinal()] + ends[TryOutcome.NO_DOOR.ordinal()],
+    return new IntervalStatistics(tries, offered, outcomes[TryOutcome.SERVED.ordinal()],
+        outcomes[TryOutcome.REFUSED.ordinal()],
+        outcomes[TryOutcome.FAILED.ordinal()], outcomes[TryOutcome.UNANSWERED.ordinal()],
+        outcomes[TryOutcome.NOT_TAKEN.ordinal()] + outcomes[TryOutcome.NO_DOOR.ordinal()],
         served.getTotalCount() == 0 ? 0 : served.getValueAtPercentile(50) / 1e3,
         served.getTotalCount() == 0 ? 0 : served.getValueAtPercentile(99) / 1e3);
   }
--- a/testkit/src/main/java/willowdoor/testkit/QuotaAudit.java
+++ b/testkit/src/main/java/willowdoor/testkit/QuotaAudit.java
@@ -38,30 +38,30 @@
     }
   }
 
-  private record Moment(double atMs, ClientRequest asked, double units, boolean isAttempt) { }
+  private record Moment(double atMs, ClientRequest request, double units, boolean isAttempt) { }
 
-  private final EventHistory ledger;
-  private final RunSettings terms;
+  private final EventHistory eventHistory;
+  private final RunSettings runSettings;
   private final Map<String, List<Moment>> moments = new TreeMap<>();
   private final Map<String, Boolean> refused = new HashMap<>();
   private final Map<String, String> doors = new HashMap<>();
 
   /** Reads the ledger, when the run is over. */
-  public QuotaAudit(EventHistory ledger, RunSettings terms) {
-    this.ledger = ledger;
-    this.terms = terms;
-    ledger.requestHistories().forEach((id, history) -> {
-      ClientRequest asked = ledger.clientRequest(id);
+  public QuotaAudit(EventHistory eventHistory, RunSettings runSettings) {
+    this.eventHistory = eventHistory;
+    this.runSettings = runSettings;
+    eventHistory.requestHistories().forEach((id, history) -> {
+      ClientRequest request = eventHistory.clientRequest(id);
       boolean firstAttemptRecorded = false;
       boolean firstTryRecorded = false;
-      for (Entry e : asked == null ? List.<Entry>of() : history) {
+      for (Entry e : request == null ? List.<Entry>of() : history) {
         if (e.kind() == Kind.ASKED && !firstTryRecorded) {
           firstTryRecorded = true;
           doors.put(id, e.other());
-          momentsOf(asked).add(new Moment(e.atMs(), asked, asked.units(), false));
+          momentsOf(request).add(new Moment(e.atMs(), request, request.units(), false));
         } else if (e.kind() == Kind.LAST_BYTE && !firstAttemptRecorded) {
           firstAttemptRecorded = true;
-          momentsOf(asked).add(new Moment(e.atMs(), asked, e.amount(), true));
+          momentsOf(request).add(new Moment(e.atMs(), request, e.amount(), true));
         } else if (e.kind() == Kind.ANSWERED) {
           refused.put(id, e.amount() == 429 || e.amount() == 503);
         }
@@ -70,15 +70,15 @@
     moments.values().forEach(m -> m.sort(Comparator.comparingDouble(Moment::atMs)));
   }
 
-  private List<Moment> momentsOf(ClientRequest asked) {
-    return moments.computeIfAbsent(asked.firm(), f -> new ArrayList<>());
+  private List<Moment> momentsOf(ClientRequest request) {
+    return moments.computeIfAbsent(request.firm(), f -> new ArrayList<>());
   }
 
   /** The use of every firm. */
   public List<FirmUse> uses() {
     List<FirmUse> uses = new ArrayList<>();
     moments.forEach((firm, all) -> {
-      PlanTerms plan = terms.plan(all.get(0).asked().plan());
+      PlanTerms plan = runSettings.plan(all.get(0).request().plan());
       Bucket quota = new Bucket(plan.rate(), plan.burst());
       Bucket ceiling = new Bucket(plan.ceilingRate(), plan.ceilingBurst());
       double asked = 0;
@@ -109,15 +109,15 @@
       if (!ofFirms.test(e.getKey())) {
         continue;
       }
-      PlanTerms plan = terms.plan(e.getValue().get(0).asked().plan());
+      PlanTerms plan = runSettings.plan(e.getValue().get(0).request().plan());
       Bucket quota = new Bucket(plan.rate(), plan.burst());
       for (Moment m : e.getValue()) {
         if (m.isAttempt()) {
           quota.take(m.atMs(), m.units());
-        } else if (m.atMs() >= fromMs && m.atMs() < toMs && throughDoors.test(doors.get(m.asked().id()))
+        } else if (m.atMs() >= fromMs && m.atMs() < toMs && throughDoors.test(doors.get(m.request().id()))
             && quota.levelAt(m.atMs()) >= Math.max(m.units(), plan.burst() / 2)) {
           asked++;
-          denied += refused.getOrDefault(m.asked().id(), false) ? 1 : 0;
+          denied += refused.getOrDefault(m.request().id(), false) ? 1 : 0;
         }
       }
     }
@@ -129,7 +129,7 @@
     private final double rate;
     private final double burst;
     private double level;
-    private double atMs;
+    private double updatedMs;
     private double maxOverdraft;
 
     Bucket(double rate, double burst) {
@@ -139,8 +139,8 @@
     }
 
     double levelAt(double now) {
-      level = Math.min(burst, level + rate * (now - atMs) / 1000);
-      atMs = now;
+      level = Math.min(burst, level + rate * (now - updatedMs) / 1000);
+      updatedMs = now;
       return level;
     }
 
--- a/testkit/src/main/java/willowdoor/testkit/StandInAuthoriser.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInAuthoriser.java
@@ -92,7 +92,7 @@
 
   private final String name;
   private final EventLoop loop;
-  private final EventHistory ledger;
+  private final EventHistory eventHistory;
   private final Http2Settings http2;
   private final SslContext tls;
   private final ChannelGroup openConnections;
@@ -109,11 +109,11 @@
   private boolean alive;
 
   /** Listens on a free loopback port; settings are those it tells its clients, tls may be null. */
-  public StandInAuthoriser(String name, EventLoop loop, EventHistory ledger, Http2Settings settings,
+  public StandInAuthoriser(String name, EventLoop loop, EventHistory eventHistory, Http2Settings settings,
       SslContext tls) {
     this.name = name;
     this.loop = loop;
-    this.ledger = ledger;
+    this.eventHistory = eventHistory;
     this.http2 = settings;
     this.tls = tls;
     this.openConnections = new DefaultChannelGroup(loop);
@@ -192,7 +192,7 @@
         }), at);
     address = (InetSocketAddress) serverChannel.localAddress();
     alive = true;
-    ledger.addMachineEntry(Kind.STARTED, name, "");
+    eventHistory.addMachineEntry(Kind.STARTED, name, "");
   }
 
   /** Its process dies: connections are reset, new ones refused. */
@@ -203,7 +203,7 @@
     alive = false;
     serverChannel.close().syncUninterruptibly();
     loop.submit(() -> openConnections.forEach(StandInAuthoriser::reset)).syncUninterruptibly();
-    ledger.addMachineEntry(Kind.KILLED, name, "");
+    eventHistory.addMachineEntry(Kind.KILLED, name, "");
   }
 
   /** It listens again where it did, and allows. */
@@ -294,7 +294,7 @@
       AttributeContext.HttpRequest http = request.getAttributes().getRequest().getHttp();
       id = http.getId();
       attempt = name + "/" + ctx.channel().parent().id().asShortText() + "/" + streamId();
-      ledger.addRequestEntry(Kind.CHECKED, id, name, 0, attempt);
+      eventHistory.addRequestEntry(Kind.CHECKED, id, name, 0, attempt);
       if (checks.incrementAndGet() <= MAX_KEPT_CHECKS) {
         receivedChecks.add(request);
       }
@@ -340,7 +340,8 @@
     }
 
     private void recordAnswer(CheckResponse answer) {
-      ledger.addRequestEntry(answer.getStatus().getCode() == 0 ? Kind.ALLOWED : Kind.DENIED, id, name, 0,
+      eventHistory.addRequestEntry(answer.getStatus().getCode() == 0 ? Kind.ALLOWED : Kind.DENIED, id, name,
+          0,
           attempt);
     }
 
