--- a/testkit/src/main/java/willowdoor/testkit/StandInBackend.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInBackend.java
@@ -131,9 +131,9 @@
     address = (InetSocketAddress) serverChannel.localAddress();
     alive = true;
     behaviour = Behaviour.WELL;
-    coldSinceMs = cold ? pool.ledger().now() : Double.NaN;
-    pool.ledger()
-        .addMachineEntry(new Entry(pool.ledger().now(), Kind.STARTED, name, "", 0, cold ? "cold" : ""));
+    coldSinceMs = cold ? pool.eventHistory().now() : Double.NaN;
+    pool.eventHistory()
+        .addMachineEntry(new Entry(pool.eventHistory().now(), Kind.STARTED, name, "", 0, cold ? "cold" : ""));
   }
 
   /** Its process dies: connections are reset, new ones refused, all work is lost. */
@@ -149,7 +149,7 @@
         c.close();
       });
     }).syncUninterruptibly();
-    pool.ledger().addMachineEntry(Kind.KILLED, name, "");
+    pool.eventHistory().addMachineEntry(Kind.KILLED, name, "");
   }
 
   /** Refuses new connections, or listens again where it did; nothing else of it changes. */
@@ -166,12 +166,12 @@
     if (Double.isNaN(coldSinceMs)) {
       return 1;
     }
-    double age = (pool.ledger().now() - coldSinceMs) / pool.terms().coldMs();
-    return age >= 1 ? 1 : 1 / (pool.terms().coldFrom() + (1 - pool.terms().coldFrom()) * age);
+    double age = (pool.eventHistory().now() - coldSinceMs) / pool.runSettings().coldMs();
+    return age >= 1 ? 1 : 1 / (pool.runSettings().coldFrom() + (1 - pool.runSettings().coldFrom()) * age);
   }
 
   private void record(Kind kind, Work w, double amount) {
-    pool.ledger().addRequestEntry(kind, w.id, name, amount, w.attempt);
+    pool.eventHistory().addRequestEntry(kind, w.id, name, amount, w.attempt);
   }
 
   private void admit(Work w) {
@@ -181,11 +181,11 @@
     } else if (running >= pool.spec().cores()) {
       queue.add(w);
     } else {
-      begin(w);
+      startWork(w);
     }
   }
 
-  private void begin(Work w) {
+  private void startWork(Work w) {
     int units = pool.trueUnits(w.units);
     if (w.key == null || pool.rememberIfNew(w.key)) {
       record(Kind.EFFECT, w, units);
@@ -196,22 +196,22 @@
     Behaviour now = behaviour;
     switch (now) {
       case ERRORS ->
-          finish(w, () -> w.connection.answer(w, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false,
+          finishWork(w, () -> w.connection.answer(w, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false,
           0));
-      case RESETS -> finish(w, w.connection::reset);
-      case SPOILS -> finish(w, () -> w.connection.writeRaw("\0 junk \r\n\r\n"));
-      case HALF_ANSWERS -> finish(w, () -> w.connection.writeRaw(
+      case RESETS -> finishWork(w, w.connection::reset);
+      case SPOILS -> finishWork(w, () -> w.connection.writeRaw("\0 junk \r\n\r\n"));
+      case HALF_ANSWERS -> finishWork(w, () -> w.connection.writeRaw(
           "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of"));
-      case STALLS -> finish(w, () -> { });
+      case STALLS -> finishWork(w, () -> { });
       default -> {
         double ms = pool.drawWorkMs() * slowdown() * (now == Behaviour.SLOW ? SLOWDOWN_FACTOR : 1);
-        loop.schedule(() -> finish(w, () -> w.connection.answer(w, HttpResponseStatus.OK,
+        loop.schedule(() -> finishWork(w, () -> w.connection.answer(w, HttpResponseStatus.OK,
             body(w.id, name), false, units)), (long) (ms * 1000), TimeUnit.MICROSECONDS);
       }
     }
   }
 
-  private void finish(Work w, Runnable answer) {
+  private void finishWork(Work w, Runnable answer) {
     if (w.incarnation != incarnation) {
       return;
     }
@@ -220,7 +220,7 @@
     while (running < pool.spec().cores() && !queue.isEmpty()) {
       Work next = queue.poll();
       if (next.connection.channel.isActive()) {
-        begin(next);
+        startWork(next);
       }
     }
   }
@@ -243,12 +243,12 @@
 
     /** Notes when a request's first byte came, before it is decoded. */
     private final class FirstByte extends ChannelDuplexHandler {
-      private double at = Double.NaN;
+      private double atMs = Double.NaN;
 
       @Override
       public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-        if (Double.isNaN(at) && ((ByteBuf) bytes).isReadable()) {
-          at = pool.ledger().now();
+        if (Double.isNaN(atMs) && ((ByteBuf) bytes).isReadable()) {
+          atMs = pool.eventHistory().now();
         }
         ctx.fireChannelRead(bytes);
       }
@@ -257,38 +257,38 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
       FullHttpRequest request = (FullHttpRequest) message;
-      double firstByteMs = firstByte.at;
-      firstByte.at = Double.NaN;
+      double firstByteMs = firstByte.atMs;
+      firstByte.atMs = Double.NaN;
       String id = String.valueOf(request.headers().get("Request-Id"));
       String key = request.headers().get("Idempotency-Key");
       lastHeaders = request.headers();
       request.release();
-      ClientRequest asked = pool.ledger().clientRequest(id);
+      ClientRequest asked = pool.eventHistory().clientRequest(id);
       String attempt = name + '/' + channel.id().asShortText() + '/' + attempts++;
       int units = asked == null ? 1 : asked.units();
-      pool.ledger().add(new Entry(firstByteMs, Kind.FIRST_BYTE, id, name, 0, attempt));
+      pool.eventHistory().add(new Entry(firstByteMs, Kind.FIRST_BYTE, id, name, 0, attempt));
       current = new Work(this, id, key, units, attempt, incarnation);
       record(Kind.LAST_BYTE, current, units);
       admit(current);
     }
 
-    void answer(Work w, HttpResponseStatus status, String text, boolean notStarted, int units) {
-      if (!channel.isActive() || current != w) {
+    void answer(Work work, HttpResponseStatus status, String text, boolean notStarted, int units) {
+      if (!channel.isActive() || current != work) {
         return;
       }
-      DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
+      DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
           Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
-      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
+      response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
       if (notStarted) {
-        answer.headers().set("Not-Started", "1");
+        response.headers().set("Not-Started", "1");
       } else if (units > 0) {
-        answer.headers().set("X-Units-Charged", units);
-        record(Kind.REPLIED, w, status.code());
+        response.headers().set("X-Units-Charged", units);
+        record(Kind.REPLIED, work, status.code());
       } else {
-        record(Kind.REPLIED, w, status.code());
+        record(Kind.REPLIED, work, status.code());
       }
       current = null;
-      channel.writeAndFlush(answer);
+      channel.writeAndFlush(response);
     }
 
     void writeRaw(String text) {
--- a/testkit/src/main/java/willowdoor/testkit/StandInCounter.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInCounter.java
@@ -45,7 +45,7 @@
   private record Count(double total, double expiresAtMs) { }
 
   private final EventLoopGroup group;
-  private final EventHistory ledger;
+  private final EventHistory eventHistory;
   private final Map<String, Count> counts = new HashMap<>();
   /** Where it listens, by door; {@value #SHARED_ADDRESS} is the address that no door has for its own. */
   private final Map<Integer, Port> ports = new ConcurrentSkipListMap<>();
@@ -68,9 +68,9 @@
   private final Map<String, Double> addedByCustomer = new HashMap<>();
 
   /** Listens on a free loopback port; all its work is on the group's one loop. */
-  public StandInCounter(EventLoopGroup group, EventHistory ledger) {
+  public StandInCounter(EventLoopGroup group, EventHistory eventHistory) {
     this.group = group;
-    this.ledger = ledger;
+    this.eventHistory = eventHistory;
     ports.put(SHARED_ADDRESS, new Port(SHARED_ADDRESS));
     group.next().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
   }
@@ -190,7 +190,7 @@
 
   /** Total of all living names of a customer; the customer is what stands before the colon. */
   public synchronized double total(String beforeColon) {
-    double now = ledger.now();
+    double now = eventHistory.now();
     return counts.entrySet().stream().filter(e -> e.getKey().startsWith(beforeColon + ":")
         && e.getValue().expiresAtMs() >= now).mapToDouble(e -> e.getValue().total()).sum();
   }
@@ -213,7 +213,7 @@
   /** It is back where it was with all that it had: it was only out of reach. */
   public void restart() {
     reconnect();
-    ledger.addMachineEntry(EventHistory.Kind.STARTED, "counter", "");
+    eventHistory.addMachineEntry(EventHistory.Kind.STARTED, "counter", "");
   }
 
   /** It is back where it was, with the copy that was kept last. */
@@ -223,7 +223,7 @@
       counts.putAll(keptCounts);
     }
     reconnect();
-    ledger.addMachineEntry(EventHistory.Kind.STARTED, "counter", "");
+    eventHistory.addMachineEntry(EventHistory.Kind.STARTED, "counter", "");
   }
 
   /** From here on it takes calls and answers none, or answers again. */
@@ -248,7 +248,7 @@
   /** It is gone: connections end and new ones are refused. */
   public void stop() {
     portsOf(door -> true).forEach(Port::close);
-    ledger.addMachineEntry(EventHistory.Kind.KILLED, "counter", "");
+    eventHistory.addMachineEntry(EventHistory.Kind.KILLED, "counter", "");
   }
 
   /** It is back where it was, empty. */
@@ -257,11 +257,11 @@
       counts.clear();
     }
     reconnect();
-    ledger.addMachineEntry(EventHistory.Kind.STARTED, "counter", "");
+    eventHistory.addMachineEntry(EventHistory.Kind.STARTED, "counter", "");
   }
 
   private synchronized void sweep() {
-    double now = ledger.now();
+    double now = eventHistory.now();
     counts.values().removeIf(c -> c.expiresAtMs() < now);
     secondCounts.values().removeIf(c -> c.expiresAtMs() < now);
   }
@@ -277,7 +277,7 @@
       }
       double amount = Double.parseDouble(parts[2]);
       double lifetimeMs = Math.min(MAX_LIFETIME_MS, Double.parseDouble(parts[3]));
-      double now = ledger.now();
+      double now = eventHistory.now();
       if (!internal) {
         firstCalls.putIfAbsent(door, now);
       }
@@ -304,7 +304,7 @@
       return -1;
     }
     waitingCalls++;
-    double now = ledger.now();
+    double now = eventHistory.now();
     freeAtMs = Math.max(now, freeAtMs) + 1000 / maxCallsPerSecond;
     return freeAtMs - now;
   }
--- a/testkit/src/main/java/willowdoor/testkit/StandInDiscovery.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInDiscovery.java
@@ -55,7 +55,7 @@
   }
 
   private final EventLoopGroup group;
-  private final EventHistory ledger;
+  private final EventHistory eventHistory;
   private final Map<String, Listed> list = new LinkedHashMap<>();
   private final Map<String, InetSocketAddress> agents = new ConcurrentHashMap<>();
   private final Map<Channel, String> watches = new HashMap<>();
@@ -63,9 +63,9 @@
   private long version = 1;
   private boolean hanging;
 
-  public StandInDiscovery(EventLoopGroup group, EventHistory ledger) {
+  public StandInDiscovery(EventLoopGroup group, EventHistory eventHistory) {
     this.group = group;
-    this.ledger = ledger;
+    this.eventHistory = eventHistory;
     group.next().scheduleWithFixedDelay(this::sendHeartbeats, HEARTBEAT_MS, HEARTBEAT_MS,
         TimeUnit.MILLISECONDS);
   }
@@ -148,20 +148,20 @@
   }
 
   private synchronized void recordStates(String door, boolean full, List<Listed> entries) {
-    Map<String, String> before = statesByDoor.computeIfAbsent(door, d -> new HashMap<>());
+    Map<String, String> known = statesByDoor.computeIfAbsent(door, d -> new HashMap<>());
     for (Listed e : entries) {
-      String last = before.put(e.id(), e.state());
+      String last = known.put(e.id(), e.state());
       if (!e.state().equals(last)) {
-        ledger.addMachineEntry(e.state().equals("active") ? Kind.TOLD_SERVING : Kind.TOLD_DRAIN, door,
+        eventHistory.addMachineEntry(e.state().equals("active") ? Kind.TOLD_SERVING : Kind.TOLD_DRAIN, door,
             e.id());
       }
     }
     if (full) {
       List<String> named = entries.stream().map(Listed::id).toList();
-      before.entrySet().stream().filter(e -> e.getValue().equals("active") && !named.contains(e.getKey()))
+      known.entrySet().stream().filter(e -> e.getValue().equals("active") && !named.contains(e.getKey()))
           .forEach(e -> {
             e.setValue("left");
-            ledger.addMachineEntry(Kind.TOLD_DRAIN, door, e.getKey());
+            eventHistory.addMachineEntry(Kind.TOLD_DRAIN, door, e.getKey());
           });
     }
   }
--- a/testkit/src/main/java/willowdoor/testkit/StandInValkey.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInValkey.java
@@ -192,17 +192,17 @@
 
   /** Adds made so far. */
   public long adds() throws IOException {
-    long[] told = new long[1];
-    onLoop(() -> told[0] = adds);
-    return told[0];
+    long[] result = new long[1];
+    onLoop(() -> result[0] = adds);
+    return result[0];
   }
 
   /** The sum of the counts whose names begin so. */
   public double sum(String prefix) throws IOException {
-    double[] told = new double[1];
-    onLoop(() -> data.forEach((key, value) -> told[0] += key.startsWith(prefix) && value.expiresAtMs > now()
+    double[] result = new double[1];
+    onLoop(() -> data.forEach((key, value) -> result[0] += key.startsWith(prefix) && value.expiresAtMs > now()
         ? Double.parseDouble(value.text) : 0));
-    return told[0];
+    return result[0];
   }
 
   /** Has it do a command by a connection of its own, as a terminal would; the answer's first line. */
@@ -223,9 +223,9 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private void onLoop(Runnable what) throws IOException {
+  private void onLoop(Runnable task) throws IOException {
     try {
-      loop.submit(what).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+      loop.submit(task).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException(e);
@@ -393,13 +393,15 @@
         epoch = new Value(words.get(7), Double.POSITIVE_INFINITY);
         write(epochKey, epoch);
       }
-      Value before = liveValue(count);
-      BigDecimal total = new BigDecimal(before == null ? "0" : before.text).add(new BigDecimal(words.get(5)));
-      String told = total.signum() == 0 ? "0" : total.stripTrailingZeros().toPlainString();
+      Value oldCount = liveValue(count);
+      BigDecimal total = new BigDecimal(oldCount == null ? "0" : oldCount.text)
+          .add(new BigDecimal(words.get(5)));
+      String newTotal = total.signum() == 0 ? "0" : total.stripTrailingZeros().toPlainString();
       write(count,
-          new Value(told, before == null ? now() + Long.parseLong(words.get(6)) : before.expiresAtMs));
+          new Value(newTotal,
+          oldCount == null ? now() + Long.parseLong(words.get(6)) : oldCount.expiresAtMs));
       adds++;
-      return new ArrayRedisMessage(List.of(text(told), text(epoch.text)));
+      return new ArrayRedisMessage(List.of(text(newTotal), text(epoch.text)));
     }
   }
 
--- a/testkit/src/main/java/willowdoor/testkit/TestEnvironment.java
+++ b/testkit/src/main/java/willowdoor/testkit/TestEnvironment.java
@@ -19,8 +19,8 @@
   private final EventLoopGroup backendLoop = loop();
   private final EventLoopGroup peerLoop = loop();
   private final EventLoopGroup clientLoop = loop();
-  private final EventHistory ledger = new EventHistory();
-  private final RunSettings terms;
+  private final EventHistory eventHistory = new EventHistory();
+  private final RunSettings runSettings;
   private final BackendPool.BackendSpec backendSpec;
   private final StandInDiscovery discovery;
   private final StandInCounter counter;
@@ -33,25 +33,25 @@
   private ClientFleet fleet;
   private int relays;
 
-  public TestEnvironment(RunSettings terms, BackendPool.BackendSpec backendSpec, long seed) {
-    this.terms = terms;
+  public TestEnvironment(RunSettings runSettings, BackendPool.BackendSpec backendSpec, long seed) {
+    this.runSettings = runSettings;
     this.backendSpec = backendSpec;
     this.seed = seed;
-    discovery = new StandInDiscovery(peerLoop, ledger);
-    counter = new StandInCounter(peerLoop, ledger);
-    backendPool = new BackendPool(backendLoop, ledger, terms, discovery, backendSpec, seed);
+    discovery = new StandInDiscovery(peerLoop, eventHistory);
+    counter = new StandInCounter(peerLoop, eventHistory);
+    backendPool = new BackendPool(backendLoop, eventHistory, runSettings, discovery, backendSpec, seed);
   }
 
   private static EventLoopGroup loop() {
     return new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   }
 
-  public EventHistory ledger() {
-    return ledger;
+  public EventHistory eventHistory() {
+    return eventHistory;
   }
 
-  public RunSettings terms() {
-    return terms;
+  public RunSettings runSettings() {
+    return runSettings;
   }
 
   public StandInDiscovery discovery() {
@@ -75,7 +75,7 @@
     if (authoriserLoop == null) {
       authoriserLoop = loop();
     }
-    StandInAuthoriser made = new StandInAuthoriser(name, authoriserLoop.next(), ledger, settings, tls);
+    StandInAuthoriser made = new StandInAuthoriser(name, authoriserLoop.next(), eventHistory, settings, tls);
     authorisers.add(made);
     return made;
   }
@@ -102,13 +102,14 @@
 
   /** The client fleet of these doors; it asks nothing before it is told to. */
   public ClientFleet fleet(List<? extends Door> doors, ClientFleet.Load load) {
-    fleet = new ClientFleet(clientLoop.next(), ledger, terms, doors, load, seed);
+    fleet = new ClientFleet(clientLoop.next(), eventHistory, runSettings, doors, load, seed);
     return fleet;
   }
 
   /** Holds what happened to the rules; to be asked when all tries have ended. */
   public InvariantChecker.Verdict verdict() {
-    return new InvariantChecker(ledger, terms, backendSpec.capacity(), authorisation).withBudgets(budgets)
+    return new InvariantChecker(eventHistory, runSettings, backendSpec.capacity(), authorisation)
+        .withBudgets(budgets)
         .verdict();
   }
 
--- a/testkit/src/test/java/willowdoor/testkit/InvariantCheckerTest.java
+++ b/testkit/src/test/java/willowdoor/testkit/InvariantCheckerTest.java
@@ -15,10 +15,11 @@
 /** Plants what no run may hold, and what it may, and sees which of both the judge finds. */
 class InvariantCheckerTest {
 
-  private final EventHistory ledger = new EventHistory();
+  private final EventHistory eventHistory = new EventHistory();
 
   private Verdict verdict() {
-    return new InvariantChecker(ledger, RunSettings.typical(), new InvariantChecker.BackendCapacity(2, 100))
+    return new InvariantChecker(eventHistory, RunSettings.typical(),
+        new InvariantChecker.BackendCapacity(2, 100))
         .verdict();
   }
 
@@ -29,45 +30,45 @@
         v::toString);
   }
 
-  private void asked(String id, RequestKind kind, double atMs) {
-    asked(id, kind, atMs, "full", 1);
+  private void sendRequest(String id, RequestKind kind, double atMs) {
+    sendRequest(id, kind, atMs, "full", 1);
   }
 
-  private void asked(String id, RequestKind kind, double atMs, String plan, int units) {
-    ledger.registerRequest(
+  private void sendRequest(String id, RequestKind kind, double atMs, String plan, int units) {
+    eventHistory.registerRequest(
         new ClientRequest(id, "firm-" + plan, plan, kind, kind.keyed() ? "k" + id : null, units, 2_000, 0,
         atMs));
-    put(id, Kind.ASKED, atMs, "d0", 0, "");
+    record(id, Kind.ASKED, atMs, "d0", 0, "");
   }
 
-  private void put(String id, Kind kind, double atMs, String at, double amount, String note) {
-    ledger.add(new Entry(atMs, kind, id, at, amount, note));
+  private void record(String id, Kind kind, double atMs, String at, double amount, String note) {
+    eventHistory.add(new Entry(atMs, kind, id, at, amount, note));
   }
 
-  private void machine(Kind kind, double atMs, String name, String other, String note) {
-    ledger.addMachineEntry(new Entry(atMs, kind, name, other, 0, note));
+  private void recordMachine(Kind kind, double atMs, String name, String other, String note) {
+    eventHistory.addMachineEntry(new Entry(atMs, kind, name, other, 0, note));
   }
 
-  private void attempt(String id, double atMs, String backend, String connection) {
-    put(id, Kind.FIRST_BYTE, atMs, backend, 0, connection);
-    put(id, Kind.LAST_BYTE, atMs, backend, 1, connection);
+  private void recordAttempt(String id, double atMs, String backend, String connection) {
+    record(id, Kind.FIRST_BYTE, atMs, backend, 0, connection);
+    record(id, Kind.LAST_BYTE, atMs, backend, 1, connection);
   }
 
-  private void served(String id, double atMs, String backend) {
-    attempt(id, atMs + 1, backend, "c" + id);
-    put(id, Kind.EFFECT, atMs + 1, backend, 1, "c" + id);
-    put(id, Kind.REPLIED, atMs + 90, backend, 200, "c" + id);
-    put(id, Kind.ANSWERED, atMs + 91, "d0", 200, "");
+  private void recordServed(String id, double atMs, String backend) {
+    recordAttempt(id, atMs + 1, backend, "c" + id);
+    record(id, Kind.EFFECT, atMs + 1, backend, 1, "c" + id);
+    record(id, Kind.REPLIED, atMs + 90, backend, 200, "c" + id);
+    record(id, Kind.ANSWERED, atMs + 91, "d0", 200, "");
   }
 
   @Test
   void aCleanRunBreaksNothing() {
     for (int i = 0; i < 50; i++) {
-      asked("r" + i, i % 2 == 0 ? RequestKind.BUY : RequestKind.QUOTE, i * 200);
-      served("r" + i, i * 200, "b0");
+      sendRequest("r" + i, i % 2 == 0 ? RequestKind.BUY : RequestKind.QUOTE, i * 200);
+      recordServed("r" + i, i * 200, "b0");
     }
-    asked("refused", RequestKind.BUY, 11_000);
-    put("refused", Kind.ANSWERED, 11_001, "d0", 429, "");
+    sendRequest("refused", RequestKind.BUY, 11_000);
+    record("refused", Kind.ANSWERED, 11_001, "d0", 429, "");
     Verdict v = verdict();
     assertTrue(v.passed(), v::toString);
     assertEquals(50, v.served());
@@ -76,210 +77,211 @@
 
   private void assertOperatorViolations(List<Rule> broken) {
     Verdict v =
-        new InvariantChecker(ledger, RunSettings.typical(), new InvariantChecker.BackendCapacity(2, 100))
+        new InvariantChecker(eventHistory, RunSettings.typical(),
+        new InvariantChecker.BackendCapacity(2, 100))
         .withBudgets(new InvariantChecker.Budgets(1, 1, x -> x.startsWith("d"), 5_000)).verdict();
     assertEquals(broken, v.violations().stream().map(Violation::rule).toList(), v::toString);
   }
 
   @Test
   void findsMoreMembersOutThanTheBudgetAllows() {
-    machine(Kind.PERMITTED, 100, "d1", "1", "");
-    machine(Kind.PERMITTED, 150, "d1", "1", "");
-    machine(Kind.PERMITTED, 200, "b1", "2", "");
-    machine(Kind.GIVEN_BACK, 300, "d1", "1", "");
-    machine(Kind.PERMITTED, 400, "d2", "3", "");
+    recordMachine(Kind.PERMITTED, 100, "d1", "1", "");
+    recordMachine(Kind.PERMITTED, 150, "d1", "1", "");
+    recordMachine(Kind.PERMITTED, 200, "b1", "2", "");
+    recordMachine(Kind.GIVEN_BACK, 300, "d1", "1", "");
+    recordMachine(Kind.PERMITTED, 400, "d2", "3", "");
     assertOperatorViolations(List.of());
-    machine(Kind.PERMITTED, 500, "d3", "4", "");
+    recordMachine(Kind.PERMITTED, 500, "d3", "4", "");
     assertOperatorViolations(List.of(Rule.BUDGET_KEPT));
   }
 
   @Test
   void countsADoorThatWasKilledLongAgoAndNotOneThatIsBack() {
-    machine(Kind.KILLED, 100, "d1", "", "");
-    machine(Kind.STARTED, 200, "d1", "", "");
-    machine(Kind.KILLED, 300, "d2", "", "");
-    machine(Kind.PERMITTED, 5_200, "d3", "1", "");
+    recordMachine(Kind.KILLED, 100, "d1", "", "");
+    recordMachine(Kind.STARTED, 200, "d1", "", "");
+    recordMachine(Kind.KILLED, 300, "d2", "", "");
+    recordMachine(Kind.PERMITTED, 5_200, "d3", "1", "");
     assertOperatorViolations(List.of());
-    machine(Kind.GIVEN_BACK, 5_250, "d3", "1", "");
-    machine(Kind.PERMITTED, 5_400, "d4", "2", "");
+    recordMachine(Kind.GIVEN_BACK, 5_250, "d3", "1", "");
+    recordMachine(Kind.PERMITTED, 5_400, "d4", "2", "");
     assertOperatorViolations(List.of(Rule.BUDGET_KEPT));
   }
 
   @Test
   void findsAPermitWithTwoHoldersAndAHolderOfTwoPermits() {
-    machine(Kind.PERMITTED, 100, "d1", "1", "");
-    machine(Kind.GIVEN_BACK, 200, "d1", "1", "");
-    machine(Kind.PERMITTED, 300, "d2", "1", "");
+    recordMachine(Kind.PERMITTED, 100, "d1", "1", "");
+    recordMachine(Kind.GIVEN_BACK, 200, "d1", "1", "");
+    recordMachine(Kind.PERMITTED, 300, "d2", "1", "");
     assertOperatorViolations(List.of(Rule.PERMIT_ONE_HOLDER));
-    machine(Kind.PERMITTED, 400, "d2", "2", "");
+    recordMachine(Kind.PERMITTED, 400, "d2", "2", "");
     assertOperatorViolations(List.of(Rule.PERMIT_ONE_HOLDER, Rule.PERMIT_ONE_HOLDER));
   }
 
   @Test
   void findsARequestSentToABackendThatIsOut() {
-    machine(Kind.OUT, 1_000, "b0", "1", "");
-    machine(Kind.GIVEN_BACK, 2_000, "b0", "1", "");
+    recordMachine(Kind.OUT, 1_000, "b0", "1", "");
+    recordMachine(Kind.GIVEN_BACK, 2_000, "b0", "1", "");
     for (int at : new int[] {900, 2_100}) {
-      asked("r" + at, RequestKind.QUOTE, at);
-      served("r" + at, at, "b0");
+      sendRequest("r" + at, RequestKind.QUOTE, at);
+      recordServed("r" + at, at, "b0");
     }
     assertOperatorViolations(List.of());
-    asked("r", RequestKind.QUOTE, 1_500);
-    served("r", 1_500, "b0");
+    sendRequest("r", RequestKind.QUOTE, 1_500);
+    recordServed("r", 1_500, "b0");
     assertOperatorViolations(List.of(Rule.SENT_TO_NONE_OUT));
   }
 
-  private void process(Kind kind, double atMs, String door, String version, int pid) {
-    ledger.addMachineEntry(new Entry(atMs, kind, door, version, pid, ""));
+  private void recordProcess(Kind kind, double atMs, String door, String version, int pid) {
+    eventHistory.addMachineEntry(new Entry(atMs, kind, door, version, pid, ""));
   }
 
   @Test
   void findsAThirdVersion() {
-    process(Kind.RUNS, 100, "d1", "1", 1);
-    process(Kind.RUNS, 200, "d2", "1", 2);
-    process(Kind.RUNS, 300, "d1", "2", 3);
-    process(Kind.RAN, 400, "d1", "1", 1);
-    process(Kind.RAN, 500, "d2", "1", 2);
-    process(Kind.RUNS, 600, "d2", "3", 4);
+    recordProcess(Kind.RUNS, 100, "d1", "1", 1);
+    recordProcess(Kind.RUNS, 200, "d2", "1", 2);
+    recordProcess(Kind.RUNS, 300, "d1", "2", 3);
+    recordProcess(Kind.RAN, 400, "d1", "1", 1);
+    recordProcess(Kind.RAN, 500, "d2", "1", 2);
+    recordProcess(Kind.RUNS, 600, "d2", "3", 4);
     assertOperatorViolations(List.of());
-    process(Kind.RUNS, 700, "d3", "1", 5);
+    recordProcess(Kind.RUNS, 700, "d3", "1", 5);
     assertOperatorViolations(List.of(Rule.TWO_VERSIONS));
   }
 
   @Test
   void findsAProcessStartedAfterAHalt() {
-    machine(Kind.LET_ON, 100, "", "2", "");
-    process(Kind.RUNS, 150, "d1", "2", 1);
-    machine(Kind.HALTED, 200, "", "2", "");
-    process(Kind.RUNS, 250, "d3", "1", 2);
-    machine(Kind.LET_ON, 300, "", "1", "");
-    process(Kind.RUNS, 350, "d1", "1", 3);
-    machine(Kind.HALTED, 400, "", "1", "");
+    recordMachine(Kind.LET_ON, 100, "", "2", "");
+    recordProcess(Kind.RUNS, 150, "d1", "2", 1);
+    recordMachine(Kind.HALTED, 200, "", "2", "");
+    recordProcess(Kind.RUNS, 250, "d3", "1", 2);
+    recordMachine(Kind.LET_ON, 300, "", "1", "");
+    recordProcess(Kind.RUNS, 350, "d1", "1", 3);
+    recordMachine(Kind.HALTED, 400, "", "1", "");
     assertOperatorViolations(List.of());
-    process(Kind.RUNS, 450, "d2", "1", 4);
+    recordProcess(Kind.RUNS, 450, "d2", "1", 4);
     assertOperatorViolations(List.of(Rule.HALT_KEPT));
   }
 
   @Test
   void findsARollbackThatNeverEndsOrIsReportedFalsely() {
-    process(Kind.RUNS, 50, "d1", "1", 1);
-    process(Kind.RUNS, 60, "d2", "2", 2);
-    machine(Kind.LET_ON, 100, "", "1", "");
+    recordProcess(Kind.RUNS, 50, "d1", "1", 1);
+    recordProcess(Kind.RUNS, 60, "d2", "2", 2);
+    recordMachine(Kind.LET_ON, 100, "", "1", "");
     assertOperatorViolations(List.of(Rule.WAY_BACK_ENDS));
-    process(Kind.RUNS, 150, "d2", "1", 3);
-    machine(Kind.RELEASED, 200, "", "1", "");
+    recordProcess(Kind.RUNS, 150, "d2", "1", 3);
+    recordMachine(Kind.RELEASED, 200, "", "1", "");
     assertOperatorViolations(List.of());
-    machine(Kind.RELEASED, 300, "", "2", "");
+    recordMachine(Kind.RELEASED, 300, "", "2", "");
     assertOperatorViolations(List.of(Rule.WAY_BACK_ENDS));
   }
 
   @Test
   void findsAnEffectThatRanTwice() {
-    asked("r", RequestKind.BUY, 100);
-    attempt("r", 101, "b0", "c1");
-    put("r", Kind.EFFECT, 101, "b0", 1, "c1");
-    put("r", Kind.ATTEMPT_ENDED, 150, "b0", 0, "c1");
-    served("r", 200, "b1");
+    sendRequest("r", RequestKind.BUY, 100);
+    recordAttempt("r", 101, "b0", "c1");
+    record("r", Kind.EFFECT, 101, "b0", 1, "c1");
+    record("r", Kind.ATTEMPT_ENDED, 150, "b0", 0, "c1");
+    recordServed("r", 200, "b1");
     assertOnlyViolation(Rule.EFFECT_ONCE, "r");
   }
 
   @Test
   void findsTwoAttemptsOutAtOnce() {
-    asked("r", RequestKind.QUOTE, 100);
-    attempt("r", 101, "b0", "c1");
-    served("r", 200, "b1");
-    put("r", Kind.ATTEMPT_ENDED, 400, "b0", 0, "c1");
+    sendRequest("r", RequestKind.QUOTE, 100);
+    recordAttempt("r", 101, "b0", "c1");
+    recordServed("r", 200, "b1");
+    record("r", Kind.ATTEMPT_ENDED, 400, "b0", 0, "c1");
     assertOnlyViolation(Rule.ONE_ATTEMPT_OUT, "r");
   }
 
   /** The end of one connection may be read after what came later on another one. */
   @Test
   void passesACloseReadAfterTheNextAttemptBegan() {
-    asked("r", RequestKind.QUOTE, 100);
-    attempt("r", 101, "b0", "c1");
-    attempt("r", 150, "b1", "c2");
-    put("r", Kind.ATTEMPT_ENDED, 152, "b0", 0, "c1");
-    put("r", Kind.REPLIED, 200, "b1", 200, "c2");
-    put("r", Kind.ANSWERED, 201, "d0", 200, "");
+    sendRequest("r", RequestKind.QUOTE, 100);
+    recordAttempt("r", 101, "b0", "c1");
+    recordAttempt("r", 150, "b1", "c2");
+    record("r", Kind.ATTEMPT_ENDED, 152, "b0", 0, "c1");
+    record("r", Kind.REPLIED, 200, "b1", 200, "c2");
+    record("r", Kind.ANSWERED, 201, "d0", 200, "");
     Verdict v = verdict();
     assertTrue(v.passed(), v::toString);
   }
 
   @Test
   void findsALateAnswer() {
-    asked("r", RequestKind.QUOTE, 100);
-    served("r", 100 + 2_000 + InvariantChecker.DEADLINE_SLACK_MS, "b0");
+    sendRequest("r", RequestKind.QUOTE, 100);
+    recordServed("r", 100 + 2_000 + InvariantChecker.DEADLINE_SLACK_MS, "b0");
     assertOnlyViolation(Rule.ANSWERED_ONCE, "r");
   }
 
   @Test
   void findsALostRequest() {
-    asked("r", RequestKind.QUOTE, 100);
-    put("r", Kind.GAVE_UP, 2_101, "d0", 0, "");
+    sendRequest("r", RequestKind.QUOTE, 100);
+    record("r", Kind.GAVE_UP, 2_101, "d0", 0, "");
     assertOnlyViolation(Rule.ANSWERED_ONCE, "r");
   }
 
   @Test
   void findsASecondAnswer() {
-    asked("r", RequestKind.QUOTE, 100);
-    served("r", 100, "b0");
-    put("r", Kind.ANSWERED, 300, "d0", 502, "after its end");
+    sendRequest("r", RequestKind.QUOTE, 100);
+    recordServed("r", 100, "b0");
+    record("r", Kind.ANSWERED, 300, "d0", 502, "after its end");
     assertOnlyViolation(Rule.ANSWERED_ONCE, "r");
   }
 
   @Test
   void findsAnAnswerThatNoBackendMade() {
-    asked("r", RequestKind.QUOTE, 100);
-    served("r", 100, "b0");
-    put("r", Kind.FORGED, 191, "d0", 0, "");
+    sendRequest("r", RequestKind.QUOTE, 100);
+    recordServed("r", 100, "b0");
+    record("r", Kind.FORGED, 191, "d0", 0, "");
     assertOnlyViolation(Rule.ANSWERED_ONCE, "r");
   }
 
   @Test
   void findsAReusedConnectionCutAfterTheRequestWasForwarded() {
-    asked("r", RequestKind.QUOTE, 100);
-    attempt("r", 101, "b0", "c1");
-    put("r", Kind.CUT, 120, "d0", 0, "kept");
+    sendRequest("r", RequestKind.QUOTE, 100);
+    recordAttempt("r", 101, "b0", "c1");
+    record("r", Kind.CUT, 120, "d0", 0, "kept");
     assertOnlyViolation(Rule.ANSWERED_ONCE, "r");
   }
 
   @Test
   void excusesAReusedConnectionCutBeforeTheRequestWasReadAndItsResend() {
-    asked("r", RequestKind.QUOTE, 100);
-    put("r", Kind.CUT, 101, "d0", 0, "kept");
-    put("r", Kind.ASKED, 102, "d0", 0, "");
-    served("r", 103, "b0");
+    sendRequest("r", RequestKind.QUOTE, 100);
+    record("r", Kind.CUT, 101, "d0", 0, "kept");
+    record("r", Kind.ASKED, 102, "d0", 0, "");
+    recordServed("r", 103, "b0");
     Verdict v = verdict();
     assertTrue(v.passed(), v::toString);
   }
 
   @Test
   void findsAFreshConnectionCutUnanswered() {
-    asked("r", RequestKind.QUOTE, 100);
-    put("r", Kind.CUT, 101, "d0", 0, "");
+    sendRequest("r", RequestKind.QUOTE, 100);
+    record("r", Kind.CUT, 101, "d0", 0, "");
     assertOnlyViolation(Rule.ANSWERED_ONCE, "r");
   }
 
   @Test
   void excusesRequestsOfAKilledDoorButNotOfADoorThatShutDownGracefully() {
-    asked("r", RequestKind.QUOTE, 100);
-    put("r", Kind.CUT, 151, "d0", 0, "");
-    machine(Kind.KILLED, 150, "d0", "", "");
-    machine(Kind.STARTED, 900, "d0", "", "");
+    sendRequest("r", RequestKind.QUOTE, 100);
+    record("r", Kind.CUT, 151, "d0", 0, "");
+    recordMachine(Kind.KILLED, 150, "d0", "", "");
+    recordMachine(Kind.STARTED, 900, "d0", "", "");
     assertTrue(verdict().passed());
-    asked("s", RequestKind.QUOTE, 5_000);
-    put("s", Kind.CUT, 5_001, "d0", 0, "");
-    machine(Kind.ENDING, 4_900, "d0", "", "");
-    machine(Kind.EXITED, 5_001, "d0", "", "");
+    sendRequest("s", RequestKind.QUOTE, 5_000);
+    record("s", Kind.CUT, 5_001, "d0", 0, "");
+    recordMachine(Kind.ENDING, 4_900, "d0", "", "");
+    recordMachine(Kind.EXITED, 5_001, "d0", "", "");
     assertOnlyViolation(Rule.ANSWERED_ONCE, "s");
   }
 
   private void refusedAfterItRan(RequestKind kind) {
-    asked("r", kind, 100);
-    attempt("r", 101, "b0", "c1");
-    put("r", Kind.EFFECT, 101, "b0", 1, "c1");
-    put("r", Kind.ATTEMPT_ENDED, 150, "b0", 0, "c1");
-    put("r", Kind.ANSWERED, 151, "d0", 503, "");
+    sendRequest("r", kind, 100);
+    recordAttempt("r", 101, "b0", "c1");
+    record("r", Kind.EFFECT, 101, "b0", 1, "c1");
+    record("r", Kind.ATTEMPT_ENDED, 150, "b0", 0, "c1");
+    record("r", Kind.ANSWERED, 151, "d0", 503, "");
   }
 
   @Test
@@ -296,21 +298,21 @@
 
   @Test
   void findsASendToADrainedBackendAndOnlyAfterTheGrace() {
-    machine(Kind.TOLD_DRAIN, 1_000, "d0", "b0", "");
-    asked("early", RequestKind.QUOTE, 1_900);
-    served("early", 1_900, "b0");
+    recordMachine(Kind.TOLD_DRAIN, 1_000, "d0", "b0", "");
+    sendRequest("early", RequestKind.QUOTE, 1_900);
+    recordServed("early", 1_900, "b0");
     assertTrue(verdict().passed());
-    asked("late", RequestKind.QUOTE, 2_100);
-    served("late", 2_100, "b0");
+    sendRequest("late", RequestKind.QUOTE, 2_100);
+    recordServed("late", 2_100, "b0");
     assertOnlyViolation(Rule.DRAIN_KEPT, "late");
   }
 
   @Test
   void passesASendToABackendThatServesAgain() {
-    machine(Kind.TOLD_DRAIN, 1_000, "d0", "b0", "");
-    machine(Kind.TOLD_SERVING, 2_000, "d0", "b0", "");
-    asked("r", RequestKind.QUOTE, 2_500);
-    served("r", 2_500, "b0");
+    recordMachine(Kind.TOLD_DRAIN, 1_000, "d0", "b0", "");
+    recordMachine(Kind.TOLD_SERVING, 2_000, "d0", "b0", "");
+    sendRequest("r", RequestKind.QUOTE, 2_500);
+    recordServed("r", 2_500, "b0");
     assertTrue(verdict().passed());
   }
 
@@ -319,15 +321,15 @@
    */
   @Test
   void findsAnOverloadedColdBackend() {
-    machine(Kind.STARTED, 1_000, "b0", "", "cold");
+    recordMachine(Kind.STARTED, 1_000, "b0", "", "cold");
     for (int i = 0; i < 24; i++) {
-      asked("r" + i, RequestKind.QUOTE, 1_000 + i);
-      served("r" + i, 1_000 + i, "b0");
+      sendRequest("r" + i, RequestKind.QUOTE, 1_000 + i);
+      recordServed("r" + i, 1_000 + i, "b0");
     }
     assertTrue(verdict().passed());
     for (int i = 24; i < 40; i++) {
-      asked("r" + i, RequestKind.QUOTE, 1_000 + i);
-      served("r" + i, 1_000 + i, "b0");
+      sendRequest("r" + i, RequestKind.QUOTE, 1_000 + i);
+      recordServed("r" + i, 1_000 + i, "b0");
     }
     Verdict v = verdict();
     assertEquals(1, v.count(Rule.COLD_SPARED), v::toString);
@@ -337,13 +339,13 @@
   @Test
   void findsACeilingPassedByAllDoorsTogether() {
     for (int i = 0; i < 48; i++) {
-      asked("r" + i, RequestKind.QUOTE, 100, "basic", 1);
-      served("r" + i, 100, "b0");
+      sendRequest("r" + i, RequestKind.QUOTE, 100, "basic", 1);
+      recordServed("r" + i, 100, "b0");
     }
     assertTrue(verdict().passed());
     for (int i = 48; i < 52; i++) {
-      asked("r" + i, RequestKind.QUOTE, 100, "basic", 1);
-      served("r" + i, 100, "b0");
+      sendRequest("r" + i, RequestKind.QUOTE, 100, "basic", 1);
+      recordServed("r" + i, 100, "b0");
     }
     Verdict v = verdict();
     assertEquals(1, v.count(Rule.CEILING_KEPT), v::toString);
@@ -351,68 +353,69 @@
 
   @Test
   void findsARequestThatNoClientSent() {
-    attempt("invented", 100, "b0", "c1");
+    recordAttempt("invented", 100, "b0", "c1");
     assertOnlyViolation(Rule.ANSWERED_ONCE, "invented");
   }
 
   private void assertAuthorisationViolation(Rule rule, boolean idempotent) {
     Verdict v =
-        new InvariantChecker(ledger, RunSettings.typical(), new InvariantChecker.BackendCapacity(2, 100),
+        new InvariantChecker(eventHistory, RunSettings.typical(),
+        new InvariantChecker.BackendCapacity(2, 100),
         new InvariantChecker.Authorisation(a -> a.kind() == RequestKind.BUY, idempotent)).verdict();
     assertEquals(rule == null ? List.of() : List.of(rule),
         v.violations().stream().map(Violation::rule).toList(),
         v::toString);
   }
 
-  private void checked(String id, double atMs, Kind answer) {
-    put(id, Kind.CHECKED, atMs, "one", 0, "s" + atMs);
+  private void recordCheck(String id, double atMs, Kind answer) {
+    record(id, Kind.CHECKED, atMs, "one", 0, "s" + atMs);
     if (answer != null) {
-      put(id, answer, atMs, "one", 0, "s" + atMs);
+      record(id, answer, atMs, "one", 0, "s" + atMs);
     }
   }
 
   @Test
   void findsASecondCheck() {
-    asked("a", RequestKind.BUY, 0);
-    checked("a", 1, null);
-    checked("a", 2, Kind.ALLOWED);
-    served("a", 10, "b0");
+    sendRequest("a", RequestKind.BUY, 0);
+    recordCheck("a", 1, null);
+    recordCheck("a", 2, Kind.ALLOWED);
+    recordServed("a", 10, "b0");
     assertAuthorisationViolation(Rule.CHECKED_ONCE, false);
     assertAuthorisationViolation(null, true);
   }
 
   @Test
   void findsACheckOfARequestThatNeedsNone() {
-    asked("a", RequestKind.QUOTE, 0);
-    checked("a", 1, Kind.ALLOWED);
-    served("a", 10, "b0");
+    sendRequest("a", RequestKind.QUOTE, 0);
+    recordCheck("a", 1, Kind.ALLOWED);
+    recordServed("a", 10, "b0");
     assertAuthorisationViolation(Rule.CHECKED_ONCE, true);
   }
 
   @Test
   void findsARequestForwardedWithoutOrBeforeAnAllow() {
-    asked("a", RequestKind.BUY, 0);
-    served("a", 10, "b0");
+    sendRequest("a", RequestKind.BUY, 0);
+    recordServed("a", 10, "b0");
     assertAuthorisationViolation(Rule.ALLOWED_FIRST, false);
-    checked("a", 60, Kind.ALLOWED);
+    recordCheck("a", 60, Kind.ALLOWED);
     assertAuthorisationViolation(Rule.ALLOWED_FIRST, false);
   }
 
   @Test
   void findsARequestForwardedAfterADenial() {
-    asked("a", RequestKind.BUY, 0);
-    checked("a", 1, Kind.DENIED);
-    served("a", 10, "b0");
+    sendRequest("a", RequestKind.BUY, 0);
+    recordCheck("a", 1, Kind.DENIED);
+    recordServed("a", 10, "b0");
     assertAuthorisationViolation(Rule.ALLOWED_FIRST, false);
   }
 
   @Test
   void passesAllowedRequestsAndThoseThatNeedNoCheck() {
-    asked("a", RequestKind.BUY, 0);
-    checked("a", 1, Kind.ALLOWED);
-    served("a", 10, "b0");
-    asked("b", RequestKind.QUOTE, 0);
-    served("b", 10, "b0");
+    sendRequest("a", RequestKind.BUY, 0);
+    recordCheck("a", 1, Kind.ALLOWED);
+    recordServed("a", 10, "b0");
+    sendRequest("b", RequestKind.QUOTE, 0);
+    recordServed("b", 10, "b0");
     assertAuthorisationViolation(null, false);
   }
 }
