--- a/daemon/src/main/java/willowdoor/daemon/fleet/CounterCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/CounterCommand.java
@@ -189,7 +189,7 @@
       FleetRun.sleep((long) RECOVERY_MS);
       Verdict verdict = run.finish();
       QuotaAudit quotas = new QuotaAudit(run.rig().eventHistory(), run.rig().runSettings());
-      List<FirmUse> uses = quotas.uses();
+      List<FirmUse> uses = quotas.firmUses();
       double seconds = (QUIET_MS + RECOVERY_MS + to - from) / 1000;
       Set<String> below = uses.stream().filter(u -> u.asked() < LOW_USE_SHARE * u.plan().rate() * seconds)
           .map(FirmUse::firm).collect(Collectors.toSet());
--- a/daemon/src/test/java/willowdoor/daemon/fleet/FleetTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/FleetTest.java
@@ -80,7 +80,8 @@
       awaitSent(run, run.clients().sentTries() + 300);
       Verdict verdict = run.finish();
       assertTrue(verdict.passed(), () -> "seed " + SEED + ": " + verdict);
-      for (QuotaAudit.FirmUse u : new QuotaAudit(run.rig().eventHistory(), run.rig().runSettings()).uses()) {
+      for (QuotaAudit.FirmUse u
+          : new QuotaAudit(run.rig().eventHistory(), run.rig().runSettings()).firmUses()) {
         double bound = CounterCommand.bound(CounterCommand.Case.split_second_wins, u.plan(), 4, took);
         assertTrue(u.maxOverQuota() <= bound, () -> "seed " + SEED + ": " + u + ", bound " + bound);
       }
--- a/emulator/src/main/java/willowdoor/emulator/agreement/FleetSimulation.java
+++ b/emulator/src/main/java/willowdoor/emulator/agreement/FleetSimulation.java
@@ -86,9 +86,9 @@
   private final int doors;
   private final int maxOut;
   private final FleetStateMachine record;
-  private final List<Process> processes = new ArrayList<>();
+  private final List<SimulatedProcess> processes = new ArrayList<>();
   private final Map<String, Map<String, Map<String, Long>>> files = new HashMap<>();
-  private final Map<String, Process> lockHolders = new HashMap<>();
+  private final Map<String, SimulatedProcess> lockHolders = new HashMap<>();
   /** Processes that have ended, by their doors, until somebody has told of them. */
   private final Map<String, Set<String>> unreportedEnds = new HashMap<>();
   private final Map<String, Long> generations = new HashMap<>();
@@ -177,12 +177,12 @@
     Set<Integer> states = new HashSet<>();
     long schedules = 0;
     do {
-      FleetSimulation world = new FleetSimulation(new MeanRandom(), choices, doors, bug);
-      world.stateHashes = states;
-      world.runExploration(script);
+      FleetSimulation simulation = new FleetSimulation(new MeanRandom(), choices, doors, bug);
+      simulation.stateHashes = states;
+      simulation.runExploration(script);
       schedules++;
-      if (!world.breaches.isEmpty()) {
-        return new Explored(schedules, states.size(), List.of(choices + ": " + world.breaches));
+      if (!simulation.breaches.isEmpty()) {
+        return new Explored(schedules, states.size(), List.of(choices + ": " + simulation.breaches));
       }
     } while (choices.next());
     return new Explored(schedules, states.size(), List.of());
@@ -243,7 +243,7 @@
     } else if (fault == 2 || fault == 3) {
       deadOperators.add(fault == 2 ? "ana" : "rui");
     } else if (fault > 3) {
-      Process p = last("d" + (fault - 4));
+      SimulatedProcess p = latest("d" + (fault - 4));
       p.setStopped(true);
       clock.after(EXPLORE_DELAY_MS, () -> p.setStopped(false));
     }
@@ -294,13 +294,13 @@
     return record.state().permits().isEmpty() && record.out(Kind.DOOR) == 0 && record.out(Kind.BACKEND) == 0;
   }
 
-  private Release last() {
+  private Release latest() {
     List<Release> all = record.state().releases();
     return all.isEmpty() ? null : all.get(all.size() - 1);
   }
 
   private boolean isReleaseUnderWay() {
-    return last() != null && last().mode() != Release.Mode.ENDED;
+    return latest() != null && latest().mode() != Release.Mode.ENDED;
   }
 
   /** Somebody begins one, and others do with it what comes to their minds. */
@@ -337,18 +337,18 @@
 
   private void rollBackRelease() {
     if (isReleaseUnderWay()
-        && (last().course() == Release.Course.FORWARD || last().mode() != Release.Mode.GOING)) {
+        && (latest().course() == Release.Course.FORWARD || latest().mode() != Release.Mode.GOING)) {
       halts = 1;
       askUntilAnswered("mia",
-          new Command.SteerRelease(0, "back" + clock.now(), last().id(), Command.Steering.BACK,
+          new Command.SteerRelease(0, "back" + clock.now(), latest().id(), Command.Steering.BACK,
           "mia"), 0);
     }
   }
 
   /** A process that a release started begins to serve: only while its step is under way. */
-  private void onReleasedProcessServing(Process p) {
+  private void onReleasedProcessServing(SimulatedProcess p) {
     served++;
-    Release r = last();
+    Release r = latest();
     if (r.steps().stream().noneMatch(x -> x.attempt() == p.attempt && x.state() != Step.State.RETURNING
         && x.state() != Step.State.WAITING)) {
       addBreach(p.door + " begins to serve with " + p.version + " by attempt " + p.attempt
@@ -412,7 +412,7 @@
               + r.targetVersion()));
       return;
     }
-    for (Process p : processes) {
+    for (SimulatedProcess p : processes) {
       if (!p.dead && p.serving && !p.ending && !p.version.equals(r.targetVersion())) {
         addBreach(p.door + " has " + p.version + ", and release " + r.id() + " has ended with "
             + r.targetVersion());
@@ -450,7 +450,7 @@
   private void injectFault() {
     int doorIndex = random.nextInt(doors);
     double durationMs = 200 + random.nextInt(5_000);
-    Process p = last("d" + doorIndex);
+    SimulatedProcess p = latest("d" + doorIndex);
     switch (random.nextInt(7)) {
       case 6 -> crashServer(servers.get("b" + random.nextInt(BACKENDS)));
       case 0 -> {
@@ -479,7 +479,7 @@
     }
   }
 
-  private Process last(String door) {
+  private SimulatedProcess latest(String door) {
     return processes.stream().filter(x -> x.door.equals(door)).reduce((a, b) -> b).orElseThrow();
   }
 
@@ -487,21 +487,21 @@
     return processes.stream().anyMatch(x -> x.door.equals(door) && !x.dead);
   }
 
-  private Process startProcess(String door, boolean onlyIfNoneLives) {
+  private SimulatedProcess startProcess(String door, boolean onlyIfNoneLives) {
     return hasLiveProcess(door) && onlyIfNoneLives ? null
         : startProcess(door, installedVersions.getOrDefault(door, OLD_VERSION), 0);
   }
 
-  private Process startProcess(String door, String version, long attempt) {
+  private SimulatedProcess startProcess(String door, String version, long attempt) {
     processes.removeIf(x -> x.door.equals(door) && x.dead);
-    Process p = new Process(door, "i" + ++incarnations, version, attempt);
+    SimulatedProcess p = new SimulatedProcess(door, "i" + ++incarnations, version, attempt);
     processes.add(p);
     countsAsDeadFromMs.remove(door);
     p.start();
     return p;
   }
 
-  private void replace(Process old) {
+  private void replace(SimulatedProcess old) {
     startProcess(old.door, false);
     clock.after(1_500 + random.nextInt(1_000), old::shutDown);
   }
@@ -570,7 +570,7 @@
     boolean before = isReleaseUnderWay();
     Outcome outcome = record.apply(command);
     if (before && !isReleaseUnderWay()) {
-      onReleaseEnded(last());
+      onReleaseEnded(latest());
     }
     State state = record.state();
     if (stateHashes != null) {
@@ -627,7 +627,7 @@
   private void checkLeases() {
     State state = record.state();
     double now = state.nowMs() + Math.max(0, hasLeader ? leaderClock() - state.leaderMs() : 0);
-    for (Process p : processes) {
+    for (SimulatedProcess p : processes) {
       if (!p.dead && p.side.hasLease(p.clock())) {
         DoorProcessState life = state.lives().stream().filter(x -> x.door().equals(p.door)
             && x.incarnation().equals(p.incarnation)).findFirst().orElse(null);
@@ -718,7 +718,7 @@
   }
 
   /** One process of a door. */
-  private final class Process {
+  private final class SimulatedProcess {
     private final String door;
     private final String incarnation;
     private final double rate;
@@ -744,7 +744,7 @@
     private boolean allowedToServe;
     private double wakeAtMs;
 
-    Process(String door, String incarnation, String version, long attempt) {
+    SimulatedProcess(String door, String incarnation, String version, long attempt) {
       this.version = version;
       this.attempt = attempt;
       this.door = door;
@@ -801,7 +801,7 @@
         if (attempt > 0) {
           onReleasedProcessServing(this);
           processes.stream().filter(x -> x.door.equals(door) && x != this && !x.dead)
-              .forEach(Process::shutDown);
+              .forEach(SimulatedProcess::shutDown);
         }
         if (attempt > 0 && version.equals(CRASHING_VERSION)) {
           clock.after(500 + random.nextInt(1_500), () -> {
@@ -821,7 +821,7 @@
 
     /** Held by one process of the door until that is dead. */
     private boolean tryLock() {
-      Process holder = lockHolders.get(door);
+      SimulatedProcess holder = lockHolders.get(door);
       if (holder != null && !holder.dead && bug != Bug.ALONE_TOO_SOON) {
         return false;
       }
@@ -1024,7 +1024,7 @@
       if (ending || dead) {
         return;
       }
-      Process next = startProcess(door, e.version(), e.attempt());
+      SimulatedProcess next = startProcess(door, e.version(), e.attempt());
       clock.after(READY_LIMIT_MS, () -> {
         if (!next.serving && !next.dead) {
           // By the one that started it, or by itself where that is gone; then its supervisor starts the door.
@@ -1035,7 +1035,7 @@
       awaitSuccessor(next, e.attempt());
     }
 
-    private void awaitSuccessor(Process next, long of) {
+    private void awaitSuccessor(SimulatedProcess next, long of) {
       if (next.dead && !ending) {
         if (bug != Bug.FAILURE_UNSAID) {
           dispatch(new DoorEvent.SuccessorFailed(of));
--- a/emulator/src/main/java/willowdoor/emulator/epoch/EpochSimulation.java
+++ b/emulator/src/main/java/willowdoor/emulator/epoch/EpochSimulation.java
@@ -64,7 +64,7 @@
   private final boolean checksBothPolicies;
   private final EpochCoordinator epochs;
   private final Map<String, MemberReport> memberReports = new LinkedHashMap<>();
-  private final List<Process> processes = new ArrayList<>();
+  private final List<SimulatedProcess> processes = new ArrayList<>();
   private final Map<String, Long> storedEpochs = new HashMap<>();
   private final Set<String> cutDoors = new HashSet<>();
   private final Set<Long> rejectedEpochs = new HashSet<>();
@@ -242,7 +242,7 @@
   }
 
   private void injectFault() {
-    Process p = processes.get(random.nextInt(processes.size()));
+    SimulatedProcess p = processes.get(random.nextInt(processes.size()));
     double durationMs = 100 + random.nextInt(7_000);
     switch (random.nextInt(5)) {
       case 0 -> {
@@ -270,7 +270,7 @@
   }
 
   private void startProcess(String door) {
-    Process p = new Process(door, door + "/i" + ++processCount);
+    SimulatedProcess p = new SimulatedProcess(door, door + "/i" + ++processCount);
     processes.add(p);
     p.sendHeartbeat();
     p.decideRequest();
@@ -286,7 +286,7 @@
   }
 
   /** One process of a door. */
-  private final class Process {
+  private final class SimulatedProcess {
     private final String door;
     private final String name;
     private final double rate = bug == Bug.CLOCK_BEYOND_DRIFT ? 0.6 : randomClockRate();
@@ -299,7 +299,7 @@
     private double wakeAtMs = Double.POSITIVE_INFINITY;
     private ActivePolicy decisionWhenStopped;
 
-    Process(String door, String name) {
+    SimulatedProcess(String door, String name) {
       this.door = door;
       this.name = name;
       side = new EpochParticipant(DRIFT, checksBothPolicies, storedEpochs.getOrDefault(door, 0L));
--- a/emulator/src/test/java/willowdoor/emulator/agreement/FleetSimulationTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/agreement/FleetSimulationTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void allHoldsThroughFaultsByChance() {
+  void invariantsHoldUnderRandomFaults() {
     int granted = 0;
     int told = 0;
     int served = 0;
@@ -43,7 +43,7 @@
   /** More faults by the property willowdoor.faults, out of CI. */
   @ParameterizedTest
   @EnumSource
-  void everyScheduleOfASmallWorldHolds(Script script) {
+  void invariantsHoldInEverySmallSchedule(Script script) {
     Explored all = FleetSimulation.explore(script, 3, Integer.getInteger("willowdoor.faults", 1), Bug.NONE);
     System.out.println(script + ": " + all);
     assertEquals(List.of(), all.breaches());
@@ -52,7 +52,7 @@
 
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-  void eachPlantedMistakeIsFound(Bug bug) {
+  void eachInjectedBugIsDetected(Bug bug) {
     for (long seed = 1; seed <= 3 * SEEDS; seed++) {
       if (!FleetSimulation.play(seed, doors(seed), bug).breaches().isEmpty()) {
         return;
--- a/emulator/src/test/java/willowdoor/emulator/epoch/EpochSimulationTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/epoch/EpochSimulationTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void aChangeHoldsEverywhereOrNowhereThroughFaultsByChance() {
+  void aChangeTakesEffectEverywhereOrNowhereUnderRandomFaults() {
     long held = 0;
     long aborted = 0;
     long alone = 0;
@@ -43,7 +43,7 @@
 
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-  void eachPlantedMistakeIsFound(Bug bug) {
+  void eachInjectedBugIsDetected(Bug bug) {
     for (long seed = 1; seed <= SEEDS; seed++) {
       if (!EpochSimulation.play(seed, doors(seed), bug).breaches().isEmpty()) {
         return;
--- a/emulator/src/test/java/willowdoor/emulator/fair/FairQueueTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/fair/FairQueueTest.java
@@ -41,7 +41,7 @@
         new ComeBack(0.8, 5_000));
   }
 
-  private static FairQueueSimulation world(Order order, Cost cost, int doors) {
+  private static FairQueueSimulation simulation(Order order, Cost cost, int doors) {
     return new FairQueueSimulation(1, settings(cost, doors), order, doors, NODES, WORKERS, MS_PER_UNIT,
         AIM_MS);
   }
@@ -50,7 +50,7 @@
     return new Load(firm, plan, perSecond, clients, 1, 1, 1, RetryBehaviour.OBEY);
   }
 
-  private static void within(double min, double value, double max, String what) {
+  private static void assertWithin(double min, double value, double max, String what) {
     assertTrue(value >= min && value <= max, what + ": " + value + " (expected: " + min + " to "
         + max + ")");
   }
@@ -74,16 +74,16 @@
   }
 
   @Test
-  void tenThousandClientsOfOneFirmGainItNothing() {
-    FairQueueSimulation few = world(Order.FAIR, Cost.UNITS, 1);
+  void manyClientsGainTheirFirmNothing() {
+    FairQueueSimulation few = simulation(Order.FAIR, Cost.UNITS, 1);
     few.run(flood("open", 3), 10_000);
-    FairQueueSimulation many = world(Order.FAIR, Cost.UNITS, 1);
+    FairQueueSimulation many = simulation(Order.FAIR, Cost.UNITS, 1);
     many.run(flood("open", 10_000), 10_000);
-    FairQueueSimulation firstCome = world(Order.FIRST_COME, Cost.UNITS, 1);
+    FairQueueSimulation firstCome = simulation(Order.FIRST_COME, Cost.UNITS, 1);
     firstCome.run(flood("open", 3), 10_000);
     assertTrue(serviceOfOthers(many) > 0.97, "others, beside many: " + serviceOfOthers(many));
     assertTrue(serviceOfOthers(firstCome) < 0.5, "the load is none: " + serviceOfOthers(firstCome));
-    within(0.9, many.tallyOf(10).unitsServed / few.tallyOf(10).unitsServed, 1.1,
+    assertWithin(0.9, many.tallyOf(10).unitsServed / few.tallyOf(10).unitsServed, 1.1,
         "served to the many, for the few");
     FairCounts c = many.counts(0);
     assertTrue(c.flows() <= 72 + 9 * 3, c + "");
@@ -91,9 +91,9 @@
   }
 
   @Test
-  void tenThousandFirmsWithARequestEachAreServedInTheirTurnBesideAFloodToo() {
+  void manyFirmsWithFewRequestsAreServedEvenBesideAFlood() {
     for (boolean floods : new boolean[] {false, true}) {
-      FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
+      FairQueueSimulation world = simulation(Order.FAIR, Cost.UNITS, 1);
       List<Load> loads = new ArrayList<>(floods ? List.of(load(1, "open", 3_000, 10_000)) : List.of());
       for (int f = 0; f < 10_000; f++) {
         loads.add(load(100 + f, "open", 0.05, 1));
@@ -112,27 +112,27 @@
   }
 
   @Test
-  void ofTwoFloodsEachGetsItsPartByWeight() {
+  void twoFloodsShareCapacityByWeight() {
     FairSettings settings = new FairSettings(Map.of("heavy", new PlanSettings(0, 3, 0, 0, 0)),
         new PlanSettings(0, 1, 0, 0, 0), 1, Cost.UNITS, Bounds.defaults(), new Limit(24, 4, 400),
         new ComeBack(0.8, 30_000));
     FairQueueSimulation world =
         new FairQueueSimulation(1, settings, Order.FAIR, 1, NODES, WORKERS, MS_PER_UNIT, AIM_MS);
     world.run(List.of(load(1, "heavy", 2_000, 5), load(2, "light", 2_000, 5)), 20_000);
-    within(2.8, world.tallyOf(1).unitsServed / world.tallyOf(2).unitsServed, 3.2,
+    assertWithin(2.8, world.tallyOf(1).unitsServed / world.tallyOf(2).unitsServed, 3.2,
         "a weight of 3 beside one of 1");
     // The heavier plan is made the lighter one.
     double one = world.tallyOf(1).unitsServed;
     double two = world.tallyOf(2).unitsServed;
     world.tell(0, new PlansChanged(Map.of("heavy", new PlanSettings(0, 0.5, 0, 0, 0))));
     world.run(List.of(load(1, "heavy", 2_000, 5), load(2, "light", 2_000, 5)), 20_000);
-    within(1.8, (world.tallyOf(2).unitsServed - two) / (world.tallyOf(1).unitsServed - one), 2.2,
+    assertWithin(1.8, (world.tallyOf(2).unitsServed - two) / (world.tallyOf(1).unitsServed - one), 2.2,
         "half beside one");
   }
 
   @Test
-  void adviceIsHonouredWhereAFirmFloodsPastItsQuota() {
-    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
+  void promisesAreKeptToAFirmThatExceedsItsQuota() {
+    FairQueueSimulation world = simulation(Order.FAIR, Cost.UNITS, 1);
     List<Load> loads = flood("metered", 400);
     loads.set(9, load(10, "metered", 2_000, 400));
     world.run(loads, 30_000);
@@ -141,12 +141,12 @@
     assertTrue(flooding.honoured > 0.99 * flooding.returned, flooding.honoured + " of " + flooding.returned
         + " honoured " + world.counts(0));
     assertTrue(serviceOfOthers(world) > 0.98, "others: " + serviceOfOthers(world));
-    within(85, flooding.unitsServed / 30, 110, "units a second of a quota of 100");
+    assertWithin(85, flooding.unitsServed / 30, 110, "units a second of a quota of 100");
   }
 
   @Test
-  void whatWasPromisedAndMissedAsNodesDiedIsCountedAndItsClientTakenNext() {
-    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
+  void promisesMissedWhenNodesDieAreCounted() {
+    FairQueueSimulation world = simulation(Order.FAIR, Cost.UNITS, 1);
     List<Load> loads = List.of(load(1, "open", 1_500, 50), load(2, "open", 1_500, 50));
     world.clock().after(10_000, () -> world.kill(4));
     world.clock().after(14_000, world::revive);
@@ -159,9 +159,9 @@
 
   @ParameterizedTest
   @EnumSource(RetryBehaviour.class)
-  void howeverClientsTakeAdviceOthersKeepTheirPart(RetryBehaviour manners) {
+  void otherFirmsKeepTheirShareWhateverTheRetryBehaviour(RetryBehaviour manners) {
     int doors = manners == RetryBehaviour.OTHER_DOOR ? 2 : 1;
-    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, doors);
+    FairQueueSimulation world = simulation(Order.FAIR, Cost.UNITS, doors);
     List<Load> loads = flood("metered", 50);
     loads.set(9, new Load(10, "metered", 1_000, 20_000, doors, 1, 1, manners));
     world.run(loads, 15_000);
@@ -173,8 +173,8 @@
   }
 
   @Test
-  void theDearestClassHasItsPartBehindAFloodOfTheCheapest() {
-    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
+  void expensiveRequestsGetTheirShareBesideAFloodOfCheapOnes() {
+    FairQueueSimulation world = simulation(Order.FAIR, Cost.UNITS, 1);
     world.run(List.of(load(1, "open", 3_000, 5), new Load(2, "open", 6, 1, 1, 16, 1, RetryBehaviour.OBEY),
         new Load(3, "open", 0.5, 1, 1, 40, 1, RetryBehaviour.OBEY)), 20_000);
     assertTrue(world.tallyOf(2).service() > 0.9, "16 units: " + world.tallyOf(2).service());
@@ -183,8 +183,8 @@
   }
 
   @Test
-  void aRequestLargerThanItsFirmsWholePartHasATimeAllTheSame() {
-    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
+  void aLargeRequestOfAFirmWithASmallQuotaIsServed() {
+    FairQueueSimulation world = simulation(Order.FAIR, Cost.UNITS, 1);
     List<Load> loads = flood("open", 5);
     // Its quota fills a bucket of 200 in two seconds: each of its requests takes one and a half of them.
     loads.add(new Load(11, "metered", 2, 1, 1, 40, 1, RetryBehaviour.OBEY));
@@ -194,8 +194,8 @@
   }
 
   @Test
-  void pausesOfAllNodesMoveTheLimitLittle() {
-    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
+  void pausesOfAllNodesChangeTheLimitOnlySlightly() {
+    FairQueueSimulation world = simulation(Order.FAIR, Cost.UNITS, 1);
     List<Load> loads = new ArrayList<>();
     for (int f = 1; f <= 10; f++) {
       loads.add(load(f, "open", 85, 3));
@@ -216,7 +216,7 @@
   }
 
   @Test
-  void allNodesSlowAtOnceDoNotTakeTheLimitDown() {
+  void slownessOfAllNodesDoesNotCollapseTheLimit() {
     FairQueueSimulation world =
         new FairQueueSimulation(1, settings(Cost.UNITS, 1), Order.FAIR, 1, 40, 4, 20, AIM_MS);
     world.run(List.of(load(1, "open", 600, 3), load(2, "open", 600, 3)), 10_000);
@@ -232,11 +232,11 @@
   }
 
   @Test
-  void aFirmWhoseRequestsTakeTenTimesTheirUnitsPaysForThem() {
+  void aFirmIsChargedForRequestsThatTakeTenTimesTheirUnits() {
     double[] others = new double[2];
     double[] heavy = new double[2];
     for (Cost cost : Cost.values()) {
-      FairQueueSimulation world = world(Order.FAIR, cost, 1);
+      FairQueueSimulation world = simulation(Order.FAIR, cost, 1);
       world.varyUnits();
       world.run(List.of(load(1, "open", 1_500, 3), load(2, "open", 1_500, 3),
           new Load(3, "open", 1_500, 3, 1, 1, 10, RetryBehaviour.OBEY)), 20_000);
@@ -249,8 +249,8 @@
   }
 
   @Test
-  void aBoundOfRequestsOutIsKeptOverTheDoorsOfASet() {
-    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 3);
+  void aLimitOnOpenRequestsHoldsOverAllDoorsOfASet() {
+    FairQueueSimulation world = simulation(Order.FAIR, Cost.UNITS, 3);
     int[] most = {0};
     world.run(List.of(new Load(1, "capped", 2_000, 20, 3, 1, 1, RetryBehaviour.OBEY)), 2_000);
     for (int i = 0; i < 200; i++) {
@@ -262,8 +262,8 @@
   }
 
   @Test
-  void theOthersKeepTheirServiceWhileTheCounterIsAway() {
-    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 3);
+  void otherFirmsAreServedWhileTheCounterIsUnavailable() {
+    FairQueueSimulation world = simulation(Order.FAIR, Cost.UNITS, 3);
     List<Load> loads = new ArrayList<>();
     for (int f = 1; f <= 9; f++) {
       loads.add(new Load(f, "open", 50, 3, 3, 1, 1, RetryBehaviour.OBEY));
@@ -273,13 +273,13 @@
     world.run(loads, 15_000);
     assertTrue(serviceOfOthers(world) > 0.98, "others: " + serviceOfOthers(world));
     Tally flooding = world.tallyOf(10);
-    within(60, flooding.unitsServed / 15, 130, "units a second of a quota of 100");
+    assertWithin(60, flooding.unitsServed / 15, 130, "units a second of a quota of 100");
     assertTrue(flooding.honoured > 0.95 * flooding.returned, flooding.honoured + " of " + flooding.returned);
   }
 
   @Test
-  void aDoorThatEndsLetsNothingWait() {
-    FairQueueSimulation world = world(Order.FAIR, Cost.UNITS, 1);
+  void aDrainingDoorQueuesNothing() {
+    FairQueueSimulation world = simulation(Order.FAIR, Cost.UNITS, 1);
     world.run(flood("open", 5), 3_000);
     assertTrue(world.counts(0).waiting() > 0);
     world.tell(0, new Draining(true));
--- a/testkit/src/main/java/willowdoor/testkit/BackendPool.java
+++ b/testkit/src/main/java/willowdoor/testkit/BackendPool.java
@@ -115,37 +115,37 @@
     return true;
   }
 
-  private void publish(StandInBackend b, String state, long startedMs) {
-    discovery.publish(new Listed(b.name(), b.address(), b.zone(), state, startedMs));
+  private void publish(StandInBackend backend, String state, long startedMs) {
+    discovery.publish(new Listed(backend.name(), backend.address(), backend.zone(), state, startedMs));
   }
 
   /** Tells the list that it drains; it finishes what it has, and goes on answering what still comes. */
-  public void drain(StandInBackend b) {
-    publish(b, "leaving", 0);
+  public void drain(StandInBackend backend) {
+    publish(backend, "leaving", 0);
   }
 
   /** Tells the list that it serves again, as it did before. */
-  public void undrain(StandInBackend b) {
-    publish(b, "active", 0);
+  public void undrain(StandInBackend backend) {
+    publish(backend, "active", 0);
   }
 
   /** Kills its process; the list says so the given time later. */
-  public void kill(StandInBackend b, long noticeMs) {
-    b.kill();
+  public void kill(StandInBackend backend, long noticeMs) {
+    backend.kill();
     group.next().schedule(() -> {
-      if (!b.isAlive()) {
-        discovery.publish(new Listed(b.name(), b.address(), b.zone(), "left", 0));
+      if (!backend.isAlive()) {
+        discovery.publish(new Listed(backend.name(), backend.address(), backend.zone(), "left", 0));
       }
     }, noticeMs, TimeUnit.MILLISECONDS);
   }
 
   /** Starts it again, cold; the list says so the given time later. */
-  public void restart(StandInBackend b, long noticeMs) {
+  public void restart(StandInBackend backend, long noticeMs) {
     long startedMs = System.currentTimeMillis();
-    b.listen(true);
+    backend.listen(true);
     group.next().schedule(() -> {
-      if (b.isAlive()) {
-        publish(b, "active", startedMs);
+      if (backend.isAlive()) {
+        publish(backend, "active", startedMs);
       }
     }, noticeMs, TimeUnit.MILLISECONDS);
   }
--- a/testkit/src/main/java/willowdoor/testkit/ClientFleet.java
+++ b/testkit/src/main/java/willowdoor/testkit/ClientFleet.java
@@ -263,35 +263,35 @@
   }
 
   private Firm drawFirm() {
-    double at = random.nextDouble() * totalWeight;
-    for (Firm f : firms) {
-      at -= f.weight();
-      if (at <= 0) {
-        return f;
+    double remaining = random.nextDouble() * totalWeight;
+    for (Firm firm : firms) {
+      remaining -= firm.weight();
+      if (remaining <= 0) {
+        return firm;
       }
     }
     return firms.get(firms.size() - 1);
   }
 
   /** Which door of the set is tried first. */
-  private int chooseOffset(Firm f) {
+  private int chooseOffset(Firm firm) {
     if (!load.uneven()) {
-      return random.nextInt(f.spread());
+      return random.nextInt(firm.spread());
     }
     // A firm's busiest doors follow from its number and the span of time.
     Random busiest =
-        new Random(31 * f.id().hashCode() + (long) (eventHistory.now() / BUSIEST_DOORS_PERIOD_MS +
-        (f.id().hashCode() & 15) / 16.0));
-    double[] weights = new double[f.spread()];
+        new Random(31 * firm.id().hashCode() + (long) (eventHistory.now() / BUSIEST_DOORS_PERIOD_MS +
+        (firm.id().hashCode() & 15) / 16.0));
+    double[] weights = new double[firm.spread()];
     double sum = 0;
     for (int i = 0; i < weights.length; i++) {
       weights[i] = Math.pow(busiest.nextDouble(), 3);
       sum += weights[i];
     }
-    double at = random.nextDouble() * sum;
+    double remaining = random.nextDouble() * sum;
     int i = 0;
-    while (i < weights.length - 1 && at >= weights[i]) {
-      at -= weights[i++];
+    while (i < weights.length - 1 && remaining >= weights[i]) {
+      remaining -= weights[i++];
     }
     return i;
   }
@@ -392,27 +392,27 @@
       boolean post = kind.method().equals("POST");
       ByteBuf body = post ? Unpooled.copiedBuffer("x".repeat(BODY_BYTES), StandardCharsets.US_ASCII)
           : Unpooled.EMPTY_BUFFER;
-      DefaultFullHttpRequest m = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
+      DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
           HttpMethod.valueOf(kind.method()),
           "/" + kind.className() + "/" + number, body);
-      double left = Math.max(1, dueMs + timeoutMs - eventHistory.now());
-      m.headers().set("Host", DoorHealthChecker.hostAndPort(door.address())).set("Request-Id", id)
+      double leftMs = Math.max(1, dueMs + timeoutMs - eventHistory.now());
+      request.headers().set("Host", DoorHealthChecker.hostAndPort(door.address())).set("Request-Id", id)
           .set("Request-Class", kind.className()).set("X-Plan", firm.plan()).set("X-Customer", firm.id())
-          .set("Request-Timeout-Ms", (long) Math.ceil(left))
+          .set("Request-Timeout-Ms", (long) Math.ceil(leftMs))
           .set("X-Quota", "units=" + units + ",spread=" + firm.spread() + ",first=" + firm.first());
       if (client > 0) {
-        m.headers().set("X-Client", client);
+        request.headers().set("X-Client", client);
       }
       if (post) {
-        m.headers().set("Content-Length", BODY_BYTES);
+        request.headers().set("Content-Length", BODY_BYTES);
       }
       if (key != null) {
-        m.headers().set("Idempotency-Key", key);
+        request.headers().set("Idempotency-Key", key);
       }
       if (number > 0) {
-        m.headers().set("Client-Retry", "1");
+        request.headers().set("Client-Retry", "1");
       }
-      return m;
+      return request;
     }
 
     void onAnswer(FullHttpResponse answer) {
@@ -426,13 +426,13 @@
           + " by")) {
         eventHistory.addRequestEntry(Kind.FORGED, id, door.name(), 0, "");
       }
-      double wait = 0;
-      String advice = answer.headers().get("Retry-After");
-      if (advice != null) {
-        wait = Double.parseDouble(advice) * 1000;
+      double waitMs = 0;
+      String retryAfter = answer.headers().get("Retry-After");
+      if (retryAfter != null) {
+        waitMs = Double.parseDouble(retryAfter) * 1000;
       }
       end(status == 200 ? TryOutcome.SERVED : status == 429 || status == 503 ? TryOutcome.REFUSED
-          : TryOutcome.FAILED, wait);
+          : TryOutcome.FAILED, waitMs);
     }
 
     void onConnectionClosed(boolean kept) {
@@ -456,39 +456,39 @@
       }
     }
 
-    private void end(TryOutcome how, double adviceMs) {
+    private void end(TryOutcome outcome, double retryAfterMs) {
       ended = true;
       outstanding.decrementAndGet();
       if (timer != null) {
         timer.cancel(false);
       }
-      statistics.recordTry(dueMs, how, eventHistory.now() - dueMs, firm.id(), firm.plan(), units);
+      statistics.recordTry(dueMs, outcome, eventHistory.now() - dueMs, firm.id(), firm.plan(), units);
       if (returnDoor != null) {
-        statistics.recordPromptedRetry(firm.id(), firm.plan(), how);
+        statistics.recordPromptedRetry(firm.id(), firm.plan(), outcome);
       }
-      if (how != TryOutcome.SERVED && number < RETRIES && running) {
-        double wait = Math.max(adviceMs, BACKOFF_MS * (1 << number) * (0.5 + random.nextDouble()));
+      if (outcome != TryOutcome.SERVED && number < RETRIES && running) {
+        double waitMs = Math.max(retryAfterMs, BACKOFF_MS * (1 << number) * (0.5 + random.nextDouble()));
         loop.schedule(() -> {
           if (running) {
             Try next = new Try(firm, kind, units, timeoutMs, key, number + 1, firstDueMs);
             next.client = client;
-            next.returnDoor = client > 0 && adviceMs > 0 && wait == adviceMs ? door : null;
+            next.returnDoor = client > 0 && retryAfterMs > 0 && waitMs == retryAfterMs ? door : null;
             next.start();
           } else {
-            finishRequest(how);
+            finishRequest(outcome);
           }
-        }, (long) wait, TimeUnit.MILLISECONDS);
+        }, (long) waitMs, TimeUnit.MILLISECONDS);
       } else {
-        finishRequest(how);
+        finishRequest(outcome);
       }
     }
 
-    private void finishRequest(TryOutcome how) {
+    private void finishRequest(TryOutcome outcome) {
       if (onEnd != null) {
-        onEnd.accept(how);
+        onEnd.accept(outcome);
         return;
       }
-      statistics.recordRequest(firstDueMs, how, firm.id(), firm.plan(), units);
+      statistics.recordRequest(firstDueMs, outcome, firm.id(), firm.plan(), units);
     }
   }
 
@@ -508,18 +508,18 @@
       channel = ctx.channel();
     }
 
-    void send(Try t) {
-      current = t;
-      t.connection = this;
-      channel.writeAndFlush(t.toHttpRequest()).addListener(f -> {
+    void send(Try clientTry) {
+      current = clientTry;
+      clientTry.connection = this;
+      channel.writeAndFlush(clientTry.toHttpRequest()).addListener(f -> {
         if (f.isSuccess()) {
-          eventHistory.addRequestEntry(Kind.ASKED, t.id, door.name(), 0, reused ? "kept" : "");
-        } else if (current == t) {
+          eventHistory.addRequestEntry(Kind.ASKED, clientTry.id, door.name(), 0, reused ? "kept" : "");
+        } else if (current == clientTry) {
           current = null;
           if (reused) {
-            t.onConnectionClosed(true);
+            clientTry.onConnectionClosed(true);
           } else {
-            t.onWriteFailed();
+            clientTry.onWriteFailed();
           }
         }
       });
@@ -527,10 +527,10 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-      Try t = current;
+      Try answeredTry = current;
       current = null;
       reused = true;
-      if (t == null) {
+      if (answeredTry == null) {
         throw new IllegalStateException(String.format(Locale.ROOT, "%s answered unasked", door.name()));
       }
       if (HttpUtil.isKeepAlive(answer)) {
@@ -538,16 +538,16 @@
       } else {
         ctx.close();
       }
-      t.onAnswer(answer);
+      answeredTry.onAnswer(answer);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       idleConnections.computeIfAbsent(door, d -> new ArrayDeque<>()).remove(this);
-      Try t = current;
+      Try cutTry = current;
       current = null;
-      if (t != null) {
-        t.onConnectionClosed(reused);
+      if (cutTry != null) {
+        cutTry.onConnectionClosed(reused);
       }
     }
 
--- a/testkit/src/main/java/willowdoor/testkit/DoorHealthChecker.java
+++ b/testkit/src/main/java/willowdoor/testkit/DoorHealthChecker.java
@@ -48,7 +48,7 @@
       }
       checking = true;
       AtomicBoolean answered = new AtomicBoolean();
-      ChannelFuture f = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+      ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
           .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CHECK_TIMEOUT_MS)
           .handler(new ChannelInitializer<Channel>() {
             @Override
@@ -70,14 +70,15 @@
                   });
             }
           }).connect(door.address());
-      f.addListener((ChannelFuture c) -> {
+      connecting.addListener((ChannelFuture c) -> {
         if (c.isSuccess()) {
-          DefaultFullHttpRequest up = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/up");
-          up.headers().set("Host", "door").set("Connection", "close");
-          c.channel().writeAndFlush(up);
+          DefaultFullHttpRequest request =
+              new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/up");
+          request.headers().set("Host", "door").set("Connection", "close");
+          c.channel().writeAndFlush(request);
         }
       });
-      f.channel().closeFuture().addListener(c -> {
+      connecting.channel().closeFuture().addListener(c -> {
         checking = false;
         if (!answered.get() && ++consecutiveFailures >= FAILURES_TO_MARK_DOWN) {
           up = false;
@@ -118,9 +119,9 @@
   /** The door of the set at that offset, or the next one that it holds for up, or null. */
   Door choose(int first, int spread, int offset) {
     for (int i = 0; i < spread; i++) {
-      DoorStatus p = statuses.get((first + (offset + i) % spread) % statuses.size());
-      if (p.up) {
-        return p.door;
+      DoorStatus status = statuses.get((first + (offset + i) % spread) % statuses.size());
+      if (status.up) {
+        return status.door;
       }
     }
     return null;
--- a/testkit/src/main/java/willowdoor/testkit/FaultInjector.java
+++ b/testkit/src/main/java/willowdoor/testkit/FaultInjector.java
@@ -97,48 +97,48 @@
     return startedFaults;
   }
 
-  private void applySafely(Fault f, boolean on) {
+  private void applySafely(Fault fault, boolean active) {
     try {
-      if (on) {
+      if (active) {
         synchronized (this) {
           startedFaults++;
         }
       }
-      apply(f, on);
+      apply(fault, active);
     } catch (RuntimeException e) {
-      LOG.log(Level.WARNING, "could not cause or mend " + f, e);
+      LOG.log(Level.WARNING, "could not cause or mend " + fault, e);
     }
   }
 
-  private void apply(Fault f, boolean on) {
-    switch (f.what()) {
+  private void apply(Fault fault, boolean active) {
+    switch (fault.what()) {
       case KILL_DOOR -> {
-        if (on) {
-          doors.get(f.target()).kill();
+        if (active) {
+          doors.get(fault.target()).kill();
         } else {
-          doors.get(f.target()).start();
+          doors.get(fault.target()).start();
         }
       }
       case END_DOOR -> {
-        if (on) {
-          doors.get(f.target()).terminate();
+        if (active) {
+          doors.get(fault.target()).terminate();
         } else {
-          doors.get(f.target()).start();
+          doors.get(fault.target()).start();
         }
       }
-      case STOP_DOOR -> ((DoorProcess) doors.get(f.target())).setSuspended(on);
-      case SLOW_COUNTER -> environment.counter().delay(on ? SLOW_COUNTER_MS : 1);
-      case HANG_COUNTER -> environment.counter().hang(on);
+      case STOP_DOOR -> ((DoorProcess) doors.get(fault.target())).setSuspended(active);
+      case SLOW_COUNTER -> environment.counter().delay(active ? SLOW_COUNTER_MS : 1);
+      case HANG_COUNTER -> environment.counter().hang(active);
       case LOSE_COUNTER -> {
-        if (on) {
+        if (active) {
           environment.counter().stop();
         } else {
           environment.counter().restartEmpty();
         }
       }
-      case HANG_DISCOVERY -> environment.discovery().setHanging(on);
+      case HANG_DISCOVERY -> environment.discovery().setHanging(active);
       case LOSE_ZONE_B -> {
-        if (on) {
+        if (active) {
           environment.backendPool().killZone("b", DISCOVERY_DELAY_MS);
         } else {
           environment.backendPool().restartZone("b", DISCOVERY_DELAY_MS);
@@ -146,23 +146,23 @@
       }
       case STALLS_AUTHORISER, DENIES_AUTHORISER, RESETS_AUTHORISER, SPOILS_AUTHORISER, LATE_AUTHORISER,
           GOES_AWAY_AUTHORISER,
-          KILL_AUTHORISER -> authoriser(f.what(), environment.authorisers().get(f.target()),
-              on);
-      default -> backend(f.what(), environment.backendPool().backend(f.target()), on);
+          KILL_AUTHORISER -> applyToAuthoriser(fault.what(), environment.authorisers().get(fault.target()),
+              active);
+      default -> applyToBackend(fault.what(), environment.backendPool().backend(fault.target()), active);
     }
   }
 
-  private static void authoriser(FaultKind what, StandInAuthoriser a, boolean on) {
-    if (what == FaultKind.KILL_AUTHORISER) {
-      if (on) {
-        a.kill();
+  private static void applyToAuthoriser(FaultKind kind, StandInAuthoriser authoriser, boolean active) {
+    if (kind == FaultKind.KILL_AUTHORISER) {
+      if (active) {
+        authoriser.kill();
       } else {
-        a.restart();
+        authoriser.restart();
       }
       return;
     }
-    a.setDelay(on && what == FaultKind.LATE_AUTHORISER ? LATE_AUTHORISER_MS : 0);
-    a.setBehaviour(!on ? StandInAuthoriser.Behaviour.ALLOWS : switch (what) {
+    authoriser.setDelay(active && kind == FaultKind.LATE_AUTHORISER ? LATE_AUTHORISER_MS : 0);
+    authoriser.setBehaviour(!active ? StandInAuthoriser.Behaviour.ALLOWS : switch (kind) {
       case STALLS_AUTHORISER -> StandInAuthoriser.Behaviour.STALLS;
       case DENIES_AUTHORISER -> StandInAuthoriser.Behaviour.DENIES;
       case RESETS_AUTHORISER -> StandInAuthoriser.Behaviour.RESETS;
@@ -172,33 +172,34 @@
     });
   }
 
-  private void backend(FaultKind what, StandInBackend b, boolean on) {
-    switch (what) {
+  private void applyToBackend(FaultKind kind, StandInBackend backend, boolean active) {
+    switch (kind) {
       case KILL_BACKEND -> {
-        if (on && b.isAlive()) {
-          environment.backendPool().kill(b, DISCOVERY_DELAY_MS);
-        } else if (!on && !b.isAlive()) {
-          environment.backendPool().restart(b, DISCOVERY_DELAY_MS);
+        if (active && backend.isAlive()) {
+          environment.backendPool().kill(backend, DISCOVERY_DELAY_MS);
+        } else if (!active && !backend.isAlive()) {
+          environment.backendPool().restart(backend, DISCOVERY_DELAY_MS);
         }
       }
       case DRAIN_BACKEND -> {
-        if (on) {
-          environment.backendPool().drain(b);
+        if (active) {
+          environment.backendPool().drain(backend);
         } else {
-          environment.backendPool().undrain(b);
+          environment.backendPool().undrain(backend);
         }
       }
-      case REFUSE_BACKEND -> b.refuseConnections(on);
+      case REFUSE_BACKEND -> backend.refuseConnections(active);
       case ERRORS_BACKEND ->
-          b.setBehaviour(on ? StandInBackend.Behaviour.ERRORS : StandInBackend.Behaviour.WELL);
+          backend.setBehaviour(active ? StandInBackend.Behaviour.ERRORS : StandInBackend.Behaviour.WELL);
       case RESETS_BACKEND ->
-          b.setBehaviour(on ? StandInBackend.Behaviour.RESETS : StandInBackend.Behaviour.WELL);
+          backend.setBehaviour(active ? StandInBackend.Behaviour.RESETS : StandInBackend.Behaviour.WELL);
       case STALLS_BACKEND ->
-          b.setBehaviour(on ? StandInBackend.Behaviour.STALLS : StandInBackend.Behaviour.WELL);
+          backend.setBehaviour(active ? StandInBackend.Behaviour.STALLS : StandInBackend.Behaviour.WELL);
       case SPOILS_BACKEND ->
-          b.setBehaviour(on ? StandInBackend.Behaviour.SPOILS : StandInBackend.Behaviour.WELL);
-      case SLOW_BACKEND -> b.setBehaviour(on ? StandInBackend.Behaviour.SLOW : StandInBackend.Behaviour.WELL);
-      default -> throw new IllegalArgumentException("what: " + what + " (expected: a fault of a backend)");
+          backend.setBehaviour(active ? StandInBackend.Behaviour.SPOILS : StandInBackend.Behaviour.WELL);
+      case SLOW_BACKEND ->
+          backend.setBehaviour(active ? StandInBackend.Behaviour.SLOW : StandInBackend.Behaviour.WELL);
+      default -> throw new IllegalArgumentException("what: " + kind + " (expected: a fault of a backend)");
     }
   }
 
--- a/testkit/src/main/java/willowdoor/testkit/FaultyLink.java
+++ b/testkit/src/main/java/willowdoor/testkit/FaultyLink.java
@@ -110,8 +110,8 @@
     to.closeFuture().addListener(f -> onClosed(to, from));
     connected.addListener((ChannelFuture f) -> {
       if (f.isSuccess()) {
-        from.pipeline().addLast(new Pump(to, Mode.DEAF));
-        to.pipeline().addLast(new Pump(from, Mode.MUTE));
+        from.pipeline().addLast(new Forwarder(to, Mode.DEAF));
+        to.pipeline().addLast(new Forwarder(from, Mode.MUTE));
         from.read();
         to.read();
       } else {
@@ -128,7 +128,7 @@
   }
 
   /** One direction of one connection. */
-  private final class Pump extends ChannelInboundHandlerAdapter {
+  private final class Forwarder extends ChannelInboundHandlerAdapter {
     private final Channel to;
     private final Mode blockingMode;
     private final ArrayDeque<ByteBuf> buffered = new ArrayDeque<>();
@@ -136,7 +136,7 @@
     private double dueMs;
     private boolean polling;
 
-    Pump(Channel to, Mode blockingMode) {
+    Forwarder(Channel to, Mode blockingMode) {
       this.to = to;
       this.blockingMode = blockingMode;
     }
--- a/testkit/src/main/java/willowdoor/testkit/InvariantChecker.java
+++ b/testkit/src/main/java/willowdoor/testkit/InvariantChecker.java
@@ -38,11 +38,11 @@
       TWO_VERSIONS, HALT_KEPT, WAY_BACK_ENDS }
 
   /** One break of a rule: what happened, and the history of the request or machine, in order. */
-  public record Violation(Rule rule, String what, List<Entry> history) {
+  public record Violation(Rule rule, String description, List<Entry> history) {
 
     @Override
     public String toString() {
-      StringBuilder text = new StringBuilder(rule + ": " + what + '\n');
+      StringBuilder text = new StringBuilder(rule + ": " + description + '\n');
       history.forEach(e -> text.append("    ").append(e).append('\n'));
       return text.toString();
     }
@@ -155,8 +155,8 @@
     return new Verdict(List.copyOf(violations), histories.size(), served, refused, failed, excused);
   }
 
-  private void addViolation(Rule rule, String what, List<Entry> history) {
-    violations.add(new Violation(rule, what, history));
+  private void addViolation(Rule rule, String description, List<Entry> history) {
+    violations.add(new Violation(rule, description, history));
   }
 
   /** The spans in which each door was no live door: from a kill to its start, from a stop to its going on. */
--- a/testkit/src/main/java/willowdoor/testkit/LoadStatistics.java
+++ b/testkit/src/main/java/willowdoor/testkit/LoadStatistics.java
@@ -85,39 +85,40 @@
   private final Map<String, FirmUsage> firms = new ConcurrentHashMap<>();
 
   /** A request's last try ended so; its first try was due at that moment. */
-  synchronized void recordRequest(double firstDueMs, TryOutcome end, String firm, String plan, int units) {
-    second(firstDueMs).outcomes[end.ordinal()]++;
-    firm(firm, plan).offeredUnits += units;
+  synchronized void recordRequest(double firstDueMs, TryOutcome outcome, String firm, String plan,
+      int units) {
+    secondOf(firstDueMs).outcomes[outcome.ordinal()]++;
+    usageOf(firm, plan).offeredUnits += units;
   }
 
-  private Second second(double dueMs) {
+  private Second secondOf(double dueMs) {
     return seconds.computeIfAbsent((int) (dueMs / 1000), k -> new Second());
   }
 
-  private FirmUsage firm(String firm, String plan) {
+  private FirmUsage usageOf(String firm, String plan) {
     return firms.computeIfAbsent(firm, k -> new FirmUsage(plan));
   }
 
   /** A try ended so. */
-  synchronized void recordTry(double dueMs, TryOutcome end, double tookMs, String firm, String plan,
+  synchronized void recordTry(double dueMs, TryOutcome outcome, double tookMs, String firm, String plan,
       int units) {
-    Second s = second(dueMs);
-    s.tries++;
-    FirmUsage f = firm(firm, plan);
-    if (end == TryOutcome.SERVED) {
-      s.served.recordValue(Math.min(MAX_LATENCY_US, Math.max(0, (long) (tookMs * 1000))));
-      f.servedUnits += units;
-      f.served++;
-    } else if (end == TryOutcome.REFUSED) {
-      f.refused++;
+    Second second = secondOf(dueMs);
+    second.tries++;
+    FirmUsage usage = usageOf(firm, plan);
+    if (outcome == TryOutcome.SERVED) {
+      second.served.recordValue(Math.min(MAX_LATENCY_US, Math.max(0, (long) (tookMs * 1000))));
+      usage.servedUnits += units;
+      usage.served++;
+    } else if (outcome == TryOutcome.REFUSED) {
+      usage.refused++;
     }
   }
 
   /** A try that came when its client was told to ended so. */
-  synchronized void recordPromptedRetry(String firm, String plan, TryOutcome end) {
-    FirmUsage f = firm(firm, plan);
-    f.promptedRetries++;
-    f.acceptedRetries += end == TryOutcome.REFUSED ? 0 : 1;
+  synchronized void recordPromptedRetry(String firm, String plan, TryOutcome outcome) {
+    FirmUsage usage = usageOf(firm, plan);
+    usage.promptedRetries++;
+    usage.acceptedRetries += outcome == TryOutcome.REFUSED ? 0 : 1;
   }
 
   /**
--- a/testkit/src/main/java/willowdoor/testkit/QuotaAudit.java
+++ b/testkit/src/main/java/willowdoor/testkit/QuotaAudit.java
@@ -75,7 +75,7 @@
   }
 
   /** The use of every firm. */
-  public List<FirmUse> uses() {
+  public List<FirmUse> firmUses() {
     List<FirmUse> uses = new ArrayList<>();
     moments.forEach((firm, all) -> {
       PlanTerms plan = runSettings.plan(all.get(0).request().plan());
--- a/testkit/src/main/java/willowdoor/testkit/StandInAuthoriser.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInAuthoriser.java
@@ -93,7 +93,7 @@
   private final String name;
   private final EventLoop loop;
   private final EventHistory eventHistory;
-  private final Http2Settings http2;
+  private final Http2Settings http2Settings;
   private final SslContext tls;
   private final ChannelGroup openConnections;
   private final Queue<CheckRequest> receivedChecks = new ConcurrentLinkedQueue<>();
@@ -114,7 +114,7 @@
     this.name = name;
     this.loop = loop;
     this.eventHistory = eventHistory;
-    this.http2 = settings;
+    this.http2Settings = settings;
     this.tls = tls;
     this.openConnections = new DefaultChannelGroup(loop);
     DECODER_LOG.setLevel(Level.WARNING);
@@ -176,7 +176,7 @@
             if (tls != null) {
               ch.pipeline().addLast(tls.newHandler(ch.alloc()));
             }
-            Http2FrameCodec codec = Http2FrameCodecBuilder.forServer().initialSettings(http2).build();
+            Http2FrameCodec codec = Http2FrameCodecBuilder.forServer().initialSettings(http2Settings).build();
             ch.pipeline().addLast(codec, new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel stream) {
--- a/testkit/src/main/java/willowdoor/testkit/StandInBackend.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInBackend.java
@@ -170,49 +170,51 @@
     return age >= 1 ? 1 : 1 / (pool.runSettings().coldFrom() + (1 - pool.runSettings().coldFrom()) * age);
   }
 
-  private void record(Kind kind, Work w, double amount) {
-    pool.eventHistory().addRequestEntry(kind, w.id, name, amount, w.attempt);
+  private void record(Kind kind, Work work, double amount) {
+    pool.eventHistory().addRequestEntry(kind, work.id, name, amount, work.attempt);
   }
 
-  private void admit(Work w) {
+  private void admit(Work work) {
     if (behaviour == Behaviour.TURNS_AWAY || queue.size() >= pool.spec().queue()) {
-      record(Kind.TURNED_AWAY, w, 503);
-      w.connection.answer(w, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true, 0);
+      record(Kind.TURNED_AWAY, work, 503);
+      work.connection.answer(work, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true, 0);
     } else if (running >= pool.spec().cores()) {
-      queue.add(w);
+      queue.add(work);
     } else {
-      startWork(w);
+      startWork(work);
     }
   }
 
-  private void startWork(Work w) {
-    int units = pool.trueUnits(w.units);
-    if (w.key == null || pool.rememberIfNew(w.key)) {
-      record(Kind.EFFECT, w, units);
+  private void startWork(Work work) {
+    int units = pool.trueUnits(work.units);
+    if (work.key == null || pool.rememberIfNew(work.key)) {
+      record(Kind.EFFECT, work, units);
     } else {
-      record(Kind.REPEAT_DROPPED, w, 0);
+      record(Kind.REPEAT_DROPPED, work, 0);
     }
     running++;
-    Behaviour now = behaviour;
-    switch (now) {
+    Behaviour currentBehaviour = behaviour;
+    switch (currentBehaviour) {
       case ERRORS ->
-          finishWork(w, () -> w.connection.answer(w, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false,
+          finishWork(work,
+              () -> work.connection.answer(work, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false,
           0));
-      case RESETS -> finishWork(w, w.connection::reset);
-      case SPOILS -> finishWork(w, () -> w.connection.writeRaw("\0 junk \r\n\r\n"));
-      case HALF_ANSWERS -> finishWork(w, () -> w.connection.writeRaw(
+      case RESETS -> finishWork(work, work.connection::reset);
+      case SPOILS -> finishWork(work, () -> work.connection.writeRaw("\0 junk \r\n\r\n"));
+      case HALF_ANSWERS -> finishWork(work, () -> work.connection.writeRaw(
           "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of"));
-      case STALLS -> finishWork(w, () -> { });
+      case STALLS -> finishWork(work, () -> { });
       default -> {
-        double ms = pool.drawWorkMs() * slowdown() * (now == Behaviour.SLOW ? SLOWDOWN_FACTOR : 1);
-        loop.schedule(() -> finishWork(w, () -> w.connection.answer(w, HttpResponseStatus.OK,
-            body(w.id, name), false, units)), (long) (ms * 1000), TimeUnit.MICROSECONDS);
+        double ms = pool.drawWorkMs() * slowdown()
+            * (currentBehaviour == Behaviour.SLOW ? SLOWDOWN_FACTOR : 1);
+        loop.schedule(() -> finishWork(work, () -> work.connection.answer(work, HttpResponseStatus.OK,
+            body(work.id, name), false, units)), (long) (ms * 1000), TimeUnit.MICROSECONDS);
       }
     }
   }
 
-  private void finishWork(Work w, Runnable answer) {
-    if (w.incarnation != incarnation) {
+  private void finishWork(Work work, Runnable answer) {
+    if (work.incarnation != incarnation) {
       return;
     }
     running--;
--- a/testkit/src/main/java/willowdoor/testkit/StandInCounter.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInCounter.java
@@ -98,7 +98,7 @@
     protected void initChannel(Channel ch) {
       connections.add(ch);
       ch.pipeline().addLast(new LineBasedFrameDecoder(256), new StringDecoder(StandardCharsets.US_ASCII),
-          new Calls(door));
+          new CallHandler(door));
     }
 
     void close() {
@@ -314,10 +314,10 @@
   }
 
   /** One connection: calls are answered in their order, each after the delay. */
-  private final class Calls extends SimpleChannelInboundHandler<String> {
+  private final class CallHandler extends SimpleChannelInboundHandler<String> {
     private final int door;
 
-    Calls(int door) {
+    CallHandler(int door) {
       this.door = door;
     }
 
--- a/testkit/src/main/java/willowdoor/testkit/StandInDiscovery.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInDiscovery.java
@@ -76,7 +76,7 @@
         .channel(NioServerSocketChannel.class).childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel ch) {
-            ch.pipeline().addLast(new HttpServerCodec(), new Agent(name));
+            ch.pipeline().addLast(new HttpServerCodec(), new AgentConnection(name));
           }
         }).bind("127.0.0.1", 0).syncUninterruptibly().channel().localAddress());
   }
@@ -167,10 +167,10 @@
   }
 
   /** One connection of a door. */
-  private final class Agent extends SimpleChannelInboundHandler<Object> {
+  private final class AgentConnection extends SimpleChannelInboundHandler<Object> {
     private final String door;
 
-    Agent(String door) {
+    AgentConnection(String door) {
       super(false);
       this.door = door;
     }
--- a/testkit/src/main/java/willowdoor/testkit/StandInValkey.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInValkey.java
@@ -207,10 +207,10 @@
 
   /** Has it do a command by a connection of its own, as a terminal would; the answer's first line. */
   public String runCommand(String command) throws IOException {
-    try (Socket s = new Socket(address.getAddress(), address.getPort())) {
-      s.setSoTimeout((int) TIMEOUT_MS);
-      s.getOutputStream().write((command + "\r\n").getBytes(StandardCharsets.US_ASCII));
-      BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(),
+    try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+      socket.setSoTimeout((int) TIMEOUT_MS);
+      socket.getOutputStream().write((command + "\r\n").getBytes(StandardCharsets.US_ASCII));
+      BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
           StandardCharsets.US_ASCII));
       String line = in.readLine();
       return line == null ? "" : line.startsWith("$") && !line.equals("$-1") ? in.readLine() : line;
@@ -245,26 +245,26 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, RedisMessage message) {
-      List<String> words = new ArrayList<>();
+      List<String> arguments = new ArrayList<>();
       if (message instanceof InlineCommandRedisMessage line) {
-        words.addAll(List.of(line.content().trim().split(" +")));
+        arguments.addAll(List.of(line.content().trim().split(" +")));
       } else if (message instanceof ArrayRedisMessage array) {
         for (RedisMessage m : array.children()) {
           if (m instanceof FullBulkStringRedisMessage text
               && text.content().readableBytes() <= MAX_BULK_BYTES) {
-            words.add(text.content().toString(StandardCharsets.UTF_8));
+            arguments.add(text.content().toString(StandardCharsets.UTF_8));
           }
         }
       }
-      if (words.isEmpty() || words.get(0).isEmpty()) {
+      if (arguments.isEmpty() || arguments.get(0).isEmpty()) {
         ctx.writeAndFlush(new ErrorRedisMessage("ERR Protocol error: expected a command"));
         ctx.close();
       } else if (now() >= pausedUntilMs && pausedCommands.isEmpty()) {
-        answer(ctx, words);
+        answer(ctx, arguments);
       } else if (pausedCommands.size() >= MAX_PAUSED_COMMANDS) {
         ctx.close();
       } else {
-        pausedCommands.add(() -> answer(ctx, words));
+        pausedCommands.add(() -> answer(ctx, arguments));
       }
     }
 
@@ -273,28 +273,28 @@
       ctx.close();
     }
 
-    private void answer(ChannelHandlerContext ctx, List<String> words) {
+    private void answer(ChannelHandlerContext ctx, List<String> arguments) {
       RedisMessage answer;
       try {
-        answer = perform(ctx, words.get(0).toUpperCase(Locale.ROOT), words);
+        answer = perform(ctx, arguments.get(0).toUpperCase(Locale.ROOT), arguments);
       } catch (CommandException e) {
         answer = new ErrorRedisMessage(e.getMessage());
       } catch (IndexOutOfBoundsException | NumberFormatException e) {
-        answer = new ErrorRedisMessage("ERR wrong number or kind of arguments for '" + words.get(0)
+        answer = new ErrorRedisMessage("ERR wrong number or kind of arguments for '" + arguments.get(0)
             + "' command");
       }
       ctx.writeAndFlush(answer);
     }
 
-    private RedisMessage perform(ChannelHandlerContext ctx, String command, List<String> words)
+    private RedisMessage perform(ChannelHandlerContext ctx, String command, List<String> arguments)
         throws CommandException {
       if (command.equals("AUTH")) {
-        return authenticate(words);
+        return authenticate(arguments);
       }
       if (user == null) {
         throw new CommandException("NOAUTH Authentication required.");
       }
-      String sub = words.size() > 1 ? words.get(1).toLowerCase(Locale.ROOT) : "";
+      String sub = arguments.size() > 1 ? arguments.get(1).toLowerCase(Locale.ROOT) : "";
       String right = command.toLowerCase(Locale.ROOT) + (command.equals("SCRIPT") ? "|" + sub : "");
       if (!user.mayRun(right)) {
         throw new CommandException("NOPERM User " + name + " has no permissions to run the '" + right
@@ -303,18 +303,18 @@
       return switch (command) {
         case "PING" -> new SimpleStringRedisMessage("PONG");
         case "HELLO" -> throw new CommandException("NOPROTO unsupported protocol version");
-        case "CLIENT" -> client(ctx, sub, words);
-        case "ACL" -> setUser(sub, words);
-        case "SCRIPT" -> script(sub, words);
-        case "REPLICAOF" -> promote(words);
-        default -> onData(command, words);
+        case "CLIENT" -> client(ctx, sub, arguments);
+        case "ACL" -> setUser(sub, arguments);
+        case "SCRIPT" -> script(sub, arguments);
+        case "REPLICAOF" -> promote(arguments);
+        default -> onData(command, arguments);
       };
     }
 
-    private RedisMessage authenticate(List<String> words) throws CommandException {
-      String who = words.size() > 2 ? words.get(1) : "default";
+    private RedisMessage authenticate(List<String> arguments) throws CommandException {
+      String who = arguments.size() > 2 ? arguments.get(1) : "default";
       User found = users.get(who);
-      if (found == null || !found.password.equals(words.get(words.size() - 1))) {
+      if (found == null || !found.password.equals(arguments.get(arguments.size() - 1))) {
         throw new CommandException("WRONGPASS invalid username-password pair or user is disabled.");
       }
       user = found;
@@ -322,9 +322,9 @@
       return OK;
     }
 
-    private RedisMessage client(ChannelHandlerContext ctx, String sub, List<String> words) {
+    private RedisMessage client(ChannelHandlerContext ctx, String sub, List<String> arguments) {
       if (sub.equals("pause")) {
-        long ms = Long.parseLong(words.get(2));
+        long ms = Long.parseLong(arguments.get(2));
         pausedUntilMs = now() + ms;
         loop.schedule(StandInValkey.this::resume, ms, TimeUnit.MILLISECONDS);
       } else if (sub.equals("kill")) {
@@ -335,13 +335,13 @@
       return OK;
     }
 
-    private RedisMessage onData(String command, List<String> words) throws CommandException {
+    private RedisMessage onData(String command, List<String> arguments) throws CommandException {
       if (errorReply != null) {
         throw new CommandException(errorReply);
       }
       switch (command) {
         case "GET" -> {
-          Value v = liveValue(words.get(1));
+          Value v = liveValue(arguments.get(1));
           return v == null ? FullBulkStringRedisMessage.NULL_INSTANCE : text(v.text);
         }
         case "DBSIZE" -> {
@@ -353,15 +353,15 @@
           return OK;
         }
         case "EVALSHA" -> {
-          return add(words);
+          return add(arguments);
         }
         default -> throw new CommandException("ERR unknown command '" + command + "'");
       }
     }
 
     /** The door's add: the epoch, made where there is none; the count; its life where it is new. */
-    private RedisMessage add(List<String> words) throws CommandException {
-      List<String> calls = scripts.get(words.get(1));
+    private RedisMessage add(List<String> arguments) throws CommandException {
+      List<String> calls = scripts.get(arguments.get(1));
       if (calls == null) {
         throw new CommandException("NOSCRIPT No matching script. Please use EVAL.");
       }
@@ -377,8 +377,8 @@
               + call.toLowerCase(Locale.ROOT) + "' command");
         }
       }
-      String count = words.get(3);
-      String epochKey = words.get(4);
+      String count = arguments.get(3);
+      String epochKey = arguments.get(4);
       if (!user.mayAccess(count) || !user.mayAccess(epochKey)) {
         throw new CommandException("NOPERM No permissions to access a key");
       }
@@ -390,27 +390,27 @@
       }
       Value epoch = liveValue(epochKey);
       if (epoch == null) {
-        epoch = new Value(words.get(7), Double.POSITIVE_INFINITY);
+        epoch = new Value(arguments.get(7), Double.POSITIVE_INFINITY);
         write(epochKey, epoch);
       }
       Value oldCount = liveValue(count);
       BigDecimal total = new BigDecimal(oldCount == null ? "0" : oldCount.text)
-          .add(new BigDecimal(words.get(5)));
+          .add(new BigDecimal(arguments.get(5)));
       String newTotal = total.signum() == 0 ? "0" : total.stripTrailingZeros().toPlainString();
       write(count,
           new Value(newTotal,
-          oldCount == null ? now() + Long.parseLong(words.get(6)) : oldCount.expiresAtMs));
+          oldCount == null ? now() + Long.parseLong(arguments.get(6)) : oldCount.expiresAtMs));
       adds++;
       return new ArrayRedisMessage(List.of(text(newTotal), text(epoch.text)));
     }
   }
 
-  private RedisMessage setUser(String sub, List<String> words) throws CommandException {
+  private RedisMessage setUser(String sub, List<String> arguments) throws CommandException {
     if (!sub.equals("setuser")) {
       throw new CommandException("ERR unknown subcommand '" + sub + "'");
     }
-    User user = users.computeIfAbsent(words.get(2), n -> new User());
-    for (String rule : words.subList(3, words.size())) {
+    User user = users.computeIfAbsent(arguments.get(2), n -> new User());
+    for (String rule : arguments.subList(3, arguments.size())) {
       String rest = rule.substring(1);
       switch (rule.charAt(0)) {
         case '>' -> user.password = rest;
@@ -429,12 +429,12 @@
     return OK;
   }
 
-  private RedisMessage script(String sub, List<String> words) {
+  private RedisMessage script(String sub, List<String> arguments) {
     if (sub.equals("flush")) {
       scripts.clear();
       return OK;
     }
-    String source = words.get(2);
+    String source = arguments.get(2);
     List<String> calls = new ArrayList<>();
     for (Matcher m = CALLS.matcher(source); m.find();) {
       calls.add(m.group(1));
@@ -450,25 +450,25 @@
   }
 
   /** A replica that is promoted keeps what it has, and hears nothing more of its primary. */
-  private RedisMessage promote(List<String> words) throws CommandException {
-    if (!words.get(1).equalsIgnoreCase("no")) {
+  private RedisMessage promote(List<String> arguments) throws CommandException {
+    if (!arguments.get(1).equalsIgnoreCase("no")) {
       throw new CommandException("ERR only REPLICAOF NO ONE is known here");
     }
-    StandInValkey before = primary;
+    StandInValkey formerPrimary = primary;
     primary = null;
-    if (before != null) {
-      before.loop.execute(() -> before.replicas.remove(this));
+    if (formerPrimary != null) {
+      formerPrimary.loop.execute(() -> formerPrimary.replicas.remove(this));
     }
     return OK;
   }
 
   private Value liveValue(String key) {
-    Value v = data.get(key);
-    if (v != null && v.expiresAtMs <= now()) {
+    Value value = data.get(key);
+    if (value != null && value.expiresAtMs <= now()) {
       data.remove(key);
       return null;
     }
-    return v;
+    return value;
   }
 
   private void write(String key, Value value) {
--- a/testkit/src/test/java/willowdoor/testkit/QuotaAuditTest.java
+++ b/testkit/src/test/java/willowdoor/testkit/QuotaAuditTest.java
@@ -37,7 +37,7 @@
       recordTry("f", "d0", 1_000, 8, true);
     }
     recordTry("f", "d0", 3_000, 8, true);
-    FirmUse use = audit().uses().get(0);
+    FirmUse use = audit().firmUses().get(0);
     assertEquals(28, use.maxOverQuota(), 0.1, "48 of 20");
     assertEquals(8, use.maxOverCeiling(), 0.1, "48 of 40");
     assertEquals(56, use.sent());
