--- a/daemon/src/main/java/willowdoor/daemon/fleet/AgreedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AgreedCommand.java
@@ -27,7 +27,7 @@
 import willowdoor.testkit.EventHistory;
 import willowdoor.testkit.RunSettings;
 
-/** Runs stewards and doors under load, breaks what is between them, and judges what came of it. */
+/** Runs stewards and doors under load, causes faults between them, and judges the outcome. */
 @Command(name = "agreed", mixinStandardHelpOptions = true, description = {
     "Runs stewards and doors, each a process, under load, with operators who take doors and backends out.",
     "  schedules  links and processes break by seeds; what operators and requests met is judged",
@@ -43,7 +43,7 @@
   private static final int BUDGET = 2;
   private static final long COST_WARM_UP_MS = 15_000;
   private static final long COST_MS = 30_000;
-  /** Longer than any lease lasts through the elections of one schedule, and any answer is late. */
+  /** Longer than any lease through the elections of one schedule, and than the delay of any answer. */
   private static final double LAPSE_LIMIT_MS = 15_000;
 
   @Parameters(paramLabel = "RUN", description = "${COMPLETION-CANDIDATES}")
@@ -128,7 +128,7 @@
             + " %.0f between stewards; %d KiB on the first one's disk%n",
             (cpu(stewardProcesses.processes()) - stewardCpu) / seconds * 100,
             (stewardProcesses.awaitStatus().index() - index) / seconds,
-            (after[0] - passed[0]) / seconds / doors,
+                (after[0] - passed[0]) / seconds / doors,
             (after[1] - passed[1]) / seconds, stewardProcesses.storedBytes(0) / 1_024);
       }
       out.flush();
@@ -160,9 +160,8 @@
       AtomicBoolean running = new AtomicBoolean(true);
       List<Thread> operators = new ArrayList<>();
       for (String name : List.of("ana", "rui")) {
-        operators.add(
-            new Thread(
-            new AgreedOperator(stewardProcesses, run.rig().eventHistory(), name + "-" + schedule.seed(),
+        operators.add(new Thread(new AgreedOperator(stewardProcesses, run.rig().eventHistory(), name + "-"
+            + schedule.seed(),
             subjects, schedule.seed() * 31 + name.hashCode(), running, counts), name));
       }
       operators.forEach(Thread::start);
@@ -171,17 +170,17 @@
       for (Thread operator : operators) {
         operator.join();
       }
-      if (!AgreedOperator
-          .returnAllPermits(stewardProcesses, run.rig().eventHistory(), subjects, CLEANUP_LIMIT_MS)) {
+      if (!AgreedOperator.returnAllPermits(stewardProcesses, run.rig().eventHistory(), subjects,
+          CLEANUP_LIMIT_MS)) {
         unreturnedCount++;
-        out.println("BREACH: not all is back " + CLEANUP_LIMIT_MS + " ms after all is whole: "
+        out.println("BREACH: permits are not returned " + CLEANUP_LIMIT_MS + " ms after the faults ended: "
             + stewardProcesses.status());
         for (int k = 0; k < stewards; k++) {
-          out.printf("steward %d %s, and printed last:%n", k,
-              stewardProcesses.processes().get(k).isAlive() ? "lives"
+          out.printf("steward %d %s, and printed last:%n", k, stewardProcesses.processes().get(k).isAlive()
+              ? "lives"
               : "is dead");
-          stewardProcesses.log(k).lines().skip(Math.max(0, stewardProcesses.log(k).lines().count() - 12))
-              .forEach(out::println);
+          stewardProcesses.log(k).lines().skip(Math.max(0,
+              stewardProcesses.log(k).lines().count() - 12)).forEach(out::println);
         }
         out.flush();
       }
@@ -212,7 +211,7 @@
     }
     out.printf("no word for p50 %d ms, p99 %d ms, most %d ms after %d kills of the leader%n",
         leaderlessMs.getValueAtPercentile(50), leaderlessMs.getValueAtPercentile(99),
-        leaderlessMs.getMaxValue(), count);
+            leaderlessMs.getMaxValue(), count);
     out.flush();
     return 0;
   }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/AgreedOperator.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AgreedOperator.java
@@ -20,13 +20,13 @@
 import willowdoor.testkit.EventHistory;
 
 /**
- * Takes doors and backends out and has them back, for as long as it is told to, and writes into the ledger
- * what it was told, no earlier, and what it asks for, no later. Now and then its command dies, and leaves
- * what it left.
+ * An operator that repeatedly takes doors and backends out of service and returns them, until it is stopped.
+ * The ledger records answers after they arrive and requests before they are sent. Now and then the operator
+ * abandons a command, which leaves its permit in place.
  */
 final class AgreedOperator implements Runnable {
 
-  /** What all operators of a run came to. */
+  /** Counts over all operators of a run. */
   record Counts(AtomicInteger granted, AtomicInteger gaveUpWaiting, AtomicInteger backendsOut,
       AtomicInteger unanswered,
       AtomicInteger abandoned) {
@@ -50,7 +50,7 @@
   private final Counts counts;
   private int requests;
 
-  /** One of that name, who takes out any of these, by the name that the ledger has for it. */
+  /** Creates an operator; subjects maps what it may take out to the name in the ledger. */
   AgreedOperator(Stewards stewards, EventHistory ledger, String name, Map<Subject, String> subjects,
       long seed,
       AtomicBoolean running, Counts counts) {
@@ -135,7 +135,7 @@
     operator.put(new ReturnPermit(0, subject, permit, name), CALL_TIMEOUT_MS);
   }
 
-  /** Has everything come back that anybody left; true once nothing is out any more. */
+  /** Returns all remaining permits; true once nothing is out, false if the limit passes first. */
   static boolean returnAllPermits(Stewards stewards, EventHistory ledger, Map<Subject, String> subjects,
       long limitMs)
       throws InterruptedException {
--- a/daemon/src/main/java/willowdoor/daemon/fleet/AgreedSchedule.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AgreedSchedule.java
@@ -11,14 +11,14 @@
 import willowdoor.testkit.DoorProcess;
 import willowdoor.testkit.FaultyLink.Mode;
 
-/** Faults between stewards and doors by a seed: which link or process breaks, how, when and for how long. */
+/** A schedule of faults of stewards, doors and their links, drawn from a seed. */
 record AgreedSchedule(long seed, List<AgreedSchedule.Fault> faults) {
 
-  /** What breaks; a leader is whoever leads at that moment. */
+  /** Kinds of fault; "leader" is the steward that leads when the fault begins. */
   enum FaultKind { KILL_STEWARD, KILL_LEADER, STOP_STEWARD, STOP_LEADER, LINKS_OF_STEWARD, LINKS_OF_LEADER,
     ONE_WAY, LINKS_OF_DOOR, KILL_DOOR, STOP_DOOR, ALL_STEWARDS }
 
-  /** One fault; afterwards what it broke is whole again. */
+  /** One fault; at its end the affected link or process is restored. */
   record Fault(double atMs, FaultKind kind, int target, int other, Mode mode, double durationMs) {
 
     @Override
@@ -29,10 +29,10 @@
     }
   }
 
-  private static final Mode[] LINK_MODES =
-      {Mode.CUT, Mode.SILENT, Mode.DEAF, Mode.MUTE, Mode.LATE, Mode.TRICKLE};
+  private static final Mode[] LINK_MODES = {Mode.CUT, Mode.SILENT, Mode.DEAF, Mode.MUTE, Mode.LATE,
+      Mode.TRICKLE};
 
-  /** Two to five faults within so long. */
+  /** Draws two to five faults that begin within the given time. */
   static AgreedSchedule draw(long seed, int stewards, int doors, double withinMs) {
     Random random = new Random(seed);
     List<Fault> all = new ArrayList<>();
@@ -44,14 +44,14 @@
       int target = random.nextInt(door ? doors : stewards);
       all.add(new Fault(random.nextDouble() * withinMs, what, target,
           (target + 1 + random.nextInt(stewards - 1)) % stewards,
-          LINK_MODES[random.nextInt(LINK_MODES.length)],
+              LINK_MODES[random.nextInt(LINK_MODES.length)],
           300 + random.nextInt(4_000)));
     }
     all.sort(Comparator.comparingDouble(Fault::atMs));
     return new AgreedSchedule(seed, List.copyOf(all));
   }
 
-  /** Causes all of them from now on, and returns when the last is over and what they broke is whole. */
+  /** Causes all faults, timed from now, and returns when the last has ended and everything is restored. */
   void cause(FleetRun run, Stewards stewards) throws InterruptedException {
     ScheduledExecutorService timer = Executors.newScheduledThreadPool(4, r -> {
       Thread thread = new Thread(r, "faults");
@@ -75,7 +75,7 @@
     }
   }
 
-  /** What ends it. */
+  /** Begins a fault and returns the action that ends it. */
   private static Runnable startFault(Fault f, FleetRun run, Stewards stewards) {
     boolean leads = f.kind() == FaultKind.KILL_LEADER || f.kind() == FaultKind.STOP_LEADER
         || f.kind() == FaultKind.LINKS_OF_LEADER;
--- a/daemon/src/main/java/willowdoor/daemon/fleet/AuthorisedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/AuthorisedCommand.java
@@ -31,7 +31,7 @@
 import willowdoor.testkit.StandInAuthoriser;
 import willowdoor.testkit.RunSettings;
 
-/** Runs daemons whose requests need authorisers' allows, and judges or measures what came of it. */
+/** Runs daemons whose requests need authorisation, and judges or measures the outcome. */
 @Command(name = "authorised", mixinStandardHelpOptions = true, description = {
     "Runs one door whose requests need an authoriser's allow.",
     "  faults   three authorisers break by a seeded schedule; all requests are judged",
@@ -123,8 +123,8 @@
     try (FleetRun run = fleet(rate, 20, 60)) {
       List<StandInAuthoriser> asked = authorisers(run, 3);
       run.rig().authorise(new InvariantChecker.Authorisation(a -> true, false));
-      run.addTables(tables(asked, log == null ? "" : log.toAbsolutePath().toString())
-          + member("all", "", asked,
+      run.addTables(tables(asked, log == null ? "" : log.toAbsolutePath().toString()) + member("all", "",
+          asked,
           ALL_CLASSES + "choose = \"weight\"\nlimit_ms = 300\n"));
       run.start(new ClientFleet.Load(rate, (int) (rate / 2), 0.1, 5, 1));
       run.clients().start();
@@ -153,7 +153,7 @@
     }
   }
 
-  /** How the histories of requests end that have no answer. */
+  /** Prints the number of denied requests and the histories of requests without an answer. */
   private void printUnanswered(FleetRun run) {
     long denied = run.rig().eventHistory().requestHistories().values().stream()
         .filter(h -> h.stream().anyMatch(
@@ -171,7 +171,7 @@
     ends.forEach((end, count) -> out.printf("without an answer: %5d  %s%n", count, end));
   }
 
-  /** Has every firm's true units settled, and compares what the counter was told with what was done. */
+  /** Settles every firm's actual units and compares the units at the counter with the work done. */
   private int settleUnits(FleetRun run, List<StandInAuthoriser> asked) {
     asked.forEach(a -> {
       a.restart();
@@ -206,7 +206,7 @@
     return differing;
   }
 
-  /** One of the runs that are measured beside each other. */
+  /** One of the runs measured side by side. */
   private record Side(String name, FleetRun run, double[] cpuAndTries) { }
 
   private int cost() throws IOException {
@@ -272,7 +272,7 @@
     }
   }
 
-  /** From when a request was due to its answer by a node, in microseconds. */
+  /** Times from when a request was due to its answer with status 200, in microseconds. */
   static Histogram answerTimes(FleetRun run, double fromMs, double toMs, Predicate<ClientRequest> which) {
     Histogram h = new Histogram(MAX_LATENCY_US, 3);
     run.rig().eventHistory().requestHistories().forEach((id, history) -> {
@@ -297,8 +297,8 @@
       int firms = (int) rate;
       long border = 0x1000L + firms / 2;
       run.rig().authorise(new InvariantChecker.Authorisation(a -> true, false));
-      run.addTables(tables(asked, "")
-          + member("first", String.format("\"0-%x\"", border - 1), asked.subList(0, 1),
+      run.addTables(tables(asked, "") + member("first", String.format("\"0-%x\"", border - 1),
+          asked.subList(0, 1),
           ALL_CLASSES + "limit_ms = 1500\n")
           + member("second", String.format("\"%x-ffffffff\"", border), asked.subList(1, 2), ALL_CLASSES
           + "limit_ms = 1500\n"));
--- a/daemon/src/main/java/willowdoor/daemon/fleet/BackendRestarts.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/BackendRestarts.java
@@ -15,15 +15,15 @@
 import willowdoor.testkit.StandInBackend;
 
 /**
- * Who restarts backends in a release of them: what a release has taken out, and every door has let go, is
- * ended and started with the version that its permit names. What is told goes into the ledger.
+ * Restarts backends in a release of backends: a backend that the release has taken out, and that no door uses
+ * any more, is stopped and started with the version named by its permit. The ledger records the events.
  */
 final class BackendRestarts implements AutoCloseable {
 
-  /** A version whose processes die once they are warm and taken back. */
+  /** A version whose processes crash once they are warm and back in service. */
   static final String CRASHING_VERSION = "b2-faint";
   private static final long POLL_INTERVAL_MS = 50;
-  /** Discovery says so late what it sees. */
+  /** Delay after which discovery lists a change. */
   private static final long DISCOVERY_DELAY_MS = 100;
   private static final long DOWNTIME_MS = 300;
 
@@ -36,7 +36,7 @@
   private volatile boolean running = true;
   private volatile int maxBackendsOut;
 
-  /** Begins to look. */
+  /** Starts a thread that polls the status of the fleet. */
   BackendRestarts(ReleaseRun fleet) {
     this.fleet = fleet;
     fleet.run().rig().backendPool().all()
@@ -45,12 +45,12 @@
     thread.start();
   }
 
-  /** The versions that backends were started with, by their names; those that never were are not in it. */
+  /** The versions with which backends were restarted, by backend name; others are absent. */
   synchronized Map<String, String> versions() {
     return new TreeMap<>(versions);
   }
 
-  /** How many backends were seen out at once at the most, by the record. */
+  /** The highest number of backends that the record showed out at once. */
   int maxBackendsOut() {
     return maxBackendsOut;
   }
@@ -86,7 +86,7 @@
     }
   }
 
-  /** A faint version's process dies when its step is over. */
+  /** Kills backends of the crashing version once their permit has ended. */
   private void killCrashingBackends() {
     FleetStatus s = fleet.stewards().status();
     if (s == null) {
--- a/daemon/src/main/java/willowdoor/daemon/fleet/CounterCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/CounterCommand.java
@@ -27,7 +27,7 @@
 import willowdoor.testkit.RunSettings;
 import willowdoor.testkit.RunSettings.PlanTerms;
 
-/** Runs fleets whose counter is lost, replaced, split or lamed, and measures it beside the stated bounds. */
+/** Runs fleets whose counter is lost, replaced, split or slowed, and compares overshoot with its bounds. */
 @Command(name = "counter", mixinStandardHelpOptions = true, description = {
     "Runs fleets on loopback whose counter fails, and holds what was sent on to stated bounds.",
     "  cases     one fleet for each kind of failure: overshoot beside its bound, ceilings, refusals",
@@ -37,7 +37,7 @@
 
   enum Run { cases, recovery, store }
 
-  /** What becomes of the counter; the time for which it does is part of the bound. */
+  /** Kinds of counter failure; the duration of the failure is part of the bound. */
   enum Case {
     none(0), away(7_000), hangs(7_000), half_cut_off(7_000), empty(0), briefly(500),
         twice_in_a_window(400),
@@ -52,7 +52,7 @@
       this.durationMs = durationMs;
     }
 
-    /** Whether the counts are in a stand-in of Valkey, which is what fails. */
+    /** Whether the counts are in a stand-in of Valkey, which is the part that fails. */
     boolean ofStore() {
       return this == store_killed || this == store_promoted || this == store_split;
     }
@@ -61,13 +61,13 @@
   private static final double QUIET_MS = 8_000;
   private static final double RECOVERY_MS = 7_000;
   private static final double DETECTION_MS = 500;
-  /** The store connects again after 1.5 s at the most, and needs a call to learn whose counts these are. */
+  /** The store reconnects within 1.5 s, and needs one call to learn which counts the server has. */
   private static final double STORE_DETECTION_MS = 2_000;
-  /** Writes of the last second are not with the replica that is promoted. */
+  /** The promoted replica lacks the writes of the last second. */
   private static final long REPLICA_LAG_MS = 1_000;
   private static final double FLAP_MS = 300;
   private static final double LATE_MS = 70;
-  /** Below this share of its quota over the run a firm is one that stays below it. */
+  /** A firm that asks for less than this share of its quota over the run counts as staying below it. */
   private static final double LOW_USE_SHARE = 0.8;
 
   @Parameters(paramLabel = "RUN", description = "${COMPLETION-CANDIDATES}")
@@ -95,7 +95,7 @@
     };
   }
 
-  /** Two servers, of which one begins as the other's replica; every third door finds its own address. */
+  /** A server and its replica; every third door uses a separate address. */
   private record Servers(StandInValkey first, StandInValkey second, InetSocketAddress addressOfSomeDoors)
       implements AutoCloseable {
 
@@ -221,7 +221,7 @@
     return String.format(Locale.ROOT, "%d of %d (%.2f%%)", h.refused(), h.asked(), 100 * h.share());
   }
 
-  /** The formulas of docs/design/counter-loss.md, for a firm in a set of n doors. */
+  /** The overshoot bounds of docs/design/counter-loss.md, in units, for a firm in a set of n doors. */
   static double bound(Case c, PlanTerms plan, int n, double tookMs) {
     double b = plan.burst();
     double m = RunSettings.MAX_UNITS;
--- a/daemon/src/main/java/willowdoor/daemon/fleet/DemoCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/DemoCommand.java
@@ -18,7 +18,7 @@
 import willowdoor.testkit.LoadStatistics.IntervalStatistics;
 import willowdoor.testkit.RunSettings;
 
-/** Shows the product at work on this machine, with stand-ins for all it needs. */
+/** Demonstrates the product on this machine, with stand-ins for everything that it depends on. */
 @Command(name = "demo", mixinStandardHelpOptions = true,
     description =
         "Two doors, six backends, a counter and discovery in a box; one door and one backend are killed.")
--- a/daemon/src/main/java/willowdoor/daemon/fleet/DoorFiles.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/DoorFiles.java
@@ -12,14 +12,14 @@
 import willowdoor.testkit.RunSettings;
 import willowdoor.testkit.RunSettings.PlanTerms;
 
-/** Writes the configurations of a rig's doors: the rig's terms in the daemon's own form. */
+/** Writes the configuration files of a rig's doors, which express the rig's terms as daemon settings. */
 public final class DoorFiles {
 
   private final TestEnvironment rig;
   private final Path folder;
   private final int doors;
   private IntFunction<String> additionalTables = door -> "";
-  /** Lines of the counter's table in the place of the rig's, or null. */
+  /** Lines of the counter table that replace the rig's counter address, or null. */
   private IntFunction<String> counterLines;
 
   public DoorFiles(TestEnvironment rig, Path folder, int doors) {
@@ -28,17 +28,17 @@
     this.doors = doors;
   }
 
-  /** Further tables of every file that is written from here on. */
+  /** Adds tables to every file written from now on. */
   public void addTables(IntFunction<String> tables) {
     additionalTables = tables;
   }
 
-  /** Has the shared counts of each door, by its number, elsewhere than at the rig's counter. */
+  /** Sets the counter lines of each door, by its number, instead of the rig's counter. */
   public void setCounterLines(IntFunction<String> lines) {
     counterLines = lines;
   }
 
-  /** Writes door number index's file, with the backends that discovery lists now. */
+  /** Writes the file of the door with the given index, with the backends that discovery lists now. */
   public Path write(int index, InetSocketAddress listen) {
     Path file = folder.resolve("d" + index + ".toml");
     try {
@@ -48,7 +48,7 @@
     }
   }
 
-  /** The control socket of door number index. */
+  /** The control socket of the door with the given index. */
   public Path controlSocket(int index) {
     return folder.resolve("d" + index + ".sock");
   }
@@ -99,8 +99,8 @@
         deadline_ms = %s
         repeat = "unsafe"
         """, index, text(listen), doors, index, index % 2 == 0 ? "a" : "b",
-        text(rig.discovery().agentOf("d" + index)),
-        counterLines != null ? counterLines.apply(index) : "address = \"" +
+        text(rig.discovery().agentOf("d" + index)), counterLines != null ? counterLines.apply(index)
+            : "address = \"" +
             text(rig.counter().address(index)) + '"', t.counterLimitMs(),
         controlSocket(index), t.coldFrom(), t.coldMs(), t.tipMultiple(), t.tipAfterMs(),
         RunSettings.MAX_UNITS,
--- a/daemon/src/main/java/willowdoor/daemon/fleet/FairCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/FairCommand.java
@@ -18,7 +18,7 @@
 import willowdoor.testkit.RunSettings;
 import willowdoor.testkit.RunSettings.PlanTerms;
 
-/** Real doors beside one firm that floods: without the flood, with it, and with it and the fair queue. */
+/** Measures real doors without a flood by one firm, with it, and with both it and the fair queue. */
 @Command(name = "fair", mixinStandardHelpOptions = true, description = {
     "One firm floods real doors on loopback; others ask within their quotas.",
     "Three runs: without the flood, with it, with it and the fair queue."})
@@ -28,7 +28,7 @@
   private static final String QUEUE_TABLE = "[fair]%nenabled = true%nclient_by = \"header\"%n"
       + "client_header = \"X-Client\"%n";
 
-  /** What the flooding firm's plan bounds. */
+  /** Whether the flooding firm's plan has a quota. */
   enum Kind { metered, open }
 
   @Option(names = "--kind", defaultValue = "metered", description =
--- a/daemon/src/main/java/willowdoor/daemon/fleet/FleetCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/FleetCommand.java
@@ -23,7 +23,7 @@
 import willowdoor.testkit.LoadStatistics.IntervalStatistics;
 import willowdoor.testkit.RunSettings;
 
-/** Runs a fleet of daemons on this machine under load, breaks it by a seed, and judges what came of it. */
+/** Runs a fleet of daemons on this machine under load, causes seeded faults, and judges the outcome. */
 @Command(name = "fleet", mixinStandardHelpOptions = true,
     description = {"Runs a fleet on loopback under load, kills or rolls it, and judges the rules.",
         "release: has a fleet that agrees replaced by another version."},
@@ -70,7 +70,7 @@
   @Spec
   private CommandSpec spec;
 
-  /** Reads a fault from the command line. */
+  /** Parses a fault given on the command line. */
   static final class FaultConverter implements CommandLine.ITypeConverter<Fault> {
     private static final Pattern FORM = Pattern.compile("([A-Z_]+)@(\\d{1,7})\\+(\\d{1,7})(?:/(\\d{1,4}))?");
 
@@ -95,7 +95,7 @@
   public Integer call() throws IOException {
     PrintWriter out = spec.commandLine().getOut();
     double all = rate * doorCount;
-    // Backends can do about half as much again as is asked: 110 to 200 ms of work on four cores each.
+    // Backend capacity is about 1.6 times the load: 110 to 200 ms of work (mean 155), four cores each.
     int backends = Math.max(6, (int) Math.ceil(all * 0.155 * 1.6 / 4));
     int firms = Math.max(20, (int) (all / 2));
     BackendPool.BackendSpec make = new BackendPool.BackendSpec(backends, 4, 32, 110, 200);
@@ -154,7 +154,7 @@
         }
         faultsEnd = run.rig().eventHistory().now();
       }
-      // CPU is told of the time after the first part: before it, compiling costs more than serving.
+      // CPU is measured after the first part, in which JIT compilation costs more than serving.
       waitUntil(run, quietEnd);
       cpu = cpuSeconds(run);
       sent = run.clients().sentTries();
@@ -169,7 +169,7 @@
     if (roll) {
       out.printf("replaced without a gap: %d of %d doors%n", rolled, doorCount);
     }
-    // What killed processes had used is not known any more, so CPU is told of runs without kills.
+    // The CPU time of ended processes is not known, so it is printed only for runs without kills or rolls.
     if (kills == 0 && !roll) {
       out.printf("CPU %.0f us a try over all doors after the first quarter; ", 1e6 * used / Math.max(1,
           sentBy - sent));
@@ -191,7 +191,7 @@
   private void report(FleetRun run, PrintWriter out, double from, double quietEnd, double faultsEnd,
       double to) {
     LoadStatistics tally = run.clients().statistics();
-    // A second counts by the first tries due in it, whose retries may be met by what comes next.
+    // Requests count in the second of their first try; margins of 1 s keep retries out of the next phase.
     IntervalStatistics before = tally.interval(from + 1_000, quietEnd - 1_000);
     print(out, "before", before);
     if (kills > 0 || roll || backendFaults > 0 || !faultsGiven.isEmpty()) {
--- a/daemon/src/main/java/willowdoor/daemon/fleet/FleetRun.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/FleetRun.java
@@ -26,22 +26,22 @@
 import willowdoor.testkit.RunSettings;
 
 /**
- * A fleet of daemons as child processes on loopback addresses of their own, in the rig's world. Every process
- * and file of it goes with it.
+ * A fleet of daemons that run as child processes on loopback addresses of their own, against the stand-ins of
+ * a {@link TestEnvironment}. Closing it ends all its processes and deletes all its files.
  */
 public final class FleetRun implements AutoCloseable {
 
-  /** Options of the doors' JVMs: small, as many share a machine here. */
-  private static final List<String> JVM_OPTIONS = List
-      .of("-XX:+UseSerialGC", "-Xms32m", "-Xmx64m", "-Xss256k",
+  /** JVM options of the doors; heaps and stacks are small because many doors share one machine. */
+  private static final List<String> JVM_OPTIONS = List.of("-XX:+UseSerialGC", "-Xms32m", "-Xmx64m",
+      "-Xss256k",
       "-XX:MaxDirectMemorySize=32m", "-XX:-UsePerfData", "-Xshare:auto",
       "-Dio.netty.leakDetection.level=disabled");
-  /** Without the optimising compiler, which forty instances on a few cores would wait for. */
+  /** Disables the optimising compiler, which would delay forty instances on a few cores. */
   private static final String NO_OPTIMISING_COMPILER = "-XX:TieredStopAtLevel=1";
-  /** Set to true, this property of the run allows its doors the optimising compiler, as the launcher does. */
+  /** System property; true enables the optimising compiler in the doors, as with the launcher. */
   private static final String OPTIMISED_PROPERTY = "willowdoor.fleet.optimised";
   private static final int PORT = 7070;
-  /** Each run has a network of its own, on this machine: 127.N.x.x, by a file that it locks. */
+  /** Each run on a machine uses its own network 127.N.x.x, which it reserves by a file lock. */
   private static final int FIRST_NETWORK = 64;
   private static final int NETWORKS = 128;
   private static final AtomicInteger RUNS = new AtomicInteger();
@@ -55,7 +55,7 @@
   private final int networkNumber;
   private FileChannel networkLock;
   private ClientFleet clients;
-  /** Null where doors have no versions. */
+  /** Null if the doors run without versions. */
   private LaunchRecorder launches;
   private String version;
 
@@ -67,8 +67,8 @@
     networkNumber = reserveNetwork();
     for (int i = 0; i < doorCount; i++) {
       int index = i;
-      InetSocketAddress address =
-          new InetSocketAddress("127." + networkNumber + '.' + i / 200 + '.' + (1 + i % 200),
+      InetSocketAddress address = new InetSocketAddress("127." + networkNumber + '.' + i / 200 + '.' + (1
+          + i % 200),
           PORT);
       File log = folder.resolve("d" + i + ".log").toFile();
       doors.add(new DoorProcess("d" + i, address, rig.eventHistory(),
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Guards against two runs at a time on the same addresses, whose clients would ask each other's doors. */
+  /** Reserves a network, so that the clients of concurrent runs do not call each other's doors. */
   private int reserveNetwork() throws IOException {
     Path folderOfLocks = Files.createDirectories(Path.of(System.getProperty("java.io.tmpdir"),
         "willowdoor-networks"));
@@ -91,11 +91,11 @@
           return number;
         }
       } catch (OverlappingFileLockException e) {
-        // Another run of this process has it.
+        // Another run in this process holds the lock.
       }
       file.close();
     }
-    throw new IOException("all " + NETWORKS + " networks of runs are in use");
+    throw new IOException("all " + NETWORKS + " loopback networks for runs are in use");
   }
 
   private List<String> doorCommand(int door, InetSocketAddress address) {
@@ -108,10 +108,10 @@
   }
 
   /**
-   * Has the doors begin with that version, and be told apart by it; before they start.
+   * Makes the doors start with the given version; must be called before they start.
    *
-   * @return the words of the command that starts a version in a door's place, by the door's number: the
-   *     version stands as {version}, also in its configuration's name ({@link #version})
+   * @return by the door's number, the command line that starts a successor; it has the placeholder {version},
+   *     also in the name of the configuration file ({@link #writeVersionConfigs})
    */
   IntFunction<List<String>> useVersions(LaunchRecorder kept, String first) {
     launches = kept;
@@ -125,7 +125,7 @@
     };
   }
 
-  /** Writes the configurations of a version, which differ from the doors' first ones by that. */
+  /** Writes the doors' configuration files for a version: the initial ones with the given change. */
   void writeVersionConfigs(String name, UnaryOperator<String> change) throws IOException {
     for (int i = 0; i < doors.size(); i++) {
       Files.writeString(folder.resolve("d" + i + "-" + name + ".toml"),
@@ -133,7 +133,7 @@
     }
   }
 
-  /** The command that runs a daemon by that file, from the classes of this process. */
+  /** The command that runs a daemon with the given configuration and the class path of this process. */
   public static List<String> command(Path config, boolean takeOver) {
     List<String> words = programCommand("daemon");
     words.addAll(List.of("--config", config.toString()));
@@ -143,7 +143,7 @@
     return words;
   }
 
-  /** The command that runs this program's subcommand, from the classes of this process. */
+  /** The command that runs a subcommand of this program with the class path of this process. */
   static List<String> programCommand(String subcommand) {
     List<String> words = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
         .toString()));
@@ -167,57 +167,57 @@
     return clients;
   }
 
-  /** Further tables of the doors' configurations; to be told before they start. */
+  /** Adds tables to the doors' configurations; must be called before they start. */
   public void addTables(String tables) {
     addTables(door -> tables);
   }
 
-  /** The same by the door's number. */
+  /** As above, with a value for each door by its number. */
   public void addTables(IntFunction<String> tables) {
     files.addTables(tables);
   }
 
-  /** An address that is this run's own, for a further process of it. */
+  /** An address in this run's network for an additional process. */
   InetSocketAddress address(int number, int port) {
     return new InetSocketAddress("127." + networkNumber + ".250." + (1 + number), port);
   }
 
-  /** Where files of this run are, until it ends. */
+  /** The folder of this run's files, which is deleted when the run is closed. */
   Path folder() {
     return folder;
   }
 
-  /** Has the doors' shared counts elsewhere than at the rig's counter; to be told before they start. */
+  /** Makes the doors use another counter than the rig's; must be called before they start. */
   public void setCounterLines(String lines) {
     setCounterLines(door -> lines);
   }
 
-  /** The same by the door's number. */
+  /** As above, with a value for each door by its number. */
   public void setCounterLines(IntFunction<String> lines) {
     files.setCounterLines(lines);
   }
 
-  /** What one door has printed. */
+  /** The output of one door's process so far. */
   public String log(int door) throws IOException {
     Path log = folder.resolve("d" + door + ".log");
     return Files.exists(log) ? Files.readString(log) : "";
   }
 
-  /** Starts all doors and waits until each takes requests. */
+  /** Starts all doors and waits until each accepts requests. */
   public void start(ClientFleet.Load load) throws IOException {
     doors.forEach(DoorProcess::start);
     clients = rig.fleet(doors, load);
     if (!await(() -> clients.doorsUp() == doors.size(), START_LIMIT_MS)) {
       for (int i = 0; i < doors.size(); i++) {
         if (!clients.isUp(i)) {
-          throw new IOException("door d" + i + " is not up after " + START_LIMIT_MS + " ms; it printed: "
-              + log(i));
+          throw new IOException("door d" + i + " does not accept requests after " + START_LIMIT_MS
+              + " ms; it printed: " + log(i));
         }
       }
     }
   }
 
-  /** Asks nothing new, waits until all that is out has ended, and judges. */
+  /** Stops the load, waits until the requests in flight have ended, and returns the verdict. */
   public Verdict finish() {
     clients.stop();
     await(() -> clients.outstanding() == 0, DRAIN_LIMIT_MS);
@@ -226,8 +226,8 @@
   }
 
   /**
-   * Replaces a door's process by a new one that takes its listening socket over, and waits until the old one
-   * has ended; true when it ended in order and the new one takes requests.
+   * Replaces a door's process by a new one that takes over its listening socket, and waits until the old one
+   * has ended. Returns true if the old one exited with status 0 and the new one accepts requests.
    */
   public boolean replace(int number, long limitMs) {
     DoorProcess door = doors.get(number);
@@ -237,7 +237,7 @@
         && await(() -> door.isAlive() && clients.isUp(number), limitMs);
   }
 
-  /** Waits for a condition, looking every 20 ms; false when the limit passed first. */
+  /** Waits for a condition, polling every 20 ms; returns false if the limit passes first. */
   public static boolean await(BooleanSupplier condition, long limitMs) {
     long end = System.nanoTime() + limitMs * 1_000_000;
     while (!condition.getAsBoolean()) {
@@ -249,7 +249,7 @@
     return true;
   }
 
-  /** Lets a stretch of the run go by. */
+  /** Sleeps for the given time. */
   static void sleep(long ms) {
     try {
       Thread.sleep(ms);
--- a/daemon/src/main/java/willowdoor/daemon/fleet/LabCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/LabCommand.java
@@ -10,14 +10,14 @@
 import willowdoor.emulator.fair.FairSize;
 import willowdoor.emulator.fair.FairSweep;
 
-/** Experiments in simulated time round the real decisions. */
+/** Experiments with the production decision code in simulated time. */
 @Command(name = "lab", mixinStandardHelpOptions = true, subcommands = {LabCommand.Fair.class,
     LabCommand.FairHeap.class},
-    description = "Experiments in simulated time round the real decisions.")
+    description = "Experiments with the production decision code in simulated time.")
 public final class LabCommand {
 
   @Command(name = "fair-heap", mixinStandardHelpOptions = true, description =
-      "The heap that a fair queue takes at its bounds, and beyond.")
+      "Measures the heap of a fair queue at its bounds and beyond.")
   static final class FairHeap implements Runnable {
 
     @Spec
@@ -31,7 +31,7 @@
 
   @Command(name = "fair", mixinStandardHelpOptions = true, description = {
       "Floods beside well-behaved firms, with the fair queue and without.",
-      "Sweeps the flood's size and clients, the doors and how work differs; writes a table and a chart."})
+      "Sweeps flood size, clients, doors and the work of requests; writes a table and a chart."})
   static final class Fair implements Runnable {
 
     @Option(names = "--seed", defaultValue = "1", description = "Default: ${DEFAULT-VALUE}.")
--- a/daemon/src/main/java/willowdoor/daemon/fleet/RecordGrowth.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/RecordGrowth.java
@@ -28,8 +28,8 @@
 import willowdoor.steward.Codec;
 
 /**
- * How the record grows by releases to and fro, without processes: doors say what doors say, command by
- * command, and what a snapshot has is counted after each power of ten.
+ * Measures how the fleet record grows over repeated releases, without processes: the commands of doors are
+ * applied to a record directly, and the snapshot's size is printed after each power of ten of releases.
  */
 final class RecordGrowth {
 
@@ -46,7 +46,7 @@
   private long logBytes;
   private int processCount;
 
-  /** A fleet of so many doors, a tenth of which may be out. */
+  /** Creates a fleet of the given number of doors, of which a tenth, at least one, may be out at once. */
   RecordGrowth(PrintWriter out, int doors) {
     this.out = out;
     this.doors = doors;
@@ -73,12 +73,12 @@
   }
 
   private void sendHeartbeat(int door, Activity what, Report report) {
-    apply(new Heartbeats(nowMs,
-        List.of(new Heartbeat("d" + door, incarnations.get(door), what, ++heartbeatNumbers[door],
+    apply(new Heartbeats(nowMs, List.of(new Heartbeat("d" + door, incarnations.get(door), what,
+        ++heartbeatNumbers[door],
         record.state().index(), Set.of(), report))));
   }
 
-  /** Plays so many, and tells how large the record was on the way. */
+  /** Plays the given number of releases and prints the size of the record at intervals. */
   void play(int releases) {
     long next = 1;
     for (int i = 1; i <= releases; i++) {
@@ -86,8 +86,8 @@
       long bytesBefore = logBytes;
       String from = i % 2 == 1 ? "1" : "2";
       String to = i % 2 == 1 ? "2" : "1";
-      apply(new StartRelease(nowMs, "r" + i,
-          new Plan(Plan.Kind.DOORS, from, to, List.of(0.02, 0.25, 1.0), 1_000, 500,
+      apply(new StartRelease(nowMs, "r" + i, new Plan(Plan.Kind.DOORS, from, to, List.of(0.02, 0.25, 1.0),
+          1_000, 500,
           60_000, 1_000, Comparison.DEFAULT), "ana"));
       while (lastRelease().mode() == Release.Mode.GOING) {
         playRound(to);
@@ -112,7 +112,7 @@
     return all.get(all.size() - 1);
   }
 
-  /** Each door's heartbeat, and what its step asks of it. */
+  /** Plays one heartbeat interval: each door's heartbeat and the actions that its step requires. */
   private void playRound(String to) {
     for (int i = 0; i < doors; i++) {
       DoorView view = record.view("d" + i, incarnations.get(i), LEASE_MS);
--- a/daemon/src/main/java/willowdoor/daemon/fleet/ReleaseRun.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/ReleaseRun.java
@@ -25,29 +25,29 @@
 import willowdoor.testkit.RunSettings;
 
 /**
- * Stewards and doors as processes of their own, with versions of the program, good and bad, and an operator
- * who releases them. What the operator is told goes into the ledger when it is told, and what is asked for
- * before it is asked.
+ * Runs stewards and doors as separate processes, with good and bad versions of the program and an operator
+ * who releases them. The ledger records answers to the operator when they arrive, and the operator's requests
+ * before they are sent.
  */
 final class ReleaseRun implements AutoCloseable {
 
-  /** What the doors have first. */
+  /** The initial version of the doors. */
   static final String OLD_VERSION = "1.0";
-  /** The same program under another name. */
+  /** The same program under another version name. */
   static final String GOOD_VERSION = "2.0";
-  /** Never says a word. */
+  /** Never reports that it is ready. */
   static final String SILENT_VERSION = "2.0-mute";
-  /** Ends at once. */
+  /** Exits immediately. */
   static final String EXITING_VERSION = "2.0-dead";
-  /** Dies some seconds after its start, once it has taken over. */
+  /** Crashes some seconds after its start, once it has taken over. */
   static final String CRASHING_VERSION = "2.0-faint";
-  /** Serves, and refuses more: it believes in smaller plans. */
+  /** Serves, but refuses more requests because its plans have smaller quotas. */
   static final String STRICT_VERSION = "2.0-stern";
 
-  private static final List<String> VERSIONS = List
-      .of(OLD_VERSION, GOOD_VERSION, SILENT_VERSION, EXITING_VERSION, CRASHING_VERSION, STRICT_VERSION);
+  private static final List<String> VERSIONS = List.of(OLD_VERSION, GOOD_VERSION, SILENT_VERSION,
+      EXITING_VERSION, CRASHING_VERSION, STRICT_VERSION);
   private static final double STRICT_QUOTA_SHARE = 0.4;
-  /** A successor that isn't ready by then is killed. */
+  /** A successor that is not ready within this time is killed. */
   private static final int READY_LIMIT_MS = 10_000;
   private static final double LAPSE_LIMIT_MS = 15_000;
   private static final long CALL_TIMEOUT_MS = 5_000;
@@ -59,17 +59,17 @@
   private int requests;
 
   /**
-   * Starts all, with load, and waits until every door is known.
+   * Starts all processes and the load, and waits until the stewards know every door.
    *
-   * @param budget so many doors may be out
+   * @param budget number of doors, and of backends, that may be out at once
    */
   ReleaseRun(int stewardCount, int doors, int budget, double rate, long seed) throws IOException {
     this(RunSettings.typical(), stewardCount, doors, budget, rate, seed);
   }
 
-  /** The same by other terms. */
-  ReleaseRun(RunSettings terms, int stewardCount, int doors, int budget, double rate,
-      long seed) throws IOException {
+  /** As above, with the given terms. */
+  ReleaseRun(RunSettings terms, int stewardCount, int doors, int budget, double rate, long seed)
+      throws IOException {
     run = new FleetRun(terms, new BackendPool.BackendSpec(8, 4, 32, 5, 10), doors, seed);
     run.rig().budgets(new InvariantChecker.Budgets(budget, budget, x -> x.startsWith("d"), LAPSE_LIMIT_MS));
     stewards = new Stewards(run, stewardCount, "lease_ms = 1500\ndoors_out = " + budget + "\nbackends_out = "
@@ -87,7 +87,7 @@
     run.clients().start();
     operator = stewards.operator("ana");
     if (!FleetRun.await(() -> allDoorsKnown(doors), 30_000)) {
-      throw new IOException("not all doors are known after 30 s: " + stewards.status());
+      throw new IOException("the stewards do not know all doors after 30 s: " + stewards.status());
     }
   }
 
@@ -98,15 +98,15 @@
 
   private static String configOf(String version, String text) {
     String limited = text.replace("[take_over]", "[take_over]\nready_limit_ms = " + READY_LIMIT_MS);
-    return !version.equals(STRICT_VERSION) ? limited
-        : limited.lines().map(line -> line.startsWith("units_per_s = ")
-        ? "units_per_s = " + STRICT_QUOTA_SHARE
-        * Double.parseDouble(line.substring("units_per_s = ".length()))
+    return !version.equals(STRICT_VERSION) ? limited : limited.lines().map(line ->
+        line.startsWith("units_per_s = ")
+        ? "units_per_s = "
+            + STRICT_QUOTA_SHARE * Double.parseDouble(line.substring("units_per_s = ".length()))
             : line)
         .collect(Collectors.joining("\n", "", "\n"));
   }
 
-  /** A plan of three waves that goes fast. */
+  /** A release plan of three waves with short times. */
   static Plan plan(String to) {
     return plan(to, 2_000);
   }
@@ -129,18 +129,18 @@
     return launches;
   }
 
-  /** Asks for a release; null where nobody answered. */
+  /** Requests a release; returns null if no steward answered. */
   Outcome start(Plan plan) throws InterruptedException {
     recordEvent(EventHistory.Kind.LET_ON, plan, plan.to());
     return outcome(operator.put(new StartRelease(0, "start-" + ++requests, plan, "ana"), CALL_TIMEOUT_MS));
   }
 
-  /** Steers the last release; null where nobody answered. */
+  /** Steers the last release; returns null if no steward answered. */
   Outcome steer(Steering what) throws InterruptedException {
     Release last = awaitRelease(x -> true, CALL_TIMEOUT_MS);
     if (last != null && (what == Steering.BACK || what == Steering.RESUME)) {
-      recordEvent(EventHistory.Kind.LET_ON, last.plan(),
-          what == Steering.BACK ? last.plan().from() : last.targetVersion());
+      recordEvent(EventHistory.Kind.LET_ON, last.plan(), what == Steering.BACK ? last.plan().from()
+          : last.targetVersion());
     }
     return last == null ? null : outcome(operator.put(new SteerRelease(0, "steer-" + ++requests, last.id(),
         what,
@@ -151,13 +151,13 @@
     return answer instanceof Answer.Came e ? e.outcome() : null;
   }
 
-  /** The last release as it stands; null where there is none, or nobody says so. */
+  /** The current state of the last release; null if there is none or no steward answers. */
   Release lastRelease() {
     FleetStatus s = stewards.status();
     return s == null || s.releases().isEmpty() ? null : s.releases().get(s.releases().size() - 1);
   }
 
-  /** Waits until the last release is so; null where it wasn't within the time. */
+  /** Waits until the last release satisfies the condition; returns null if the limit passes first. */
   Release awaitRelease(Predicate<Release> condition, long limitMs) {
     Release[] found = {null};
     FleetRun.await(() -> {
@@ -168,7 +168,7 @@
     return found[0];
   }
 
-  /** Waits until it has ended, or is halted with nothing under way; null where it wasn't within the time. */
+  /** Waits until the last release has ended, or is halted with no step in progress; null on timeout. */
   Release awaitSettled(long limitMs) {
     Release settled = awaitRelease(x -> x.mode() == Mode.ENDED || x.mode() == Mode.HALTED && x.hasStopped(),
         limitMs);
@@ -180,14 +180,14 @@
     return settled;
   }
 
-  /** The versions that the ledger knows of are the doors'. */
+  /** Records an event of a release of doors; the ledger does not track versions of backends. */
   private void recordEvent(EventHistory.Kind kind, Plan plan, String version) {
     if (plan.of() == Plan.Kind.DOORS) {
       run.rig().eventHistory().addMachineEntry(kind, "", version);
     }
   }
 
-  /** The versions that the doors' processes have, by their number. */
+  /** The versions of the doors' processes, by door number. */
   List<String> versions() {
     List<String> all = new ArrayList<>();
     run.doors().forEach(x -> all.add(launches.runningVersion(x.name())));
--- a/daemon/src/main/java/willowdoor/daemon/fleet/ReleasedCommand.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/ReleasedCommand.java
@@ -25,7 +25,7 @@
 import willowdoor.testkit.InvariantChecker.Verdict;
 import willowdoor.testkit.FaultyLink;
 
-/** Releases versions, good and bad, over doors that are processes, breaks what is between, and judges. */
+/** Releases good and bad versions over doors that run as processes, causes faults, and judges the outcome. */
 @Command(name = "released", mixinStandardHelpOptions = true, description = {
     "Runs stewards and doors, each a process, under load, and releases versions of the program over them.",
     "  schedules  versions, faults and operators by seeds; what clients and operators met is judged",
@@ -41,8 +41,8 @@
   private static final long CLEANUP_LIMIT_MS = 180_000;
   private static final double FAULTS_WITHIN_MS = 8_000;
   private static final long CUT_MS = 20_000;
-  private static final List<String> BAD_VERSIONS = List
-      .of(ReleaseRun.SILENT_VERSION, ReleaseRun.EXITING_VERSION, ReleaseRun.CRASHING_VERSION,
+  private static final List<String> BAD_VERSIONS = List.of(ReleaseRun.SILENT_VERSION,
+      ReleaseRun.EXITING_VERSION, ReleaseRun.CRASHING_VERSION,
       ReleaseRun.STRICT_VERSION);
 
   @Parameters(paramLabel = "RUN", description = "${COMPLETION-CANDIDATES}")
@@ -132,7 +132,7 @@
     return run.awaitRelease(x -> x.id() == e.release(), RELEASE_LIMIT_MS);
   }
 
-  /** There and back again by turns; a halt is one without a cause. */
+  /** Releases the good version; any halt is a false alarm. */
   private void good(ReleaseRun run, int number) throws InterruptedException {
     long from = System.nanoTime();
     AtomicBoolean running = new AtomicBoolean(true);
@@ -153,12 +153,12 @@
       reportBreach("release " + number + " neither ended nor halted: " + run.lastRelease());
       return;
     }
-    print("good release %d: %s after %d ms, at most %d doors out", number,
-        settled.mode() == Mode.ENDED ? "ended"
+    print("good release %d: %s after %d ms, at most %d doors out", number, settled.mode() == Mode.ENDED
+        ? "ended"
         : "HALTED WITHOUT A CAUSE (" + settled.why() + ")", elapsedMs(from), maxDoorsOut.get());
     releaseMs.recordValue(elapsedMs(from));
     if (maxDoorsOut.get() > budget) {
-      reportBreach(maxDoorsOut + " doors were out");
+      reportBreach(maxDoorsOut + " doors were out at once");
     }
   }
 
@@ -234,7 +234,7 @@
         + ": " + settled.why());
   }
 
-  /** Every door as in the beginning: the way back where it stands, or a release of the old version. */
+  /** Brings every door back to the old version, by rolling back the release or by a new one. */
   private void restore(ReleaseRun run) throws InterruptedException {
     run.run().doors().forEach(DoorProcess::start);
     Release last = run.lastRelease();
@@ -258,13 +258,13 @@
       ended = run.awaitSettled(CLEANUP_LIMIT_MS);
     }
     if (ended == null || ended.mode() != Mode.ENDED) {
-      reportBreach("not back after " + CLEANUP_LIMIT_MS + " ms: " + run.lastRelease());
+      reportBreach("not back at the old version after " + CLEANUP_LIMIT_MS + " ms: " + run.lastRelease());
     } else if (back) {
       backMs.recordValue(elapsedMs(from));
     }
-    if (!FleetRun
-        .await(() -> run.versions().stream().allMatch(ReleaseRun.OLD_VERSION::equals), CLEANUP_LIMIT_MS)) {
-      reportBreach("these versions are there at the end: " + run.versions());
+    if (!FleetRun.await(() -> run.versions().stream().allMatch(ReleaseRun.OLD_VERSION::equals),
+        CLEANUP_LIMIT_MS)) {
+      reportBreach("unexpected versions at the end: " + run.versions());
     }
   }
 }
--- a/daemon/src/main/java/willowdoor/daemon/fleet/Stewards.java
+++ b/daemon/src/main/java/willowdoor/daemon/fleet/Stewards.java
@@ -19,8 +19,8 @@
 import willowdoor.testkit.StandIns;
 
 /**
- * Stewards as processes of their own, beside a fleet's doors. Each directed link, from door to steward and
- * from steward to steward, goes through a relay of its own.
+ * Runs stewards as separate processes beside the doors of a fleet. Each directed link, from door to steward
+ * and from steward to steward, goes through its own relay, so that it can be broken separately.
  */
 final class Stewards implements AutoCloseable {
 
@@ -29,9 +29,9 @@
   private final FleetRun run;
   private final String terms;
   private final List<DoorProcess> processes = new ArrayList<>();
-  /** From the first steward to the second; null from each to itself. */
+  /** Links between stewards, indexed by sender and receiver; null from each steward to itself. */
   private final FaultyLink[][] stewardLinks;
-  /** From the door to the steward. */
+  /** Links from doors to stewards, indexed by door and steward. */
   private final FaultyLink[][] doorLinks;
   private IntFunction<String> extraLines = door -> "";
   private boolean started;
@@ -67,7 +67,7 @@
         + extraLines.apply(door);
   }
 
-  /** Further lines of the doors' tables of agreement; to be told before they start. */
+  /** Adds lines to the doors' agreement tables; must be called before the doors start. */
   void addLines(IntFunction<String> lines) {
     extraLines = lines;
   }
@@ -97,7 +97,7 @@
     return words;
   }
 
-  /** Starts all on new disks, and waits until one leads. */
+  /** Starts all stewards with new stores and waits until one leads. */
   void start() throws IOException {
     processes.forEach(DoorProcess::start);
     started = true;
@@ -106,7 +106,7 @@
     }
   }
 
-  /** How all stands, or null where nobody says so within a second. */
+  /** The status of the fleet, or null if no steward answers within a second. */
   FleetStatus status() {
     try (OperatorClient operator = operator("look")) {
       return operator.status(1_000) instanceof Answer.Stands e ? e.standing() : null;
@@ -116,7 +116,7 @@
     }
   }
 
-  /** The same, asked until somebody says so. */
+  /** The status of the fleet; retries until a steward answers. */
   FleetStatus awaitStatus() {
     FleetStatus standing = status();
     while (standing == null) {
@@ -135,7 +135,7 @@
     return processes;
   }
 
-  /** The number of the one that leads by the others' word; -1 where nobody says so. */
+  /** The number of the leader by the reported status; -1 if no steward answers. */
   int leader() {
     var standing = status();
     return standing == null ? -1 : Integer.parseInt(standing.leader().substring(1));
@@ -146,7 +146,7 @@
     return Files.exists(log) ? Files.readString(log) : "";
   }
 
-  /** Has the links of a steward, to and from the others and from the doors, be so. */
+  /** Sets the mode of all links of a steward: to and from the other stewards, and from the doors. */
   void setStewardLinks(int steward, FaultyLink.Mode mode) {
     for (int k = 0; k < processes.size(); k++) {
       if (k != steward) {
@@ -159,19 +159,19 @@
     }
   }
 
-  /** Has one directed link between stewards be so. */
+  /** Sets the mode of one directed link between stewards. */
   void setLink(int from, int to, FaultyLink.Mode mode) {
     stewardLinks[from][to].setMode(mode);
   }
 
-  /** Has the links of a door to all stewards be so. */
+  /** Sets the mode of a door's links to all stewards. */
   void setDoorLinks(int door, FaultyLink.Mode mode) {
     for (FaultyLink link : doorLinks[door]) {
       link.setMode(mode);
     }
   }
 
-  /** Bytes between doors and stewards so far, and between stewards. */
+  /** Bytes relayed so far, between doors and stewards and between stewards. */
   long[] relayedBytes() {
     long[] sums = new long[2];
     for (FaultyLink[] door : doorLinks) {
@@ -187,7 +187,7 @@
     return sums;
   }
 
-  /** Bytes of a steward's record on its disk. */
+  /** Size of a steward's store on disk in bytes, with its write-ahead log. */
   long storedBytes(int steward) throws IOException {
     long sum = 0;
     for (String end : new String[] {"", "-wal"}) {
@@ -197,7 +197,7 @@
     return sum;
   }
 
-  /** All links whole, all processes there and going on. */
+  /** Restores all stewards' links, and resumes or restarts all steward processes. */
   void restoreAll() {
     for (int i = 0; i < processes.size(); i++) {
       setStewardLinks(i, FaultyLink.Mode.WHOLE);
--- a/daemon/src/test/java/willowdoor/daemon/fleet/AgreedTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/AgreedTest.java
@@ -41,7 +41,7 @@
 import willowdoor.testkit.StandIns;
 import willowdoor.testkit.RunSettings;
 
-/** Three stewards and three doors, each a process, under load, with faults between them. */
+/** Tests three stewards and three doors, each in its own process, under load and with faults between them. */
 @Timeout(120)
 class AgreedTest {
 
@@ -59,8 +59,8 @@
     run = new FleetRun(RunSettings.typical(), new BackendPool.BackendSpec(4, 4, 32, 5, 10), 3, 7);
     run.rig().budgets(new InvariantChecker.Budgets(1, 1, x -> x.startsWith("d"), 15_000));
     stewards = new Stewards(run, 3, TERMS);
-    stewards.addLines(door ->
-        "management = \"" + StandIns.text(run.address(MANAGEMENT_ADDRESS_OFFSET + door, 7300)) + "\"\n");
+    stewards.addLines(door -> "management = \"" + StandIns.text(run.address(MANAGEMENT_ADDRESS_OFFSET + door,
+        7300)) + "\"\n");
     stewards.start();
     run.start(new ClientFleet.Load(60, 20, 0.1, 5, 1));
     run.clients().start();
@@ -150,7 +150,7 @@
     assertRulesKept();
   }
 
-  /** A door that is killed counts as out, so nothing else may go; back, it makes room. */
+  /** A killed door counts as out, so no other may go out until the killed one is back. */
   @Test
   void aKilledDoorCountsAgainstTheBudget() throws Exception {
     run.doors().get(2).kill();
@@ -161,7 +161,7 @@
     assertRulesKept();
   }
 
-  /** In the middle of it, and with all at once: what was told yes holds. */
+  /** A granted permit survives the death of the leader, and of all stewards at once. */
   @Test
   void permitsSurviveAKilledLeaderAndThenAllStewards() throws Exception {
     requestGranted(door(0), "d0");
@@ -177,7 +177,7 @@
     assertRulesKept();
   }
 
-  /** Cut off from the stewards and not from the backend: nobody is told that it is out until it knows. */
+  /** A door is cut off from the stewards only: the backend is not reported out until that door knows. */
   @Test
   void aBackendIsNotOutWhileADoorThatWasCutOffMaySendThere() throws Exception {
     stewards.setDoorLinks(1, FaultyLink.Mode.SILENT);
@@ -194,7 +194,7 @@
     assertRulesKept();
   }
 
-  /** Stopped for longer than a lease; it goes on, and can give nothing away by what it believed. */
+  /** The leader is stopped for longer than a lease; when resumed, it must not grant on its outdated state. */
   @Test
   void aStoppedLeaderGrantsNothingAfterItResumes() throws Exception {
     int old = stewards.leader();
@@ -207,10 +207,10 @@
     assertRulesKept();
   }
 
-  /** Begun anew while no steward is reached, it goes by what the process before it kept. */
+  /** A door restarted while it reaches no steward relies on the state that the previous process stored. */
   @Test
   void aDoorThatIsStartedWithoutContactSendsToNoneThatIsOut() throws Exception {
-    // Of its own zone, where it would send first.
+    // A backend of the door's own zone, to which it would send first.
     requestGranted(backend(1), "b1");
     awaitOut(1);
     stewards.setDoorLinks(1, FaultyLink.Mode.CUT);
@@ -228,8 +228,8 @@
 
   private HttpResponse<String> call(int door, String target) throws Exception {
     return HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create("http://"
-        + StandIns.text(run.address(MANAGEMENT_ADDRESS_OFFSET + door, 7300)) + target))
-        .timeout(Duration.ofSeconds(2))
+        + StandIns.text(run.address(MANAGEMENT_ADDRESS_OFFSET + door, 7300))
+            + target)).timeout(Duration.ofSeconds(2))
         .POST(HttpRequest.BodyPublishers.noBody()).build(), HttpResponse.BodyHandlers.ofString());
   }
 
@@ -238,7 +238,7 @@
         + answer.body());
   }
 
-  /** The same record, whichever door is called; yes of a backend only once nobody sends there. */
+  /** All doors act on the same record; a backend is confirmed out only once no door sends to it. */
   @Test
   void operatorsMayCallAnyDoor() throws Exception {
     says(200, "goes out by permit", call(0, "/drain"));
@@ -270,7 +270,7 @@
     assertRulesKept();
   }
 
-  /** It would vote again on what it had voted on, and forget what it had helped to agree on. */
+  /** A steward with an older store could vote twice and lose entries that it helped to commit, so it ends. */
   @Test
   void aStewardWhoseDiskIsAnOlderCopyTakesNoPart() throws Exception {
     int one = (stewards.leader() + 1) % 3;
@@ -280,7 +280,7 @@
     copy(run.folder(), copy, "s" + one + ".db");
     process.start();
     requestGranted(door(0), "d0");
-    // By then it has caught up, as each heartbeat is agreed on.
+    // By then the steward has caught up, because each heartbeat is a log entry.
     FleetRun.sleep(3_000);
     process.kill();
     copy(copy, run.folder(), "s" + one + ".db");
@@ -300,7 +300,7 @@
     }
   }
 
-  /** Replies that are up to a second late, and then one byte at a time. */
+  /** Replies arrive up to a second late, and then one byte at a time. */
   @Test
   void permitsAreGrantedOverSlowLinks() throws Exception {
     for (FaultyLink.Mode mode : new FaultyLink.Mode[] {FaultyLink.Mode.LATE, FaultyLink.Mode.TRICKLE}) {
--- a/daemon/src/test/java/willowdoor/daemon/fleet/BackendReleaseTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/BackendReleaseTest.java
@@ -24,7 +24,7 @@
 import willowdoor.testkit.StandInBackend;
 import willowdoor.testkit.RunSettings;
 
-/** Three stewards and three doors, each a process, and eight backends that are restarted a few at a time. */
+/** Tests the release of eight backends, restarted at most two at a time, with real stewards and doors. */
 @Timeout(180)
 class BackendReleaseTest {
 
@@ -80,7 +80,7 @@
     assertTrue(restarts.maxBackendsOut() <= BUDGET, () -> restarts.maxBackendsOut() + " were out");
   }
 
-  /** No door sends to one that is out, a cold one gets its part from all doors together, and none is lost. */
+  /** No door sends to a backend that is out, slow start holds over all doors, and no request is lost. */
   @Test
   void allAreRestartedWithinTheBudgetAlthoughTheLeaderIsKilled() throws Exception {
     startRelease("b2");
@@ -105,7 +105,7 @@
     long with = halted.countWithVersion("b2");
     assertEquals(Mode.HALTED, halted.mode());
     FleetRun.sleep(2_000);
-    assertEquals(with, restarts.versions().size(), "none begins after the word that it is halted");
+    assertEquals(with, restarts.versions().size(), "no restart begins after the release is reported halted");
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.BACK));
     assertEquals(Mode.ENDED, awaitSettled().mode(), () -> fleet.lastRelease().toString());
     assertEquals(with, restarts.versions().size());
@@ -113,7 +113,7 @@
     assertRulesKept();
   }
 
-  /** It starts, is warm, is taken back, and dies; no other gets that version. */
+  /** The version starts, warms up, returns to service and crashes; no other backend gets it. */
   @Test
   void aVersionThatCrashesOnceItServesIsHalted() throws Exception {
     startRelease(BackendRestarts.CRASHING_VERSION, 10_000);
@@ -124,7 +124,7 @@
     assertInstanceOf(Outcome.Done.class, fleet.steer(Steering.BACK));
     StandInBackend dead = fleet.run().rig().backendPool().all().stream().filter(x -> !x.isAlive()).findFirst()
         .orElseThrow();
-    // Somebody starts it once more as it was; the way back has it restarted with the old one.
+    // The crashed backend is started again as it was; the rollback then restarts it with the old version.
     fleet.run().rig().backendPool().restart(dead, 100);
     assertEquals(Mode.ENDED, awaitSettled().mode(), () -> fleet.lastRelease().toString());
     assertEquals(Set.of("b1"), startedWith());
--- a/daemon/src/test/java/willowdoor/daemon/fleet/DeploymentShapesTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/DeploymentShapesTest.java
@@ -24,8 +24,8 @@
 import willowdoor.testkit.RunSettings.PlanTerms;
 
 /**
- * Made-up deployments that differ in all that settings may vary, each through real daemons with the same
- * troubles, held to the five rules. The product knows none of them by name.
+ * Checks the five rules in invented deployments that differ in their settings, each with real daemons and the
+ * same faults. The product has no knowledge of these deployments.
  */
 @Timeout(120)
 class DeploymentShapesTest {
@@ -95,7 +95,7 @@
     }
   }
 
-  /** The share of a plan's first attempts that came to a backend while the firm had its cap or more out. */
+  /** The share of a plan's requests whose first attempt exceeded the firm's cap on open requests. */
   private static double beyondCap(EventHistory ledger, PlanTerms plan) {
     Map<String, Set<String>> out = new HashMap<>();
     Set<String> sent = new HashSet<>();
--- a/daemon/src/test/java/willowdoor/daemon/fleet/FleetTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/FleetTest.java
@@ -17,7 +17,7 @@
 import willowdoor.testkit.LoadStatistics.IntervalStatistics;
 import willowdoor.testkit.RunSettings;
 
-/** A small fleet of real processes; the long runs are commands under bench/. */
+/** Tests a small fleet of real processes; longer runs are commands under bench/. */
 @Timeout(120)
 class FleetTest {
 
@@ -44,7 +44,7 @@
         + " sent");
   }
 
-  /** They remember nothing of what they let in before, and a backend that came back meanwhile is cold. */
+  /** Restarted doors have lost their state, and a backend that restarted in the meantime is cold. */
   @Test
   void halfOfTheFleetIsKilledInASecondWhileTheCounterIsSlowAndAllStartAgainAtOnce() throws Exception {
     try (FleetRun run = fleet(); FaultInjector faults = new FaultInjector(run.rig(), run.doors())) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Two counters believe that they are the one; firms' sets have doors on both sides, some firms flood. */
+  /** The counter is split in two; firms' sets have doors on both sides, and some firms flood. */
   @Test
   void aSplitOfTheCounterAndItsEndBreakNoCeiling() throws Exception {
     try (FleetRun run = fleet()) {
--- a/daemon/src/test/java/willowdoor/daemon/fleet/InnerStewardTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/InnerStewardTest.java
@@ -25,7 +25,7 @@
 import willowdoor.testkit.StandIns;
 import willowdoor.testkit.RunSettings;
 
-/** A newcomer's fleet: one daemon, with the steward inside. */
+/** Tests the smallest fleet: one daemon with a steward inside its process. */
 @Timeout(120)
 class InnerStewardTest {
 
@@ -42,7 +42,7 @@
     }, LIMIT_MS), what);
   }
 
-  /** The process is replaced, then killed: what was agreed on is there, nothing goes to what is out. */
+  /** The process is replaced, then killed: the record survives, and nothing is sent to the backend out. */
   @Test
   void outlivesItsDaemonsProcess() throws Exception {
     try (FleetRun run =
--- a/daemon/src/test/java/willowdoor/daemon/fleet/ReleaseTest.java
+++ b/daemon/src/test/java/willowdoor/daemon/fleet/ReleaseTest.java
@@ -19,7 +19,7 @@
 import willowdoor.testkit.InvariantChecker;
 import willowdoor.testkit.FaultyLink;
 
-/** Three stewards and four doors, each a process, that are replaced by another version under load. */
+/** Tests releases of another version over four doors under load, with three stewards, each a process. */
 @Timeout(180)
 class ReleaseTest {
 
@@ -61,7 +61,7 @@
     assertAllHaveVersion(ReleaseRun.OLD_VERSION);
   }
 
-  /** The leader is killed in the middle, and nobody who began it is needed any more. */
+  /** The leader is killed during the release; the release does not depend on the process that began it. */
   @Test
   void allDoorsAreReplacedWithoutALostRequestAlthoughTheLeaderIsKilled() throws Exception {
     assertInstanceOf(Outcome.ReleaseStarted.class, fleet.start(ReleaseRun.plan(ReleaseRun.GOOD_VERSION)));
@@ -77,7 +77,7 @@
     assertEquals(0, verdict.failed(), verdict::toString);
   }
 
-  /** Halted by an operator in the middle of a step, then back, halted on the way back, and back again. */
+  /** An operator halts the release during a step, rolls it back, halts the rollback, and rolls back again. */
   @Test
   void isHaltedAndRolledBack() throws Exception {
     fleet.start(ReleaseRun.plan(ReleaseRun.GOOD_VERSION));
@@ -126,7 +126,7 @@
     assertRulesKept();
   }
 
-  /** Cut off from the stewards while its successor starts: that one is not let in, and nothing is lost. */
+  /** The door is cut off while its successor starts; the successor must not serve, and no request is lost. */
   @Test
   void aDoorThatIsCutOffDuringItsStepKeepsServing() throws Exception {
     fleet.start(ReleaseRun.plan(ReleaseRun.GOOD_VERSION));
--- a/emulator/src/main/java/willowdoor/emulator/SimClock.java
+++ b/emulator/src/main/java/willowdoor/emulator/SimClock.java
@@ -3,7 +3,10 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Simulated time in milliseconds: what is due happens in order of its time, and of its entry at one time. */
+/**
+ * Simulated clock, in milliseconds. Scheduled tasks run in order of their due time; tasks due at the same
+ * time run in the order in which they were scheduled.
+ */
 public final class SimClock {
 
   private record ScheduledTask(double atMs, long number, Runnable action) { }
@@ -18,12 +21,12 @@
     return nowMs;
   }
 
-  /** Has that happen so many milliseconds from now; less than 0 is now. */
+  /** Schedules an action after a delay in milliseconds; a negative delay counts as 0. */
   public void after(double delayMs, Runnable action) {
     pending.add(new ScheduledTask(nowMs + Math.max(0, delayMs), nextNumber++, action));
   }
 
-  /** Runs until that time; what is due later stays. */
+  /** Runs all tasks due up to the given time and advances the clock to it; later tasks stay scheduled. */
   public void runUntil(double untilMs) {
     while (!pending.isEmpty() && pending.peek().atMs <= untilMs) {
       ScheduledTask next = pending.poll();
--- a/emulator/src/main/java/willowdoor/emulator/agreement/Choices.java
+++ b/emulator/src/main/java/willowdoor/emulator/agreement/Choices.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Goes through all schedules with at most so many faults, one after the other: each is played from its
- * beginning with the choices of a path, and with no fault beyond it. Bounded by faults as others bound by
- * delays (Emmi, Qadeer and Rakamaric, 2011).
+ * Enumerates all schedules with at most a given number of faults. Each schedule is replayed from its
+ * beginning with the choices recorded in a path; beyond the end of the path no fault is chosen. The bound is
+ * analogous to delay-bounded scheduling (Emmi, Qadeer and Rakamaric, 2011).
  */
 final class Choices {
 
@@ -21,7 +21,7 @@
     this.maxFaults = maxFaults;
   }
 
-  /** Which of so many ways: 0 is how it should be, any other is a fault. */
+  /** Chooses one of the options: 0 is the behaviour without a fault, any other value is a fault. */
   int pick(int options) {
     if (position == path.size()) {
       path.add(new Choice(0, faults < maxFaults ? options : 1));
@@ -31,7 +31,7 @@
     return taken;
   }
 
-  /** The next schedule; false where all were played. */
+  /** Advances to the next schedule; returns false once all schedules have been played. */
   boolean next() {
     position = 0;
     faults = 0;
--- a/emulator/src/main/java/willowdoor/emulator/agreement/FleetSimulation.java
+++ b/emulator/src/main/java/willowdoor/emulator/agreement/FleetSimulation.java
@@ -33,21 +33,22 @@
 import willowdoor.rollout.Step;
 
 /**
- * A fleet that agrees on what goes out, in simulated time: the real record and the real doors' sides, with
- * leaders that change and whose clocks have nothing to do with each other, links that lose, delay and repeat,
- * processes that are killed, stopped and replaced, and operators who die. The log itself is taken for whole
- * here; that it is, {@link StewardSimulation} shows with the real library.
+ * Simulates in simulated time a fleet that agrees on which doors and backends are taken out of service. The
+ * fleet record and the door side are the production code. Leaders change and have unrelated clocks, links
+ * lose, delay and repeat messages, processes are killed, stopped and replaced, and operators' commands die.
+ * The log itself is assumed to be correct here; {@link StewardSimulation} tests it with the real library.
  *
- * <p>What must hold is looked at from above, by true time and by what each process truly does.
+ * <p>The invariants are checked from outside the processes, by the true simulated time and by what each
+ * process actually does.
  *
- * <p>A schedule is drawn by a seed ({@link #play}), or all schedules with few faults are gone through
- * ({@link #explore}): then nothing else is left to chance, each delay is its mean, and every message may be
- * lost, late or heard twice, and at each of a few moments the leader or an operator may die or a door be
- * stopped.
+ * <p>A schedule is either drawn from a seed ({@link #play}), or all schedules with few faults are enumerated
+ * ({@link #explore}). An enumeration uses no randomness: each random value is its mean, every message may be
+ * lost, delayed or delivered twice, and at a few fixed times the leader or an operator may die or a door may
+ * be stopped.
  */
 public final class FleetSimulation {
 
-  /** Mistakes that may be planted, to see that each is found. */
+  /** Bugs that can be injected, to verify that the checks detect each of them. */
   public enum Bug {
     NONE, LEASE_FROM_RECEIPT, LEADER_TRUSTS_OLD_LEASES, FORGOTTEN_AT_DEATH, LET_GO_AT_ONCE,
     LEFT_FOR_OTHERS, NOTHING_REMEMBERED, SERVES_BEFORE_TOLD, SUCCESSOR_GOES_BY_FILES, ASKED_ANEW,
@@ -65,9 +66,9 @@
   private static final int BACKENDS = 6;
   private static final String OLD_VERSION = "1.0";
   private static final String NEW_VERSION = "2.0";
-  /** Of it no process is ever ready. */
+  /** A version whose processes never become ready when a release starts them. */
   private static final String NEVER_READY_VERSION = "2.0-mute";
-  /** Each process of it dies once it has served for a while. */
+  /** A version whose processes, started by a release, die 0.5 to 2 s after they begin to serve. */
   private static final String CRASHING_VERSION = "2.0-faint";
   private static final double READY_LIMIT_MS = 3_000;
   private static final double WARM_UP_MS = 1_200;
@@ -76,11 +77,11 @@
 
   private final SimClock clock = new SimClock();
   private final Random random;
-  /** Null where chance decides. */
+  /** The enumerated choices, or null when faults are drawn at random. */
   private final Choices choices;
   private final Set<String> deadOperators = new HashSet<>();
   private boolean injectsChosenFaults;
-  /** Those of the record that were seen; null where they aren't counted. */
+  /** Hashes of the distinct states of the record; null where states are not counted. */
   private Set<Integer> stateHashes;
   private final Bug bug;
   private final int doors;
@@ -89,17 +90,17 @@
   private final List<SimulatedProcess> processes = new ArrayList<>();
   private final Map<String, Map<String, Map<String, Long>>> files = new HashMap<>();
   private final Map<String, SimulatedProcess> lockHolders = new HashMap<>();
-  /** Processes that have ended, by their doors, until somebody has told of them. */
+  /** Incarnations of ended processes by door, until another process of the door has reported them. */
   private final Map<String, Set<String>> unreportedEnds = new HashMap<>();
   private final Map<String, Long> generations = new HashMap<>();
   private final Set<String> cutLinks = new HashSet<>();
   private final List<String> breaches = new ArrayList<>();
-  /** Permits that operators were told and have not asked back, with their subjects. */
+  /** Permits that operators know they hold and have not returned, with their subjects. */
   private final Map<Long, Subject> heldPermits = new LinkedHashMap<>();
   private final Map<String, Double> countsAsDeadFromMs = new HashMap<>();
   private final Map<String, Server> servers = new LinkedHashMap<>();
   private long listVersion = 1;
-  /** Permits under which a backend was restarted. */
+  /** Permits under which a backend has been restarted. */
   private final Set<Long> restartedPermitIds = new HashSet<>();
   private final Set<Long> grantedPermitIds = new HashSet<>();
   private Set<String> backendsOut = Set.of();
@@ -113,7 +114,7 @@
   private int backendsTakenOut;
   private int served;
   private int halts;
-  /** What a supervisor starts a door by. */
+  /** The version with which the supervisor starts each door. */
   private final Map<String, String> installedVersions = new HashMap<>();
 
   private FleetSimulation(Random random, Choices choices, int doors, Bug bug) {
@@ -129,12 +130,12 @@
     }
   }
 
-  /** A backend as it truly is, and as discovery lists it. */
+  /** The true state of a backend, and its entry in discovery. */
   private static final class Server {
     private final String name;
     private String version = OLD_VERSION;
     private boolean listed = true;
-    /** Away, or cold. */
+    /** Down, or warming up after a start. */
     private boolean unavailable;
     private double startedMs;
 
@@ -144,34 +145,34 @@
   }
 
   /**
-   * What came of one schedule.
+   * Result of one schedule.
    *
-   * @param breaches none if all held
-   * @param granted permits that were given
-   * @param backendsTakenOut how often a backend was out
-   * @param served how often a process that a release started began to serve
-   * @param halts whether a release was halted in the end, or went back, 0 or 1
+   * @param breaches violated invariants; empty if all held
+   * @param granted number of permits granted
+   * @param backendsTakenOut how often a backend was taken out of service
+   * @param served number of processes started by a release that began to serve
+   * @param halts 1 if the final cleanup had to roll back a release, otherwise 0
    */
   public record Result(List<String> breaches, int granted, int backendsTakenOut, int served, int halts) { }
 
-  /** Plays one schedule of some 30 s, with so many faults as chance has it. */
+  /** Plays one schedule of about 30 s with a random number of faults, drawn from the seed. */
   public static Result play(long seed, int doors, Bug bug) {
     return new FleetSimulation(new Random(seed), null, doors, bug).run();
   }
 
-  /** What an exploration has two operators do: take out what two want, or release and halt. */
+  /** The operators' actions in an exploration: requests for door and backend, or a release and its halt. */
   public enum Script { DRAINS, RELEASE, BACKENDS }
 
   /**
-   * What came of all schedules.
+   * Result of all schedules of an exploration.
    *
-   * @param schedules how many were played
-   * @param states how many different states the record had in them, in all
-   * @param breaches the first that was found, or none
+   * @param schedules number of schedules played
+   * @param states number of distinct states of the record over all schedules
+   * @param breaches violated invariants of the first failing schedule; empty if all held
    */
   public record Explored(long schedules, long states, List<String> breaches) { }
 
-  /** Plays each schedule with so many faults at most, until one breaks what must hold. */
+  /** Plays every schedule with at most the given number of faults, until one violates an invariant. */
   public static Explored explore(Script script, int doors, int faults, Bug bug) {
     Choices choices = new Choices(faults);
     Set<Integer> states = new HashSet<>();
@@ -188,7 +189,7 @@
     return new Explored(schedules, states.size(), List.of());
   }
 
-  /** Chance that always has the mean. */
+  /** A random source that always yields the middle of its range. */
   private static final class MeanRandom extends Random {
     private static final long serialVersionUID = 1;
 
@@ -213,16 +214,17 @@
     injectsChosenFaults = true;
     if (script == Script.DRAINS) {
       requestPermit("ana", "ana1", new Subject(Kind.DOOR, "d0"), clock.now() + 2_500, 0);
-      requestPermit("rui", "rui1", new Subject(Kind.BACKEND, "b" + random.nextInt(BACKENDS)),
-          clock.now() + 2_500,
+      requestPermit("rui", "rui1", new Subject(Kind.BACKEND, "b" + random.nextInt(BACKENDS)), clock.now()
+          + 2_500,
           0);
     } else {
-      askUntilAnswered("ana",
-          new Command.StartRelease(0, "release", new Plan(script == Script.RELEASE ? Plan.Kind.DOORS
+      askUntilAnswered("ana", new Command.StartRelease(0, "release", new Plan(script == Script.RELEASE
+          ? Plan.Kind.DOORS
           : Plan.Kind.BACKENDS, OLD_VERSION, NEW_VERSION, List.of(1.0), 0, 200, 12_000, 500,
-          Comparison.DEFAULT), "ana"), 0);
-      clock.after(1_200,
-          () -> askUntilAnswered("rui", new Command.SteerRelease(0, "halt", 1, Command.Steering.HALT,
+          Comparison.DEFAULT),
+              "ana"), 0);
+      clock.after(1_200, () -> askUntilAnswered("rui", new Command.SteerRelease(0, "halt", 1,
+          Command.Steering.HALT,
           "rui"), 0));
     }
     for (double at = 0; at < EXPLORE_UNTIL_MS - EXPLORE_FROM_MS; at += EXPLORE_FAULT_INTERVAL_MS) {
@@ -269,7 +271,7 @@
     return new Result(List.copyOf(breaches), granted, backendsTakenOut, served, halts);
   }
 
-  /** All is whole from here on, and everything comes back. */
+  /** Ends all faults, returns all permits, and checks that the release ends and nothing stays out. */
   private void cleanUp(double from, int minCleanupS) {
     faultsEnded = true;
     cutLinks.clear();
@@ -282,10 +284,11 @@
     }
     State end = record.state();
     if (isReleaseUnderWay()) {
-      addBreach("a release has not ended: " + end.releases());
+      addBreach("a release did not end: " + end.releases());
     }
     if (!allReturned()) {
-      addBreach("not all is back: " + end.permits() + ", doors out " + record.out(Kind.DOOR) + ", held up by "
+      addBreach("not everything has been returned: " + end.permits() + ", doors out " + record.out(Kind.DOOR)
+          + ", blocked by "
           + end.permits().stream().map(x -> record.blockingProcesses(x.subject())).toList());
     }
   }
@@ -303,25 +306,24 @@
     return latest() != null && latest().mode() != Release.Mode.ENDED;
   }
 
-  /** Somebody begins one, and others do with it what comes to their minds. */
+  /** Starts a release and steers it three times with random commands. */
   private void startRelease() {
-    String to = List.of(NEW_VERSION, NEW_VERSION, NEVER_READY_VERSION, CRASHING_VERSION)
-        .get(random.nextInt(4));
+    String to = List.of(NEW_VERSION, NEW_VERSION, NEVER_READY_VERSION,
+        CRASHING_VERSION).get(random.nextInt(4));
     Plan.Kind of = random.nextInt(3) > 0 ? Plan.Kind.DOORS : Plan.Kind.BACKENDS;
-    askUntilAnswered("mia",
-        new Command.StartRelease(0, "release",
-        new Plan(of, OLD_VERSION, of == Plan.Kind.DOORS ? to : NEW_VERSION,
-        List.of(0.01, 0.5, 1.0), 500, 800, 12_000, 500, Comparison.DEFAULT), "mia"), 0);
+    askUntilAnswered("mia", new Command.StartRelease(0, "release", new Plan(of, OLD_VERSION,
+        of == Plan.Kind.DOORS ? to : NEW_VERSION, List.of(0.01, 0.5, 1.0), 500, 800, 12_000, 500,
+            Comparison.DEFAULT), "mia"), 0);
     for (int i = 0; i < 3; i++) {
       Command.Steering what = Command.Steering.values()[random.nextInt(4)];
       int number = i;
-      clock.after(2_000 + random.nextInt(12_000),
-          () -> askUntilAnswered("mia", new Command.SteerRelease(0, "steer"
+      clock.after(2_000 + random.nextInt(12_000), () -> askUntilAnswered("mia", new Command.SteerRelease(0,
+          "steer"
           + number, 1, what, "mia"), 0));
     }
   }
 
-  /** Asked until it is answered. */
+  /** Repeats a command every 400 ms until it is answered, at most 20 times. */
   private void askUntilAnswered(String from, Command command, int tries) {
     if (deadOperators.contains(from)) {
       return;
@@ -336,28 +338,28 @@
   }
 
   private void rollBackRelease() {
-    if (isReleaseUnderWay()
-        && (latest().course() == Release.Course.FORWARD || latest().mode() != Release.Mode.GOING)) {
+    if (isReleaseUnderWay() && (latest().course() == Release.Course.FORWARD || latest().mode() !=
+        Release.Mode.GOING)) {
       halts = 1;
-      askUntilAnswered("mia",
-          new Command.SteerRelease(0, "back" + clock.now(), latest().id(), Command.Steering.BACK,
+      askUntilAnswered("mia", new Command.SteerRelease(0, "back" + clock.now(), latest().id(),
+          Command.Steering.BACK,
           "mia"), 0);
     }
   }
 
-  /** A process that a release started begins to serve: only while its step is under way. */
+  /** Checks that a process started by a release begins to serve only while its step is in progress. */
   private void onReleasedProcessServing(SimulatedProcess p) {
     served++;
     Release r = latest();
     if (r.steps().stream().noneMatch(x -> x.attempt() == p.attempt && x.state() != Step.State.RETURNING
         && x.state() != Step.State.WAITING)) {
       addBreach(p.door + " begins to serve with " + p.version + " by attempt " + p.attempt
-          + ", which is over: "
+          + ", which has ended: "
           + r);
     }
   }
 
-  /** Whoever restarts backends does so once a release has one out; discovery tells late what it sees. */
+  /** Restarts a backend after a delay once a release has taken it out; discovery lists it later. */
   private void restartIfOut(Permit permit) {
     boolean out = permit.stage() == Stage.OUT || bug == Bug.RESTARTED_BEFORE_OUT
         && permit.stage() == Stage.GRANTED;
@@ -389,7 +391,7 @@
     });
   }
 
-  /** A backend that nobody has out dies by itself, and comes back as it was. */
+  /** Crashes a backend for which no permit exists; it restarts with the same version. */
   private void crashServer(Server server) {
     if (!server.unavailable && record.state().permits().stream()
         .noneMatch(x -> x.subject().name().equals(server.name))) {
@@ -403,18 +405,18 @@
         .map(x -> new Command.Backend(x.name, "z", 1, !x.unavailable, x.startedMs)).toList();
   }
 
-  /** Whoever is told that all doors have it can rely on that. */
+  /** Checks that an ended release has brought every door or backend to its target version. */
   private void onReleaseEnded(Release r) {
     if (r.plan().of() == Plan.Kind.BACKENDS) {
       servers.values().stream().filter(x -> x.listed && !x.version.equals(r.targetVersion()))
-          .forEach(x ->
-          addBreach(x.name + " has " + x.version + ", and release " + r.id() + " has ended with "
+          .forEach(x -> addBreach(x.name + " has " + x.version + " although release " + r.id()
+              + " ended with "
               + r.targetVersion()));
       return;
     }
     for (SimulatedProcess p : processes) {
       if (!p.dead && p.serving && !p.ending && !p.version.equals(r.targetVersion())) {
-        addBreach(p.door + " has " + p.version + ", and release " + r.id() + " has ended with "
+        addBreach(p.door + " has " + p.version + " although release " + r.id() + " ended with "
             + r.targetVersion());
       }
     }
@@ -441,7 +443,7 @@
     leaderClockOffsetMs = random.nextInt(1_000_000);
     apply(bug == Bug.LEADER_TRUSTS_OLD_LEASES && term > 1 ? new Command.Tick(leaderClock())
         : new Command.LeaderElected(leaderClock()));
-    // Whoever is dead and was not known to be was given a whole lease anew.
+    // A new leader grants a full lease to dead doors whose leases had not expired in the record.
     State state = record.state();
     countsAsDeadFromMs.replaceAll((door, from) -> state.lives().stream().anyMatch(x -> x.door().equals(door)
         && x.untilMs() > state.nowMs()) ? Math.max(from, clock.now() + LEASE_MS * (1 + 3 * DRIFT)) : from);
@@ -488,8 +490,8 @@
   }
 
   private SimulatedProcess startProcess(String door, boolean onlyIfNoneLives) {
-    return hasLiveProcess(door) && onlyIfNoneLives ? null
-        : startProcess(door, installedVersions.getOrDefault(door, OLD_VERSION), 0);
+    return hasLiveProcess(door) && onlyIfNoneLives ? null : startProcess(door,
+        installedVersions.getOrDefault(door, OLD_VERSION), 0);
   }
 
   private SimulatedProcess startProcess(String door, String version, long attempt) {
@@ -506,7 +508,7 @@
     clock.after(1_500 + random.nextInt(1_000), old::shutDown);
   }
 
-  /** Has a command agreed on, over a link of this name; both ways may lose it, and it may come twice. */
+  /** Sends a command over the named link. The command or its answer may be lost, and it may arrive twice. */
   private void ask(String from, Command command, Consumer<Outcome> then) {
     if (injectsChosenFaults) {
       askWithChosenFault(from, command, then);
@@ -519,7 +521,10 @@
     }
   }
 
-  /** Lost, heard with its answer lost, late, or heard twice; as it should be where nothing is chosen. */
+  /**
+   * Sends a command with the chosen fault: 0 none, 1 the command is lost, 2 its answer is lost, 3 it is late,
+   * 4 it is delivered twice.
+   */
   private void askWithChosenFault(String from, Command command, Consumer<Outcome> then) {
     int fault = choices.pick(5);
     if (fault == 0 || fault == 4) {
@@ -592,7 +597,7 @@
     heldPermits.forEach((id, subject) -> {
       if (state.permits().stream().noneMatch(x -> x.id() == id && x.subject().equals(subject)
           && x.stage() != Stage.WAITING)) {
-        addBreach("permit " + id + " of " + subject + " is over, and nobody gave it back: " + command);
+        addBreach("permit " + id + " of " + subject + " has ended although nobody returned it: " + command);
       }
     });
     return outcome;
@@ -610,11 +615,11 @@
       });
     }
     if (given.subject().kind() == Kind.BACKEND) {
-      servers.values().stream().filter(x -> x.unavailable && isRestarted(x.name))
-          .forEach(x -> all.add(x.name));
+      servers.values().stream().filter(x -> x.unavailable && isRestarted(x.name)).forEach(x ->
+          all.add(x.name));
     }
     if (all.size() > maxOut) {
-      addBreach(given.subject() + " was let go while these are out: " + all);
+      addBreach(given.subject() + " was permitted while these are out: " + all);
     }
   }
 
@@ -623,7 +628,7 @@
         && restartedPermitIds.contains(x.id()));
   }
 
-  /** No door believes in a lease that the stewards hold for over. */
+  /** Checks that no door relies on a lease that has expired for the stewards. */
   private void checkLeases() {
     State state = record.state();
     double now = state.nowMs() + Math.max(0, hasLeader ? leaderClock() - state.leaderMs() : 0);
@@ -632,7 +637,7 @@
         DoorProcessState life = state.lives().stream().filter(x -> x.door().equals(p.door)
             && x.incarnation().equals(p.incarnation)).findFirst().orElse(null);
         if (life != null && now >= life.untilMs()) {
-          addBreach(p.door + " believes in its lease, over for " + (now - life.untilMs()) + " ms");
+          addBreach(p.door + " relies on its lease, which expired for " + (now - life.untilMs()) + " ms");
         }
       }
     }
@@ -653,7 +658,7 @@
     clock.after(1_500 + random.nextInt(3_000), () -> runOperator(name, number + 1));
   }
 
-  /** Asks again until it is answered; gives up on waiting after a time; now and then its command dies. */
+  /** Requests a permit with retries; gives up waiting after a time, and never returns about 10% of grants. */
   private void requestPermit(String name, String request, Subject subject, double until, int tries) {
     if (deadOperators.contains(name)) {
       return;
@@ -688,7 +693,7 @@
     });
   }
 
-  /** An answer may come after others gave back what a dead command had left. */
+  /** Whether a permit is still in force; a late answer may name one that was already returned. */
   private boolean isActive(long permit) {
     return record.state().permits().stream().anyMatch(x -> x.id() == permit && x.stage() != Stage.WAITING
         && x.stage() != Stage.RETURNING);
@@ -767,7 +772,7 @@
       return clockOffsetMs + rate * clock.now();
     }
 
-    /** Has this process do it, when it goes on. */
+    /** Runs a task in this process: at once, after a stop ends, or not at all if the process is dead. */
     void runWhenResumed(Runnable what) {
       if (stopped) {
         deferredTasks.add(what);
@@ -800,8 +805,8 @@
         installedVersions.put(door, version);
         if (attempt > 0) {
           onReleasedProcessServing(this);
-          processes.stream().filter(x -> x.door.equals(door) && x != this && !x.dead)
-              .forEach(SimulatedProcess::shutDown);
+          processes.stream().filter(x -> x.door.equals(door) && x != this
+              && !x.dead).forEach(SimulatedProcess::shutDown);
         }
         if (attempt > 0 && version.equals(CRASHING_VERSION)) {
           clock.after(500 + random.nextInt(1_500), () -> {
@@ -819,7 +824,7 @@
       return !serving ? Activity.STARTING : drainRequested ? Activity.EMPTY : Activity.READY;
     }
 
-    /** Held by one process of the door until that is dead. */
+    /** Takes the door's lock, which one process holds until its death; returns false if another holds it. */
     private boolean tryLock() {
       SimulatedProcess holder = lockHolders.get(door);
       if (holder != null && !holder.dead && bug != Bug.ALONE_TOO_SOON) {
@@ -838,7 +843,7 @@
       }
     }
 
-    /** Sees by their locks which processes of the door have ended, and says so until it is answered. */
+    /** Reports ended processes of the door, which it detects by their locks, until the report is answered. */
     private void reportEndedProcesses() {
       if (generation > 0 && (joined || bug == Bug.VOUCHES_UNKNOWN)) {
         for (String ended : List.copyOf(unreportedEnds.getOrDefault(door, Set.of()))) {
@@ -854,7 +859,7 @@
       join();
     }
 
-    /** Until it is answered, or another is said. */
+    /** Repeats the join until it is answered or the generation changes. */
     private void join() {
       long said = generation;
       boolean[] answered = {injectsChosenFaults};
@@ -870,7 +875,7 @@
       }));
     }
 
-    /** Looks at the list now and then, and says once what has changed. */
+    /** Polls discovery and reports each changed list once. */
     private void pollDiscovery() {
       if (seenListVersion < listVersion) {
         seenListVersion = listVersion;
@@ -914,7 +919,7 @@
       }
     }
 
-    /** Ends in order, in favour of another process. */
+    /** Shuts down gracefully in favour of another process of the door. */
     void shutDown() {
       runWhenResumed(() -> {
         if (bug == Bug.LEAVES_TOO_SOON) {
@@ -938,7 +943,7 @@
       }
     }
 
-    /** Seen twice by then: what it had written is there. */
+    /** Marks the lock as released after 500 ms, when writes of the ended process are visible to others. */
     private void markLockReleased() {
       clock.after(500, () -> unreportedEnds.computeIfAbsent(door, x -> new HashSet<>()).add(incarnation));
     }
@@ -968,7 +973,7 @@
             }
           }));
         };
-        // Written already, or when its connection is there.
+        // Either already written, or sent later if the process still runs once its connection is open.
         double delay = random.nextDouble() * 60;
         clock.after(delay, random.nextBoolean() ? arrives : () -> runWhenResumed(arrives));
       }
@@ -1014,12 +1019,12 @@
         serveIfAllowed();
       } else if (action instanceof DoorAction.Drain || action instanceof DoorAction.Undrain) {
         drainRequested = action instanceof DoorAction.Drain;
-        clock.after(100 + random.nextInt(300),
-            () -> runWhenResumed(() -> dispatch(new DoorEvent.ActivityChanged(doing()))));
+        clock.after(100 + random.nextInt(300), () -> runWhenResumed(() ->
+            dispatch(new DoorEvent.ActivityChanged(doing()))));
       }
     }
 
-    /** Starts another, kills it where it isn't ready in time, and says so where this one serves on. */
+    /** Starts a successor and kills it if it is not ready in time; this process then reports the failure. */
     private void replace(DoorAction.StartSuccessor e) {
       if (ending || dead) {
         return;
@@ -1027,7 +1032,7 @@
       SimulatedProcess next = startProcess(door, e.version(), e.attempt());
       clock.after(READY_LIMIT_MS, () -> {
         if (!next.serving && !next.dead) {
-          // By the one that started it, or by itself where that is gone; then its supervisor starts the door.
+          // Killed by its starter, or ends itself if that is gone; then the supervisor starts the door.
           next.kill();
           clock.after(700, () -> startProcess(door, true));
         }
--- a/emulator/src/main/java/willowdoor/emulator/agreement/StewardSimulation.java
+++ b/emulator/src/main/java/willowdoor/emulator/agreement/StewardSimulation.java
@@ -25,20 +25,23 @@
 import willowdoor.steward.StewardId;
 import willowdoor.steward.StewardEnvironment;
 
-/** The real library in simulated time: links that lose and delay, processes that stand still. */
+/**
+ * Runs stewards with the real consensus library in simulated time, over links that lose and delay messages,
+ * and with processes that are stopped and killed.
+ */
 final class StewardSimulation implements AutoCloseable {
 
   private static final long DISK_PAGES = 100_000;
-  /** Its lines, many to each message, would hide a failure's. */
+  /** Switched off: the library logs many lines for each message, which would hide the output of a failure. */
   private static final Logger RAFT_LOGGER = Logger.getLogger("io.microraft");
 
   private record Task(double atMs, long order, int owner, Runnable action) { }
 
   final List<StewardId> ids = new ArrayList<>();
   final List<Steward> stewards = new ArrayList<>();
-  /** Those whose process is stopped: what falls due waits. */
+  /** Stewards whose process is stopped; their tasks that fall due are deferred. */
   final Set<Integer> stopped = new HashSet<>();
-  /** Directed links that carry nothing, as from * 10 + to. */
+  /** Directed links that drop all messages, encoded as from * 10 + to. */
   final Set<Integer> cutLinks = new HashSet<>();
   double lossProbability;
   double maxDelayMs = 5;
@@ -54,7 +57,7 @@
   private final int snapshotAfter;
   private final FleetSettings terms;
   private final List<DiskStore> disks = new ArrayList<>();
-  /** How often each process was begun. */
+  /** Per steward, a counter that each start and kill of its process increments. */
   private final List<Integer> launches = new ArrayList<>();
 
   StewardSimulation(Path folder, int n, long seed, int budget, int snapshotAfter) throws IOException {
@@ -76,7 +79,7 @@
     }
   }
 
-  /** One more, which joins those who are there. */
+  /** Starts one more steward, which is not yet a member, and returns its number. */
   int join() throws IOException {
     int steward = ids.size();
     ids.add(new StewardId("s" + steward, "disk" + steward));
@@ -87,18 +90,18 @@
     return steward;
   }
 
-  /** Begins a steward's process on what is on its disk. */
+  /** Starts a steward's process with the store on its disk. */
   void start(int steward) throws IOException {
     start(steward, DISK_PAGES);
   }
 
-  /** The same on a disk with room for so many pages. */
+  /** Starts a steward whose store is limited to the given number of pages. */
   void start(int steward, long pages) throws IOException {
     int launch = launches.get(steward) + 1;
     launches.set(steward, launch);
     disks.set(steward, new DiskStore(disk(steward), false, pages));
     Random stewardRandom = new Random(random.nextLong());
-    // Clocks that have nothing to do with each other.
+    // The clocks of the stewards have unrelated offsets.
     double clockOffsetMs = stewardRandom.nextInt(1_000_000);
     stewards.set(steward, new Steward(ids.get(steward), initial, terms, new StewardEnvironment() {
       @Override
@@ -132,12 +135,12 @@
     stewards.get(steward).start();
   }
 
-  /** Where a steward's disk is, to be broken while it is down. */
+  /** The file of a steward's store, for tests that damage it while the steward is down. */
   Path disk(int steward) {
     return folder.resolve("s" + steward + ".db");
   }
 
-  /** Kills a steward's process; what it had not flushed is lost. */
+  /** Kills a steward's process and drops its deferred tasks; data that it had not flushed is lost. */
   void kill(int steward) throws IOException {
     if (disks.get(steward) != null) {
       launches.set(steward, launches.get(steward) + 1);
@@ -148,7 +151,7 @@
     }
   }
 
-  /** Begins those that were killed, and has the stopped ones go on. */
+  /** Restarts all killed stewards and resumes all stopped ones. */
   void restartStopped() throws IOException {
     for (int i = 0; i < ids.size(); i++) {
       if (disks.get(i) == null) {
@@ -183,7 +186,7 @@
     deferredTasks.removeIf(x -> x.owner == steward);
   }
 
-  /** Both ways between those of a side and all others. */
+  /** Cuts the links in both directions between the stewards of one side and all others. */
   void partition(Set<Integer> side) {
     for (int i = 0; i < ids.size(); i++) {
       for (int k = 0; k < ids.size(); k++) {
@@ -198,7 +201,7 @@
     runUntil(nowMs + ms, () -> false);
   }
 
-  /** Whether it came to be within the time. */
+  /** Runs until the condition holds; returns false if it does not hold by the given time. */
   boolean runUntil(double limitMs, BooleanSupplier condition) {
     while (!condition.getAsBoolean()) {
       Task next = tasks.peek();
@@ -217,7 +220,7 @@
     return true;
   }
 
-  /** The one that leads by its own belief and isn't among those; -1 where there is none. */
+  /** The first running, not excluded steward that considers itself the leader; -1 if none does. */
   int leader(Set<Integer> excluded) {
     for (int i = 0; i < stewards.size(); i++) {
       if (!excluded.contains(i) && !stopped.contains(i) && isRunning(i) && stewards.get(i).isLeader()) {
@@ -231,7 +234,7 @@
     return stewards.get(steward).propose(command);
   }
 
-  /** What a command comes to, tried at whoever leads until one agrees. */
+  /** Proposes a command to the current leader, retrying for up to 20 s, and returns its outcome. */
   Outcome proposeUntilAgreed(Set<Integer> excluded, DoubleFunction<Command> command) {
     double limit = nowMs + 20_000;
     while (nowMs < limit) {
@@ -245,6 +248,6 @@
       }
       run(20);
     }
-    throw new AssertionError("nothing was agreed on in 20 s");
+    throw new AssertionError("no agreement within 20 s");
   }
 }
--- a/emulator/src/main/java/willowdoor/emulator/epoch/EpochSimulation.java
+++ b/emulator/src/main/java/willowdoor/emulator/epoch/EpochSimulation.java
@@ -23,14 +23,14 @@
 import willowdoor.epoch.PastChange;
 
 /**
- * Changes of policy in simulated time: the real record's side and the real doors' sides, with leaders that
- * change and whose clocks have nothing to do with each other, links that lose, delay and repeat, doors that
- * are stopped, cut off, killed and begun anew, operators who propose and abort. What must hold is looked at
- * from above, by true time: once any door has decided by an epoch, none decides by an older one alone.
+ * Simulates policy changes in simulated time, with the production code of the record and of the doors.
+ * Leaders change and have unrelated clocks, links lose, delay and reorder messages, doors are stopped, cut
+ * off, killed and restarted, and operators propose and abort changes. The main invariant is checked by true
+ * simulated time: once any door has decided by an epoch alone, no door decides by an older epoch alone.
  */
 public final class EpochSimulation {
 
-  /** Mistakes that may be planted, to see that each is found. */
+  /** Bugs that can be injected, to verify that the checks detect each of them. */
   public enum Bug {
     NONE, COUNTS_FROM_RECEIPT, FENCE_TOO_LONG, MARGIN_TOO_LONG, LEADER_IS_TRUSTED, TIME_BETWEEN_LEADERS,
     FORGOTTEN_WHEN_SILENT, KEEPS_WHAT_IS_PREPARED, CLOCK_BEYOND_DRIFT, HOLDS_AT_ONCE, ASLEEP_OVER_IT,
@@ -38,14 +38,14 @@
   }
 
   /**
-   * What came of one schedule.
+   * Result of one schedule.
    *
-   * @param breaches none if all held
-   * @param held changes that came to hold
-   * @param aborted changes that did not
-   * @param decided requests that were decided by one policy alone
-   * @param both requests that had to pass under both
-   * @param refused requests that were refused as it wasn't known what holds
+   * @param breaches violated invariants; empty if all held
+   * @param held number of changes that took effect
+   * @param aborted number of changes that did not take effect
+   * @param decided number of requests decided by a single policy
+   * @param both number of requests that both policies had to allow
+   * @param refused number of requests refused because the policy in effect was unknown
    */
   public record Result(List<String> breaches, int held, int aborted, long decided, long both,
       long refused) { }
@@ -70,7 +70,7 @@
   private final Set<Long> rejectedEpochs = new HashSet<>();
   private final List<String> breaches = new ArrayList<>();
   private final int doors;
-  /** The highest epoch that has decided alone anywhere. */
+  /** The highest epoch that has decided a request alone at any door. */
   private long highestDecidedEpoch;
   private double recordMs;
   private double leaderMs = Double.NaN;
@@ -96,7 +96,7 @@
         new EpochState(TERMS, 0, PolicyDocument.NONE, PolicyDocument.NONE, null, List.of()));
   }
 
-  /** Plays one schedule. */
+  /** Plays one schedule, drawn from the seed. */
   public static Result play(long seed, int doors, Bug bug) {
     return new EpochSimulation(seed, doors, bug).run();
   }
@@ -120,7 +120,7 @@
       clock.runUntil(clock.now() + 500);
     }
     if (!isSettled()) {
-      addBreach("not all has ended: " + epochs.state().change() + ", held up by "
+      addBreach("not everything has settled: " + epochs.state().change() + ", blocked by "
           + epochs.describeBlockers(recordMs, members()));
     }
     List<PastChange> log = epochs.state().log();
@@ -132,7 +132,7 @@
     long current = epochs.state().current().epoch();
     return epochs.state().change() == null && processes.stream().filter(x -> !x.dead).allMatch(x -> {
       ActivePolicy by = x.side.policyAt(x.clock());
-      // One that can't have what others agreed on while it was fenced refuses.
+      // A door that cannot load an epoch agreed on while it was fenced refuses requests.
       return by.epoch() == current && by.also() < 0 || x.side.report().refused() == current && by.refuses();
     });
   }
@@ -177,7 +177,7 @@
     }
   }
 
-  /** The leader's time passes in the record with each entry. */
+  /** Advances the record's time by the time that has passed on the leader's clock. */
   private void advanceRecordTime() {
     recordMs += Math.max(0, leaderClock() - leaderMs);
     leaderMs = Math.max(leaderMs, leaderClock());
@@ -200,7 +200,7 @@
     if (before != null && now != null && before.stage() != now.stage()
         && now.stage() == PolicyChange.Stage.DECIDED
         && memberReports.values().stream().anyMatch(x -> x.word().refused() == now.document().epoch())) {
-      addBreach("epoch " + now.document().epoch() + " is decided, and somebody has said no to it");
+      addBreach("epoch " + now.document().epoch() + " is decided although a member refused it");
     }
   }
 
@@ -220,7 +220,7 @@
           clock.after(random.nextInt(1_500), () -> abort(epoch));
         }
       } catch (IllegalArgumentException e) {
-        // Another is under way.
+        // Another change is in progress.
         proposals--;
       }
     }
@@ -235,7 +235,7 @@
       try {
         epochs.abort(recordMs, epoch, "rui");
       } catch (IllegalArgumentException e) {
-        // It is decided already.
+        // The change has already been decided.
         settle();
       }
     }
@@ -256,7 +256,7 @@
         }
       }
       case 2 -> {
-        // A second process of the door, which takes the place of the first.
+        // A second process of the door replaces the first one.
         if (!p.dead && processes.stream().noneMatch(x -> x != p && x.door.equals(p.door) && !x.dead)) {
           startProcess(p.door);
           clock.after(1_500, () -> p.runWhenResumed(p::leave));
@@ -281,8 +281,8 @@
   }
 
   private double randomDelayMs() {
-    return !faultsEnded && random.nextDouble() < 0.05 ? random.nextInt(4_000) : random.nextDouble()
-        * MAX_DELAY_MS;
+    return !faultsEnded && random.nextDouble() < 0.05 ? random.nextInt(4_000)
+        : random.nextDouble() * MAX_DELAY_MS;
   }
 
   /** One process of a door. */
@@ -385,7 +385,8 @@
     private void onAnswer(long number, double sentMs, EpochView view) {
       boolean late = bug == Bug.OLD_ANSWERS_AS_NEW;
       dispatch(new EpochEvent
-          .HeartbeatAnswered(late ? heartbeats : number, bug == Bug.COUNTS_FROM_RECEIPT || late ? clock()
+          .HeartbeatAnswered(late ? heartbeats : number, bug == Bug.COUNTS_FROM_RECEIPT || late
+          ? clock()
           : sentMs, view));
     }
 
@@ -424,15 +425,15 @@
         by = new ActivePolicy(side.report().prepared(), ActivePolicy.NONE, 0);
       }
       onDecision(by);
-      clock.after(random.nextDouble() * 2 * MEAN_REQUEST_INTERVAL_MS,
-          () -> runWhenResumed(this::decideRequest));
+      clock.after(random.nextDouble() * 2 * MEAN_REQUEST_INTERVAL_MS, () ->
+          runWhenResumed(this::decideRequest));
     }
 
     private void onDecision(ActivePolicy by) {
       if (by.refuses()) {
         refusals++;
       } else if (Math.max(by.epoch(), by.also()) < highestDecidedEpoch) {
-        addBreach(name + " decides by " + by + ", and epoch " + highestDecidedEpoch + " has decided before");
+        addBreach(name + " decides by " + by + " after epoch " + highestDecidedEpoch + " decided a request");
       } else if (by.also() >= 0) {
         decidedByBoth++;
       } else {
@@ -443,7 +444,7 @@
         }
         if (epochs.state().change() != null && epochs.state().change().document().epoch() == by.epoch()
             && epochs.state().change().stage() == PolicyChange.Stage.PREPARING) {
-          addBreach(name + " decides by epoch " + by.epoch() + ", which is not decided on");
+          addBreach(name + " decides by epoch " + by.epoch() + ", which is not yet decided");
         }
       }
     }
--- a/emulator/src/main/java/willowdoor/emulator/fair/FairQueueSimulation.java
+++ b/emulator/src/main/java/willowdoor/emulator/fair/FairQueueSimulation.java
@@ -27,30 +27,30 @@
 import willowdoor.fairness.FairSettings;
 
 /**
- * Firms and their clients, doors that each have a real {@link FairQueue}, a shared quota bucket for each firm
- * in the policy's place, and nodes; all in simulated time, by one seed.
+ * Simulates, in simulated time and from one seed, firms and their clients, doors that each have a real
+ * {@link FairQueue}, nodes, and a shared quota bucket for each firm that stands in for the policy.
  */
 public final class FairQueueSimulation {
 
-  /** How clients take advice. */
+  /** How clients follow the advised retry time. */
   public enum RetryBehaviour { OBEY, EARLY, LATE, NEVER, SAME_MOMENT, OTHER_DOOR }
 
-  /** Whether requests wait in the fair queue, or go to the nodes as they come and wait there. */
+  /** Whether requests wait in the fair queue, or go to the nodes in order of arrival and wait there. */
   public enum Order { FAIR, FIRST_COME }
 
   /**
    * One firm's load.
    *
-   * @param perSecond requests, at random moments (Poisson); clients that come back are beside them
-   * @param clients who send in turn
-   * @param doors it comes through, the first ones
-   * @param units of a request
-   * @param workFactor by which its requests take longer than their units say
+   * @param perSecond rate of new requests, as a Poisson process; retries are additional
+   * @param clients number of clients; each request is from a random one
+   * @param doors number of doors used, from the first on
+   * @param units cost of a request
+   * @param workFactor ratio of the actual work of a request to the work that its units stand for
    */
   public record Load(long firm, String plan, double perSecond, int clients, int doors, double units,
       double workFactor, RetryBehaviour retryBehaviour) { }
 
-  /** What became of one firm's requests. */
+  /** Counts of the outcomes of one firm's requests. */
   public static final class Tally {
     public long asked;
     public long inTime;
@@ -58,21 +58,21 @@
     public long refused;
     public long failed;
     public double unitsServed;
-    /** Told a promised time and came back then; and of those let through within a second and not refused. */
+    /** Retries made at the promised time; honoured counts those that were admitted within a second. */
     public long returned;
     public long honoured;
-    /** Waits of those let through, in microseconds. */
+    /** Queueing times of admitted requests, in microseconds. */
     public final Histogram waits = new Histogram(60_000_000L, 3);
-    /** From a coming to its answer, of those answered, in microseconds. */
+    /** Times from an arrival to its answer, of answered requests, in microseconds. */
     public final Histogram answered = new Histogram(60_000_000L, 3);
 
-    /** Requests answered in time of all that were made, without counting the same one twice. */
+    /** Share of distinct requests that were answered in time; 1 if there were none. */
     public double service() {
       return asked == 0 ? 1 : (double) inTime / asked;
     }
   }
 
-  /** One request, through all its comings. */
+  /** One attempt of a request. */
   private final class Attempt {
     final Load load;
     final String id;
@@ -81,7 +81,7 @@
     final double units;
     final double arrivedMs = clock.now();
     final double usefulUntilMs;
-    /** It came when it was told to. */
+    /** Whether the attempt arrived at the time that its client was promised. */
     final boolean promised;
     final int retries;
 
@@ -97,11 +97,11 @@
     }
   }
 
-  /** A door: its queue, and the timer that it last wished for. */
+  /** A door: its queue, its open attempts and the latest timer that its queue requested. */
   private final class Door {
     final FairQueue queue;
     final Map<String, Attempt> attempts = new HashMap<>();
-    /** Units granted to each firm, halved now and then. */
+    /** Units granted to each firm; halved whenever the total of all doors exceeds 1,000. */
     final Map<Long, Double> granted = new HashMap<>();
     double usageReportedMs = Double.NEGATIVE_INFINITY;
     double wakeAtMs = Double.POSITIVE_INFINITY;
@@ -110,7 +110,7 @@
       queue = new FairQueue(settings);
     }
 
-    /** What the shared count tells of a firm's use through this door; without the counter, an even part. */
+    /** This door's share of a firm's granted units; an equal share if the counter is unavailable. */
     double usageShare(long firm, int entryPoints) {
       double all = doors.stream().mapToDouble(d -> d.granted.getOrDefault(firm, 0.0)).sum();
       if (all > 1_000) {
@@ -179,16 +179,16 @@
   private long nextRequestNumber;
   private double endMs;
   private int runNumber;
-  /** Times told and not met yet, by firm, client and door. */
+  /** Promised retry times that are still pending, by firm, client and door. */
   private final Map<String, ArrayDeque<Double>> promisedTimes = new HashMap<>();
   private boolean counterUnavailable;
   private boolean unitsVary;
 
   /**
-   * A world.
+   * Creates a simulation.
    *
-   * @param aimMs within which an answer is wanted
-   * @param msPerUnit a unit's work, varying by a half at random
+   * @param aimMs target time for an answer, from the arrival of an attempt
+   * @param msPerUnit mean work of a unit; the work of each request varies by up to 50% at random
    */
   public FairQueueSimulation(long seed, FairSettings settings, Order order, int doorCount, int nodeCount,
       int workers,
@@ -208,27 +208,27 @@
     return clock;
   }
 
-  /** A firm's tally so far. */
+  /** Counts of a firm's requests so far. */
   public Tally tallyOf(long firm) {
     return tallies.computeIfAbsent(firm, f -> new Tally());
   }
 
-  /** What a door's queue has counted. */
+  /** The counts of a door's queue. */
   public FairCounts counts(int door) {
     return doors.get(door).queue.counts();
   }
 
-  /** Told of each request that goes to the nodes: its firm and units. */
+  /** Sets the callback for each request that goes to the nodes; it gets the firm and the units. */
   public void onReleased(BiConsumer<Long, Double> to) {
     onReleased = to;
   }
 
-  /** From here on each door goes by an even part of each quota, as the policy does without the counter. */
+  /** Makes each door use an equal part of each quota, as the policy does when the counter is unavailable. */
   public void setCounterUnavailable(boolean unavailable) {
     counterUnavailable = unavailable;
   }
 
-  /** From here on a request's units vary round its load's: exponentially, from a tenth to four times. */
+  /** Makes the units of requests vary: exponentially around the load's, limited to a tenth to four times. */
   public void varyUnits() {
     unitsVary = true;
   }
@@ -253,7 +253,7 @@
     doors.get(door).dispatch(event);
   }
 
-  /** Has that load come from now until then, and runs the world until it is over. */
+  /** Runs the simulation under the given loads for the given time. */
   public void run(List<Load> loads, double forMs) {
     endMs = clock.now() + forMs;
     int own = ++runNumber;
@@ -261,7 +261,7 @@
     clock.runUntil(endMs);
   }
 
-  /** Runs on without further load. */
+  /** Runs the simulation without new requests; retries continue. */
   public void runWithoutLoad(double forMs) {
     clock.runUntil(clock.now() + forMs);
   }
@@ -277,11 +277,11 @@
     });
   }
 
-  /** A client's first coming in the second that it was told is the one that was promised. */
+  /** Handles an arrival; a client's first one within a second of a promised time uses up that promise. */
   private void arrive(Load load, long client, int doorIndex, int retries) {
     Door door = doors.get(doorIndex);
-    ArrayDeque<Double> times = promisedTimes
-        .getOrDefault(load.firm() + " " + client + " " + doorIndex, new ArrayDeque<>());
+    ArrayDeque<Double> times = promisedTimes.getOrDefault(load.firm() + " " + client + " " + doorIndex,
+        new ArrayDeque<>());
     while (!times.isEmpty() && times.peek() < clock.now() - 1_000) {
       times.poll();
     }
--- a/emulator/src/main/java/willowdoor/emulator/fair/FairSize.java
+++ b/emulator/src/main/java/willowdoor/emulator/fair/FairSize.java
@@ -16,7 +16,7 @@
 import willowdoor.fairness.FairSettings.Limit;
 import willowdoor.fairness.FairSettings.PlanSettings;
 
-/** How much heap a queue takes at its bounds: filled with firms, clients, waiting requests and promises. */
+/** Measures the heap of a fair queue filled to its bounds with firms, clients, requests and promises. */
 public final class FairSize {
 
   private static final int ROUNDS = 5;
@@ -25,7 +25,7 @@
   private FairSize() {
   }
 
-  /** Fills a queue with the usual bounds, and far beyond them, and tells its size after each round. */
+  /** Offers a queue with the default bounds far more than they allow and prints its size after each round. */
   public static void run(PrintWriter out) {
     Bounds bounds = Bounds.defaults();
     FairQueue queue = new FairQueue(new FairSettings(Map.of(), new PlanSettings(0, 1, 0, 0, 0), 1, Cost.UNITS,
--- a/emulator/src/main/java/willowdoor/emulator/fair/FairSweep.java
+++ b/emulator/src/main/java/willowdoor/emulator/fair/FairSweep.java
@@ -33,13 +33,14 @@
 import willowdoor.fairness.FairSettings.PlanSettings;
 
 /**
- * Floods of all sizes beside nine firms that use half of the nodes between them: with the queue and without,
- * by few clients and by many, through one door and four, with work that is always the same, that varies, and
- * that is ten times what the flooding firm's units say. Five nodes serve 1,000 units a second.
+ * Simulates floods of several sizes beside nine firms that together use half of the nodes' capacity: with and
+ * without the fair queue, by few and by many clients, through one and four doors, with work that is constant,
+ * that varies, and that is ten times what the flooding firm's units say. Five nodes serve 1,000 units a
+ * second.
  */
 public final class FairSweep {
 
-  /** How requests differ in the work that they are. */
+  /** How the work of requests relates to their units. */
   public enum Work { SAME, VARIES, TEN_TIMES }
 
   private static final int OTHER_FIRMS = 9;
@@ -49,7 +50,7 @@
   private static final double TARGET_MS = 1_000;
   private static final int NODES = 5;
 
-  /** One run's figures. */
+  /** Results of one run. */
   public record Row(String plan, double floodQuotas, int clients, int doors, Work work, Order order,
       double service,
       double p99Ms, double floodUnits, long promised, long returned, long honoured, FairCounts counts) {
@@ -63,7 +64,7 @@
   private final double durationMs;
 
   /**
-   * A sweep.
+   * Creates a sweep.
    *
    * @param durationMs simulated length of each run
    */
@@ -72,17 +73,16 @@
     this.durationMs = durationMs;
   }
 
-  /** One run; times is the flood's size in quotas, 0 is none. The plan is "metered" or "open". */
+  /** Plays one run; times is the flood's size in quotas, 0 for none. The plan is "metered" or "open". */
   public Row run(String plan, double times, int clients, int doors, Work work, Order order) {
-    Map<String,
-        PlanSettings> plans = Map
-        .of("metered", new PlanSettings(0, 1, QUOTA_UNITS_PER_S, 2 * QUOTA_UNITS_PER_S, 0), "open",
+    Map<String, PlanSettings> plans = Map.of("metered", new PlanSettings(0, 1, QUOTA_UNITS_PER_S,
+        2 * QUOTA_UNITS_PER_S, 0), "open",
         new PlanSettings(0, 1, 0, 0, 0));
     FairSettings settings = new FairSettings(plans, plans.get("open"), doors,
         work == Work.SAME ? Cost.UNITS : Cost.WORK, Bounds.defaults(), new Limit(24, 4, 1_000),
         new ComeBack(0.8, 10_000));
-    FairQueueSimulation world =
-        new FairQueueSimulation(seed, settings, order, doors, NODES, 1, MS_PER_UNIT, TARGET_MS);
+    FairQueueSimulation world = new FairQueueSimulation(seed, settings, order, doors, NODES, 1, MS_PER_UNIT,
+        TARGET_MS);
     if (work != Work.SAME) {
       world.varyUnits();
     }
@@ -91,10 +91,8 @@
       loads.add(new Load(f, "open", OTHER_REQUESTS_PER_S, 3, doors, 1, 1, RetryBehaviour.OBEY));
     }
     if (times > 0) {
-      loads.add(
-          new Load(OTHER_FIRMS + 1, plan, times * QUOTA_UNITS_PER_S, clients, doors, 1,
-          work == Work.TEN_TIMES ? 10 : 1,
-          RetryBehaviour.OBEY));
+      loads.add(new Load(OTHER_FIRMS + 1, plan, times * QUOTA_UNITS_PER_S, clients, doors, 1,
+          work == Work.TEN_TIMES ? 10 : 1, RetryBehaviour.OBEY));
     }
     world.run(loads, durationMs);
     double asked = 0;
@@ -113,16 +111,16 @@
   }
 
   /**
-   * Ten firms that all flood, of weights 1 and 2: how far the units let through for their weights come apart
-   * between any two at the most, in any stretch of time, beside the bound.
+   * Measures fairness with ten flooding firms of weights 1 and 2: the largest difference over any interval
+   * between two firms' released units divided by weight, printed beside the theoretical bound.
    */
   public void measureSpread(PrintWriter to) {
     Map<String, PlanSettings> plans = Map.of("open", new PlanSettings(0, 1, 0, 0, 0), "twice",
         new PlanSettings(0, 2, 0, 0, 0));
     FairSettings settings = new FairSettings(plans, plans.get("open"), 1, Cost.UNITS, Bounds.defaults(),
         new Limit(24, 4, 1_000), new ComeBack(0.8, 1));
-    FairQueueSimulation world =
-        new FairQueueSimulation(seed, settings, Order.FAIR, 1, NODES, 1, MS_PER_UNIT, TARGET_MS);
+    FairQueueSimulation world = new FairQueueSimulation(seed, settings, Order.FAIR, 1, NODES, 1, MS_PER_UNIT,
+        TARGET_MS);
     world.varyUnits();
     List<Load> loads = new ArrayList<>();
     for (int f = 0; f < 10; f++) {
@@ -149,7 +147,7 @@
           worst = Math.max(worst, most[f][m] - least[f][m]);
         }
       }
-      // Within a plan l/w + l/w; between two plans that of each, and that of the plans, which weigh 5 and 10.
+      // Within a plan: l/w + l/w. Between plans: the sum for both firms and both plans, of weights 5 and 10.
       double bound = pair[0] % 2 == pair[1] % 2 ? 8.0 / (1 + pair[0] % 2) : 8 + 4 + 4.0 / 5 + 4.0 / 10;
       to.printf(Locale.ROOT,
           "weights %d and %d, requests of up to 4 units: apart by %.2f units for a weight at the "
@@ -159,7 +157,7 @@
     to.flush();
   }
 
-  /** All of them, told as they come; then the chart, if there is a file for it. */
+  /** Plays all runs, prints each as it completes, and writes the chart if a file is given. */
   public List<Row> runAll(PrintWriter to, File chart) throws IOException {
     List<Row> rows = new ArrayList<>();
     to.println("| flood's plan | times quota | clients | doors | work | order | others served in time |"
--- a/emulator/src/main/java/willowdoor/emulator/fair/NodePool.java
+++ b/emulator/src/main/java/willowdoor/emulator/fair/NodePool.java
@@ -8,8 +8,8 @@
 import willowdoor.emulator.SimClock;
 
 /**
- * Nodes with a number of workers each and one queue before them. A request goes to the node with the fewest.
- * Nodes pause, slow down and die on demand; what a dead node had is lost.
+ * Simulated nodes, each with a number of workers and its own queue. A request goes to the live node with the
+ * fewest requests. Nodes can be paused, slowed down and killed; the requests of a killed node fail.
  */
 final class NodePool {
 
@@ -70,12 +70,12 @@
     }
   }
 
-  /** Work takes so many times as long from its start on, by the time of the start. */
+  /** Sets the factor by which work is slowed down, as a function of its start time in milliseconds. */
   void slow(DoubleUnaryOperator factorAtMs) {
     slowness = factorAtMs;
   }
 
-  /** All nodes stand still for so long; what would have ended meanwhile ends right after. */
+  /** Pauses all nodes; work that would have finished during the pause finishes at its end. */
   void pause(double durationMs) {
     paused = true;
     clock.after(durationMs, () -> {
@@ -92,7 +92,7 @@
     });
   }
 
-  /** The first nodes die, so many of them; what they had has failed. */
+  /** Kills the given number of nodes, from the first on; their requests fail. */
   void kill(int count) {
     for (Node n : nodes.subList(0, count)) {
       n.dead = true;
@@ -107,12 +107,12 @@
     }
   }
 
-  /** They are back. */
+  /** Makes all killed nodes available again. */
   void revive() {
     nodes.forEach(n -> n.dead = false);
   }
 
-  /** Runs work; told true when it is done, false when its node died. */
+  /** Runs work; the callback gets true when the work is done, false when its node died or none is alive. */
   void run(double workMs, Consumer<Boolean> onDone) {
     Node leastLoaded = null;
     for (Node n : nodes) {
--- a/emulator/src/test/java/willowdoor/emulator/agreement/FleetSimulationTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/agreement/FleetSimulationTest.java
@@ -40,7 +40,7 @@
         + " doors released, " + halts + " halted in the end");
   }
 
-  /** More faults by the property willowdoor.faults, out of CI. */
+  /** One fault for each schedule in CI; the system property willowdoor.faults sets more. */
   @ParameterizedTest
   @EnumSource
   void invariantsHoldInEverySmallSchedule(Script script) {
@@ -58,6 +58,6 @@
         return;
       }
     }
-    throw new AssertionError(bug + " is not found in " + 3 * SEEDS + " seeds");
+    throw new AssertionError(bug + " is not detected in " + 3 * SEEDS + " seeds");
   }
 }
--- a/emulator/src/test/java/willowdoor/emulator/agreement/StewardSimulationTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/agreement/StewardSimulationTest.java
@@ -45,8 +45,8 @@
     }
   }
 
-  private StewardSimulation startSimulation(int stewards, long seed, int budget,
-      int snapshotAfter) throws IOException {
+  private StewardSimulation startSimulation(int stewards, long seed, int budget, int snapshotAfter)
+      throws IOException {
     StewardSimulation simulation = new StewardSimulation(folder, stewards, seed, budget, snapshotAfter);
     open.add(simulation);
     return simulation;
@@ -81,7 +81,7 @@
     assertAllAgree(simulation, "seed 1");
   }
 
-  /** An operator at each half: the old leader, in the smaller one, can give nothing away. */
+  /** Each side of a partition gets a request; the old leader, in the minority, must not grant its one. */
   @Test
   void aLeaderInTheMinorityGrantsNothing() throws Exception {
     StewardSimulation simulation = startSimulation(5, 2, 1, 10_000);
@@ -96,7 +96,7 @@
     assertInstanceOf(Waiting.class, simulation.proposeUntilAgreed(Set.of(), ask("r1", "b1")));
   }
 
-  /** It is stopped in the middle of handing out a permit, for longer than a lease, and continued. */
+  /** The leader is stopped while it grants a permit, for longer than a lease, and then resumed. */
   @Test
   void aStoppedLeaderGrantsNothingOnOutdatedState() throws Exception {
     StewardSimulation simulation = startSimulation(3, 3, 1, 10_000);
@@ -107,7 +107,8 @@
     assertInstanceOf(Granted.class, simulation.proposeUntilAgreed(Set.of(oldLeader), ask("r2", "b2")));
     simulation.run(10_000);
     simulation.resume(oldLeader);
-    assertTrue(simulation.stewards.get(oldLeader).isLeader(), "it doesn't know yet");
+    assertTrue(simulation.stewards.get(oldLeader).isLeader(),
+        "the resumed leader does not yet know of its successor");
     CompletableFuture<Outcome> after = simulation.propose(oldLeader, ask("r3", "b0"));
     simulation.run(3_000);
     assertFalse(granted(late) || granted(after));
@@ -118,7 +119,7 @@
     return answer.isDone() && !answer.isCompletedExceptionally() && answer.join() instanceof Granted;
   }
 
-  /** With their disks: whoever was told yes still has it. */
+  /** All stewards restart from their disks; a granted permit must survive. */
   @Test
   void permitsSurviveWhenAllStewardsAreKilled() throws Exception {
     StewardSimulation simulation = startSimulation(3, 5, 1, 25);
@@ -170,7 +171,7 @@
     throw new AssertionError(who + " not changed to " + change + " in 20 s");
   }
 
-  /** A disk is lost. Another takes its place without a stop; then the old ones go one by one. */
+  /** Each steward loses its disk in turn and is replaced by a new one without interruption. */
   @Test
   void stewardsAreReplacedOneAtATime() throws Exception {
     StewardSimulation simulation = startSimulation(3, 6, 1, 20);
@@ -198,8 +199,8 @@
   }
 
   /**
-   * A leader stands still for about as long as it takes to be missed, so that what it says then meets a vote
-   * that has just begun; later it dies. Whoever is left chooses another.
+   * A leader is repeatedly stopped for about the election timeout, so that its messages meet an election that
+   * has just begun; later it is killed. The remaining stewards must elect another leader.
    */
   @Test
   void anotherLeaderIsElectedAfterPausesAndDeathOfALeader() throws Exception {
@@ -220,7 +221,7 @@
           simulation.run(100 + random.nextInt(400));
         }
         assertTrue(simulation.runUntil(simulation.nowMs + 10_000, () -> simulation.leader(dead) >= 0),
-            "seed " + seed + ", " + dead + " dead: nobody leads");
+            "seed " + seed + ", " + dead + " dead: no leader");
         simulation.proposeUntilAgreed(dead, Command.Tick::new);
         if (mayStillDie > 0) {
           int leader = simulation.leader(dead);
@@ -231,7 +232,7 @@
     }
   }
 
-  /** Its disk takes nothing more: it ends, what others were told stands, and with room it goes on. */
+  /** A steward whose disk is full ends; granted permits stay, and it recovers once there is space. */
   @Test
   void aStewardWithAFullDiskEndsAndTheOthersContinue() throws Exception {
     StewardSimulation simulation = startSimulation(3, 7, 1, 10_000);
@@ -254,7 +255,7 @@
     assertEquals(1, simulation.stewards.get(0).record().out(Kind.BACKEND));
   }
 
-  /** Torn in its middle, or no store at all: it doesn't begin, and says which file. */
+  /** A steward with a corrupt or truncated store must not start, and its error names the store. */
   @Test
   void aDamagedStoreIsNamedInTheError() throws Exception {
     StewardSimulation simulation = startSimulation(3, 8, 1, 10_000);
@@ -276,7 +277,7 @@
     }
   }
 
-  /** Links that lose and delay, splits, processes that stand still: one record, and what was told holds. */
+  /** Under lost messages, partitions, stops and kills, all records agree and granted permits stay. */
   @Test
   void grantedPermitsHoldUnderRandomFaults() throws Exception {
     for (long seed = 1; seed <= Long.getLong("willowdoor.seeds", 20); seed++) {
--- a/emulator/src/test/java/willowdoor/emulator/epoch/EpochSimulationTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/epoch/EpochSimulationTest.java
@@ -49,6 +49,6 @@
         return;
       }
     }
-    throw new AssertionError(bug + " is not found in " + SEEDS + " seeds");
+    throw new AssertionError(bug + " is not detected in " + SEEDS + " seeds");
   }
 }
--- a/emulator/src/test/java/willowdoor/emulator/fair/FairQueueTest.java
+++ b/emulator/src/test/java/willowdoor/emulator/fair/FairQueueTest.java
@@ -23,15 +23,15 @@
 import willowdoor.fairness.FairSettings.Limit;
 import willowdoor.fairness.FairSettings.PlanSettings;
 
-/** The hard cases, by the real module in simulated time. One seed each: the same history every time. */
+/** Tests difficult cases of the real fair queue in simulated time, with a fixed seed, hence reproducibly. */
 class FairQueueTest {
 
-  /** Five nodes of one worker, 5 ms a unit: 1,000 units a second. */
+  /** Five nodes with one worker each, at 5 ms a unit, serve 1,000 units a second. */
   private static final int NODES = 5;
   private static final int WORKERS = 1;
   private static final double MS_PER_UNIT = 5;
   private static final double AIM_MS = 1_000;
-  /** A plan with a quota of 100 units a second, one without, and one of 6 requests out. */
+  /** Plans with a quota of 100 units a second, without a quota, and with at most 6 requests in flight. */
   static final Map<String,
       PlanSettings> PLANS = Map.of("metered", new PlanSettings(0, 1, 100, 200, 0), "open",
       new PlanSettings(0, 1, 0, 0, 0), "capped", new PlanSettings(0, 1, 0, 0, 6));
@@ -55,7 +55,7 @@
         + max + ")");
   }
 
-  /** Nine firms at 50 units a second each, and one that comes with 3,000. */
+  /** Nine firms at 50 units a second each, and one that floods with 3,000. */
   private static List<Load> flood(String plan, int clients) {
     List<Load> loads = new ArrayList<>();
     for (int f = 1; f <= 9; f++) {
@@ -81,10 +81,12 @@
     many.run(flood("open", 10_000), 10_000);
     FairQueueSimulation firstCome = simulation(Order.FIRST_COME, Cost.UNITS, 1);
     firstCome.run(flood("open", 3), 10_000);
-    assertTrue(serviceOfOthers(many) > 0.97, "others, beside many: " + serviceOfOthers(many));
-    assertTrue(serviceOfOthers(firstCome) < 0.5, "the load is none: " + serviceOfOthers(firstCome));
+    assertTrue(serviceOfOthers(many) > 0.97,
+        "service of others beside many clients: " + serviceOfOthers(many));
+    assertTrue(serviceOfOthers(firstCome) < 0.5, "the load is too small to matter: "
+        + serviceOfOthers(firstCome));
     assertWithin(0.9, many.tallyOf(10).unitsServed / few.tallyOf(10).unitsServed, 1.1,
-        "served to the many, for the few");
+        "served to many clients, relative to few");
     FairCounts c = many.counts(0);
     assertTrue(c.flows() <= 72 + 9 * 3, c + "");
     assertTrue(c.waiting() <= 4_096 && c.firms() == 10, c + "");
@@ -116,18 +118,18 @@
     FairSettings settings = new FairSettings(Map.of("heavy", new PlanSettings(0, 3, 0, 0, 0)),
         new PlanSettings(0, 1, 0, 0, 0), 1, Cost.UNITS, Bounds.defaults(), new Limit(24, 4, 400),
         new ComeBack(0.8, 30_000));
-    FairQueueSimulation world =
-        new FairQueueSimulation(1, settings, Order.FAIR, 1, NODES, WORKERS, MS_PER_UNIT, AIM_MS);
+    FairQueueSimulation world = new FairQueueSimulation(1, settings, Order.FAIR, 1, NODES, WORKERS,
+        MS_PER_UNIT, AIM_MS);
     world.run(List.of(load(1, "heavy", 2_000, 5), load(2, "light", 2_000, 5)), 20_000);
     assertWithin(2.8, world.tallyOf(1).unitsServed / world.tallyOf(2).unitsServed, 3.2,
-        "a weight of 3 beside one of 1");
-    // The heavier plan is made the lighter one.
+        "a weight of 3 relative to one of 1");
+    // The plan with the higher weight gets the lower one.
     double one = world.tallyOf(1).unitsServed;
     double two = world.tallyOf(2).unitsServed;
     world.tell(0, new PlansChanged(Map.of("heavy", new PlanSettings(0, 0.5, 0, 0, 0))));
     world.run(List.of(load(1, "heavy", 2_000, 5), load(2, "light", 2_000, 5)), 20_000);
     assertWithin(1.8, (world.tallyOf(2).unitsServed - two) / (world.tallyOf(1).unitsServed - one), 2.2,
-        "half beside one");
+        "a weight of 1 relative to one of 0.5");
   }
 
   @Test
@@ -137,7 +139,7 @@
     loads.set(9, load(10, "metered", 2_000, 400));
     world.run(loads, 30_000);
     Tally flooding = world.tallyOf(10);
-    assertTrue(flooding.returned > 500, flooding.returned + " came back");
+    assertTrue(flooding.returned > 500, flooding.returned + " retried at the promised time");
     assertTrue(flooding.honoured > 0.99 * flooding.returned, flooding.honoured + " of " + flooding.returned
         + " honoured " + world.counts(0));
     assertTrue(serviceOfOthers(world) > 0.98, "others: " + serviceOfOthers(world));
@@ -178,15 +180,15 @@
     world.run(List.of(load(1, "open", 3_000, 5), new Load(2, "open", 6, 1, 1, 16, 1, RetryBehaviour.OBEY),
         new Load(3, "open", 0.5, 1, 1, 40, 1, RetryBehaviour.OBEY)), 20_000);
     assertTrue(world.tallyOf(2).service() > 0.9, "16 units: " + world.tallyOf(2).service());
-    assertTrue(world.tallyOf(3).asked > 5 && world.tallyOf(3).service() > 0.5,
-        "40 units: " + world.tallyOf(3).service());
+    assertTrue(world.tallyOf(3).asked > 5 && world.tallyOf(3).service() > 0.5, "40 units: "
+        + world.tallyOf(3).service());
   }
 
   @Test
   void aLargeRequestOfAFirmWithASmallQuotaIsServed() {
     FairQueueSimulation world = simulation(Order.FAIR, Cost.UNITS, 1);
     List<Load> loads = flood("open", 5);
-    // Its quota fills a bucket of 200 in two seconds: each of its requests takes one and a half of them.
+    // Two requests a second of 40 units each, by a quota of 100 units a second with a burst of 200.
     loads.add(new Load(11, "metered", 2, 1, 1, 40, 1, RetryBehaviour.OBEY));
     world.run(loads, 30_000);
     Tally large = world.tallyOf(11);
@@ -217,11 +219,11 @@
 
   @Test
   void slownessOfAllNodesDoesNotCollapseTheLimit() {
-    FairQueueSimulation world =
-        new FairQueueSimulation(1, settings(Cost.UNITS, 1), Order.FAIR, 1, 40, 4, 20, AIM_MS);
+    FairQueueSimulation world = new FairQueueSimulation(1, settings(Cost.UNITS, 1), Order.FAIR, 1, 40, 4, 20,
+        AIM_MS);
     world.run(List.of(load(1, "open", 600, 3), load(2, "open", 600, 3)), 10_000);
     double before = world.counts(0).limit();
-    // Each request takes over a second, and no queue at any node explains it.
+    // Each request takes more than a second although no node has a queue.
     world.slow(60);
     world.run(List.of(load(1, "open", 600, 3), load(2, "open", 600, 3)), 20_000);
     double slow = world.counts(0).limit();
@@ -243,7 +245,7 @@
       others[cost.ordinal()] = world.tallyOf(1).unitsServed;
       heavy[cost.ordinal()] = world.tallyOf(3).unitsServed * 10;
     }
-    // By units alone it has ten parts of the nodes' time beside one for each of the others.
+    // If cost is in units alone, the firm gets ten times the node time of each other firm.
     assertTrue(heavy[0] > 5 * others[0], heavy[0] + " beside " + others[0]);
     assertTrue(heavy[1] < 2 * others[1], heavy[1] + " beside " + others[1]);
   }
@@ -289,6 +291,6 @@
     assertEquals(0, world.counts(0).waiting());
     world.tell(0, new Draining(false));
     world.run(flood("open", 5), 1_000);
-    assertTrue(world.counts(0).waiting() > 0, "it serves on after all");
+    assertTrue(world.counts(0).waiting() > 0, "requests wait again after draining is cancelled");
   }
 }
