--- a/bench/foreign/server.js
+++ b/bench/foreign/server.js
@@ -1,5 +1,6 @@
-// envoy.service.auth.v3.Authorization by Node's gRPC runtime, from the published .proto files in the folder given.
-// Allows, or denies with 402 what bears an id that ends in 7. Prints its port, and each check's id and firm.
+// Policy server for envoy.service.auth.v3.Authorization on Node's gRPC runtime; the arguments are folders with the
+// published .proto files. Denies requests whose id ends in 7 with status 402 and allows all others. Prints its port,
+// and the id, method, path and firm of each check.
 const grpc = require('@grpc/grpc-js');
 const loader = require('@grpc/proto-loader');
 
--- a/bench/start.py
+++ b/bench/start.py
@@ -3,9 +3,9 @@
 
 usage: bench/start.py [--runs N] [--option=-XX:...] ROOT@FOLDER [ROOT@FOLDER]
 
-Each FOLDER, told from its checkout's ROOT (from where the archive was made), holds willowdoor.jar and
-willowdoor.jsa. With two folders the runs alternate between them, so
-that a shift of the machine's speed meets both, and the second is printed as a ratio of the first.
+Each FOLDER, relative to the ROOT of its checkout (where the class-data archive was made), holds willowdoor.jar
+and willowdoor.jsa. With two folders the runs alternate between them, so that a change of the machine's speed
+affects both; the figures of the second are also printed as ratios of the first.
 """
 import argparse, json, os, signal, socket, statistics, subprocess, tempfile, time
 
@@ -46,7 +46,7 @@
 
 
 def cpu_ms(pid):
-    """What all its threads have used so far; threads that have ended are not counted."""
+    """CPU time in ms of all threads that are still running; threads that have ended are not counted."""
     tasks = 0
     for task in os.listdir("/proc/%d/task" % pid):
         with open("/proc/%d/task/%s/schedstat" % (pid, task)) as f:
@@ -69,7 +69,7 @@
         try:
             while not up(port):
                 if door.poll() is not None or time.monotonic() - began > 30:
-                    raise SystemExit("%s did not come up" % folder)
+                    raise SystemExit("%s exited or did not answer /up within 30 s" % folder)
                 time.sleep(0.005)
             took = time.monotonic() - began
             cpu = cpu_ms(door.pid)
@@ -84,7 +84,7 @@
 def main():
     args = argparse.ArgumentParser(description=__doc__)
     args.add_argument("--runs", type=int, default=10)
-    args.add_argument("--option", action="append", default=[], help="one more option of the JVM; may be given again")
+    args.add_argument("--option", action="append", default=[], help="an additional JVM option; may be repeated")
     args.add_argument("folders", nargs="+")
     args = args.parse_args()
     for folder in args.folders:
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Builds the platform's jar, and beside it an archive of class data that makes the start cheap: the classes and
-# lambdas that a start itself loads (a rehearsal that is ended as soon as it listens), and those that the tests of the
-# front door and of its warm-up load. Without the archive it runs all the same.
+# Builds the platform's jar and a class-data archive (CDS) that makes the start cheaper. The archive holds the classes
+# and lambdas loaded by a trial start, which is ended as soon as it listens, and those loaded by the tests of the front
+# door and of its warm-up. The jar also runs without the archive.
 set -e
 mvn -q -B -DskipTests -pl door -am package
 mvn -q -B -pl door -am test -Dtest=FrontDoorTest,WarmUpTest -Dsurefire.failIfNoSpecifiedTests=false \
@@ -21,4 +21,4 @@
 cat door/target/started.lst door/target/served.lst 2> /dev/null | awk '!seen[$0]++' > door/target/classes.lst
 java -Xshare:dump -XX:+UseSerialGC -Xlog:disable -Xlog:all=off -XX:SharedClassListFile=door/target/classes.lst \
   -XX:SharedArchiveFile=door/target/willowdoor.jsa -jar door/target/willowdoor.jar > door/target/archive.log 2>&1 ||
-  echo "no class-data archive: see door/target/archive.log" >&2
+  echo "could not create the class-data archive: see door/target/archive.log" >&2
--- a/testkit/src/main/java/willowdoor/testkit/BackendPool.java
+++ b/testkit/src/main/java/willowdoor/testkit/BackendPool.java
@@ -11,20 +11,26 @@
 import willowdoor.testkit.StandInDiscovery.Listed;
 
 /**
- * All backends of a run, what they remember together (the keys whose repeats they drop), and their place in
- * discovery's list. A change reaches the list late, as the roll sees it.
+ * All backends of a run, the idempotency keys that they remember together, and their entries in discovery.
+ * Kills and restarts reach discovery after a delay.
  */
 public final class BackendPool {
 
   /**
-   * Keys remembered at the most; the oldest go first, and a run that comes so far is too large for the rig.
+   * Number of remembered keys at which expired ones are removed; a run that reaches it is too large for this
+   * environment.
    */
   private static final int MAX_KEYS = 500_000;
 
-  /** How the backends of a park are made: work a request between the two, in milliseconds on one core. */
+  /**
+   * Shape of the backends of a pool. The work of a request is drawn between the two bounds, in milliseconds
+   * on one core.
+   *
+   * @param queue requests that may wait at each backend
+   */
   public record BackendSpec(int backends, int cores, int queue, double minWorkMs, double maxWorkMs) {
 
-    /** The shape that the judge goes by. */
+    /** The capacity that {@link InvariantChecker} assumes. */
     public InvariantChecker.BackendCapacity capacity() {
       return new InvariantChecker.BackendCapacity(cores, (minWorkMs + maxWorkMs) / 2);
     }
@@ -40,10 +46,9 @@
   private final List<StandInBackend> backends = new ArrayList<>();
   private boolean exactUnits;
 
-  /** Starts the backends, half of them in each of two zones, all warm, and lists them. */
+  /** Starts the backends, half of them in each of two zones, all warm, and publishes them. */
   public BackendPool(EventLoopGroup group, EventHistory eventHistory, RunSettings runSettings,
-      StandInDiscovery discovery,
-      BackendSpec spec,
+      StandInDiscovery discovery, BackendSpec spec,
       long seed) {
     this.group = group;
     this.eventHistory = eventHistory;
@@ -59,7 +64,7 @@
     }
   }
 
-  /** From here on requests cost what they name. */
+  /** From now on requests cost exactly the units that they name. */
   public synchronized void chargeNamedUnits() {
     exactUnits = true;
   }
@@ -88,12 +93,12 @@
     return backends.get(number);
   }
 
-  /** Work of one request, in milliseconds on one core. */
+  /** Draws the work of one request, in milliseconds on one core. */
   synchronized double drawWorkMs() {
     return spec.minWorkMs() + random.nextDouble() * (spec.maxWorkMs() - spec.minWorkMs());
   }
 
-  /** The true units of a request that names so many. */
+  /** Draws the units that a request actually costs, given the units that it names. */
   synchronized int trueUnits(int named) {
     if (exactUnits) {
       return named;
@@ -101,7 +106,10 @@
     return Math.max(1, Math.min(RunSettings.MAX_UNITS, named + random.nextInt(3) - 1));
   }
 
-  /** Remembers a key from the moment its effect runs; false when it is remembered already: a repeat. */
+  /**
+   * Remembers a key from the moment its effect runs; returns false when the key is remembered already, for a
+   * repeat.
+   */
   synchronized boolean rememberIfNew(String key) {
     double nowMs = eventHistory.now();
     if (keys.size() >= MAX_KEYS) {
@@ -119,17 +127,17 @@
     discovery.publish(new Listed(backend.name(), backend.address(), backend.zone(), state, startedMs));
   }
 
-  /** Tells the list that it drains; it finishes what it has, and goes on answering what still comes. */
+  /** Publishes that a backend is draining; the backend finishes its work and still answers new requests. */
   public void drain(StandInBackend backend) {
     publish(backend, "leaving", 0);
   }
 
-  /** Tells the list that it serves again, as it did before. */
+  /** Publishes that a drained backend serves again, as it did before. */
   public void undrain(StandInBackend backend) {
     publish(backend, "active", 0);
   }
 
-  /** Kills its process; the list says so the given time later. */
+  /** Kills a backend; discovery reports it after the given delay. */
   public void kill(StandInBackend backend, long noticeMs) {
     backend.kill();
     group.next().schedule(() -> {
@@ -139,7 +147,7 @@
     }, noticeMs, TimeUnit.MILLISECONDS);
   }
 
-  /** Starts it again, cold; the list says so the given time later. */
+  /** Restarts a backend, cold; discovery reports it after the given delay. */
   public void restart(StandInBackend backend, long noticeMs) {
     long startedMs = System.currentTimeMillis();
     backend.listen(true);
@@ -150,17 +158,17 @@
     }, noticeMs, TimeUnit.MILLISECONDS);
   }
 
-  /** Kills all backends of a zone at once. */
+  /** Kills all backends of a zone at the same time. */
   public void killZone(String zone, long noticeMs) {
     backends.stream().filter(b -> b.zone().equals(zone) && b.isAlive()).forEach(b -> kill(b, noticeMs));
   }
 
-  /** Brings a zone's backends back, cold. */
+  /** Restarts all backends of a zone that are down, cold. */
   public void restartZone(String zone, long noticeMs) {
     backends.stream().filter(b -> b.zone().equals(zone) && !b.isAlive()).forEach(b -> restart(b, noticeMs));
   }
 
-  /** Where all backends listen, by name. */
+  /** Addresses of all backends, by name. */
   public Map<String, InetSocketAddress> addresses() {
     Map<String, InetSocketAddress> all = new HashMap<>();
     backends.forEach(b -> all.put(b.name(), b.address()));
--- a/testkit/src/main/java/willowdoor/testkit/ClientFleet.java
+++ b/testkit/src/main/java/willowdoor/testkit/ClientFleet.java
@@ -36,12 +36,11 @@
 import willowdoor.testkit.LoadStatistics.TryOutcome;
 
 /**
- * The members' purchasing systems: firms that ask at their own pace (a seeded Poisson stream over all), over
- * kept connections to the doors of each firm's set, with up to two retries after a wait. A try that was cut
- * on a kept connection with nothing answered goes out once more on a new one, as the protocol allows. All on
- * one event loop; at most {@value #MAX_OUTSTANDING_TRIES} tries are out, beyond which no new one is begun and
- * that is
- * counted.
+ * Clients of the gateway: the members' purchasing systems. Requests arrive as one seeded Poisson process over
+ * all firms and are sent over kept-alive connections to the doors of each firm's set, with up to two retries
+ * after a delay. A try whose reused connection was closed without an answer is sent once more on a new
+ * connection, as HTTP allows. Runs on one event loop. At most {@value #MAX_OUTSTANDING_TRIES} tries are
+ * outstanding; tries due beyond that are skipped and counted.
  */
 public final class ClientFleet {
 
@@ -55,9 +54,12 @@
   private static final long REPEAT_DELAY_MS = 300;
 
   /**
-   * What the fleet asks: this many requests a second over so many firms, a part of them heavy.
+   * The load that the fleet generates: a request rate over a number of firms, a share of them heavy.
    *
-   * @param uneven most of a firm's requests come through one or two doors of its set, and these change every
+   * @param heavyWeight weight of a heavy firm in the request rate; that of any other is 1
+   * @param maxSpread bound on the number of doors in a firm's set; a set has at least two doors when there
+   *     are two
+   * @param uneven most of a firm's requests go through one or two doors of its set, and these change every
    *     {@value #BUSIEST_DOORS_PERIOD_MS} ms
    */
   public record Load(double requestsPerSecond, int firms, double heavyShare, double heavyWeight,
@@ -90,8 +92,7 @@
   private volatile boolean running;
 
   public ClientFleet(EventLoop loop, EventHistory eventHistory, RunSettings runSettings,
-      List<? extends Door> doors,
-      Load load,
+      List<? extends Door> doors, Load load,
       long seed) {
     this.loop = loop;
     this.eventHistory = eventHistory;
@@ -116,27 +117,27 @@
     return runSettings.plans().get(firm % 3 == 0 ? 0 : Math.min(1, runSettings.plans().size() - 1));
   }
 
-  /** Its figures so far. */
+  /** Statistics so far. */
   public LoadStatistics statistics() {
     return statistics;
   }
 
-  /** Tries sent so far. */
+  /** Number of tries sent so far. */
   public long sentTries() {
     return sentTries.get();
   }
 
-  /** Tries that were due and not begun, as too many were out. */
+  /** Number of tries that were due but skipped, because too many were outstanding. */
   public long skippedTries() {
     return skippedTries.get();
   }
 
-  /** Tries without their end yet. */
+  /** Number of outstanding tries. */
   public int outstanding() {
     return outstanding.get();
   }
 
-  /** Doors that take requests now. */
+  /** Number of doors that receive requests now. */
   public int doorsUp() {
     return doorHealth.up();
   }
@@ -145,7 +146,7 @@
     return doorHealth.up(door);
   }
 
-  /** Begins to ask. */
+  /** Starts sending requests. */
   public void start() {
     running = true;
     loop.execute(() -> {
@@ -155,8 +156,8 @@
   }
 
   /**
-   * Has the first firm ask as often beside its share of the load, by so many clients, each of which names
-   * itself; one that is told when to come back asks the same door then.
+   * Adds a flood of requests of the first firm at this rate, from a number of clients that identify
+   * themselves; a client that gets a Retry-After time repeats the request at the same door at that time.
    */
   public void flood(double perSecond, int clients) {
     loop.execute(() -> flood(perSecond, clients, eventHistory.now()));
@@ -185,15 +186,14 @@
     return Math.min(RunSettings.MAX_UNITS, 1 + (int) (-Math.log(1 - random.nextDouble()) * 1.2));
   }
 
-  /** Asks nothing new; what is out runs to its end. */
+  /** Stops sending new requests; outstanding ones are completed. */
   public void stop() {
     running = false;
   }
 
   /**
-   * Has every firm ask for one unit, again and again until it is served. A door settles what a firm's
-   * requests
-   * truly cost with the firm's next request.
+   * Lets every firm request one unit repeatedly until it is served. A door settles the actual cost of a
+   * firm's requests with the firm's next request.
    */
   public void askOnceEach() {
     loop.execute(() -> {
@@ -205,12 +205,12 @@
     });
   }
 
-  /** Firms that have not been served since then. */
+  /** Number of firms not served yet since {@link #askOnceEach}. */
   public int unservedFirms() {
     return unservedFirms.get();
   }
 
-  /** The firms' identifiers. */
+  /** Identifiers of all firms. */
   public List<String> firms() {
     return firms.stream().map(Firm::id).toList();
   }
@@ -227,7 +227,7 @@
     t.start();
   }
 
-  /** Ends its looks at the doors too. */
+  /** Stops sending, stops the health checks and closes idle connections. */
   public void close() {
     stop();
     doorHealth.stop();
@@ -273,14 +273,14 @@
     return firms.get(firms.size() - 1);
   }
 
-  /** Which door of the set is tried first. */
+  /** Offset, in the firm's set, of the door that is tried first. */
   private int chooseOffset(Firm firm) {
     if (!load.uneven()) {
       return random.nextInt(firm.spread());
     }
-    // A firm's busiest doors follow from its number and the span of time.
-    Random busiest =
-        new Random(31 * firm.id().hashCode() + (long) (eventHistory.now() / BUSIEST_DOORS_PERIOD_MS +
+    // A firm's busiest doors are derived from its id and the current period.
+    Random busiest = new Random(31 * firm.id().hashCode()
+        + (long) (eventHistory.now() / BUSIEST_DOORS_PERIOD_MS +
         (firm.id().hashCode() & 15) / 16.0));
     double[] weights = new double[firm.spread()];
     double sum = 0;
@@ -296,7 +296,7 @@
     return i;
   }
 
-  /** One try of a client, from its being due to its end. */
+  /** One try of a client, from the time it is due to its outcome. */
   private final class Try {
     private final Firm firm;
     private final RequestKind kind;
@@ -309,9 +309,9 @@
     private final double firstDueMs;
     private Door door;
     private DoorConnection connection;
-    /** Which of a flooding firm's clients this is; 0 is any. */
+    /** Number of the client among a flooding firm's clients; 0 when the request names no client. */
     private int client;
-    /** Where it was told to come back now; null where it was not. */
+    /** The door that asked for a retry at this time by Retry-After; null for any other try. */
     private Door returnDoor;
     private boolean resent;
     private boolean ended;
@@ -332,14 +332,14 @@
     void start() {
       outstanding.incrementAndGet();
       sentTries.incrementAndGet();
-      door = returnDoor != null ? returnDoor
-          : doorHealth.choose(firm.first(), firm.spread(), chooseOffset(firm));
+      door = returnDoor != null ? returnDoor : doorHealth.choose(firm.first(), firm.spread(),
+          chooseOffset(firm));
       if (door == null) {
         end(TryOutcome.NO_DOOR, 0);
         return;
       }
-      eventHistory.registerRequest(
-          new ClientRequest(id, firm.id(), firm.plan(), kind, key, units, timeoutMs, number, dueMs));
+      eventHistory.registerRequest(new ClientRequest(id, firm.id(), firm.plan(), kind, key, units, timeoutMs,
+          number, dueMs));
       timer = loop.schedule(() -> {
         if (!ended) {
           eventHistory.addRequestEntry(Kind.GAVE_UP, id, door.name(), 0, "");
@@ -451,7 +451,7 @@
 
     void onWriteFailed() {
       if (!ended) {
-        eventHistory.addRequestEntry(Kind.NOT_TAKEN, id, door.name(), 0, "not written whole");
+        eventHistory.addRequestEntry(Kind.NOT_TAKEN, id, door.name(), 0, "not written completely");
         end(TryOutcome.NOT_TAKEN, 0);
       }
     }
@@ -492,7 +492,7 @@
     }
   }
 
-  /** One kept connection to a door. */
+  /** One kept-alive connection to a door. */
   private final class DoorConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final Door door;
     private Channel channel;
@@ -531,7 +531,8 @@
       current = null;
       reused = true;
       if (answeredTry == null) {
-        throw new IllegalStateException(String.format(Locale.ROOT, "%s answered unasked", door.name()));
+        throw new IllegalStateException(String.format(Locale.ROOT, "%s sent an answer without a request",
+            door.name()));
       }
       if (HttpUtil.isKeepAlive(answer)) {
         idleConnections.computeIfAbsent(door, d -> new ArrayDeque<>()).addLast(this);
--- a/testkit/src/main/java/willowdoor/testkit/Door.java
+++ b/testkit/src/main/java/willowdoor/testkit/Door.java
@@ -3,26 +3,26 @@
 import java.net.InetSocketAddress;
 
 /**
- * A door of a run, whatever it is made of: a child process, or one inside the test's own process. Every
- * method notes in the ledger what it did to the door.
+ * A door of a run, either a child process or an instance inside the test's own process. Every method that
+ * changes the door records it in the event history.
  */
 public interface Door {
 
-  /** Its name, the same after a restart. */
+  /** Name of the door, the same after a restart. */
   String name();
 
-  /** Where clients connect. */
+  /** Address that clients connect to. */
   InetSocketAddress address();
 
-  /** Starts it, or starts it again; gives back at once. */
+  /** Starts or restarts the door without waiting until it is ready. */
   void start();
 
-  /** Kills it outright. */
+  /** Kills the door immediately. */
   void kill();
 
-  /** Asks it to end in order; it ends when it has answered all that it took. */
+  /** Asks the door for a graceful shutdown; it ends when all accepted requests have been answered. */
   void terminate();
 
-  /** True while it has a process. */
+  /** Returns true while the door is running. */
   boolean isAlive();
 }
--- a/testkit/src/main/java/willowdoor/testkit/DoorHealthChecker.java
+++ b/testkit/src/main/java/willowdoor/testkit/DoorHealthChecker.java
@@ -22,8 +22,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * What stands before the doors: asks each for {@code GET /up} at a steady pace and deals requests among those
- * that answer 200. A dead door is noticed late, as in service: after so many failed looks in a row.
+ * Load balancer stand-in in front of the doors: sends {@code GET /up} to each door at a fixed interval and
+ * distributes requests among the doors that answer 200. As in service, a dead door is detected late, after
+ * {@value #FAILURES_TO_MARK_DOWN} failed checks in a row.
  */
 final class DoorHealthChecker {
 
@@ -31,7 +32,7 @@
   private static final int FAILURES_TO_MARK_DOWN = 4;
   private static final long CHECK_TIMEOUT_MS = 1_000;
 
-  /** What it knows of one door. */
+  /** Health of one door. */
   private final class DoorStatus {
     private final Door door;
     private volatile boolean up;
@@ -72,8 +73,8 @@
           }).connect(door.address());
       connecting.addListener((ChannelFuture c) -> {
         if (c.isSuccess()) {
-          DefaultFullHttpRequest request =
-              new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/up");
+          DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
+              "/up");
           request.headers().set("Host", "door").set("Connection", "close");
           c.channel().writeAndFlush(request);
         }
@@ -107,7 +108,7 @@
     stopped = true;
   }
 
-  /** How many doors it deals to now. */
+  /** Number of doors that currently receive requests. */
   int up() {
     return (int) statuses.stream().filter(p -> p.up).count();
   }
@@ -116,7 +117,7 @@
     return statuses.get(door).up;
   }
 
-  /** The door of the set at that offset, or the next one that it holds for up, or null. */
+  /** Chooses the door of the set at the given offset, or the next one that is up; null when none is. */
   Door choose(int first, int spread, int offset) {
     for (int i = 0; i < spread; i++) {
       DoorStatus status = statuses.get((first + (offset + i) % spread) % statuses.size());
--- a/testkit/src/main/java/willowdoor/testkit/DoorProcess.java
+++ b/testkit/src/main/java/willowdoor/testkit/DoorProcess.java
@@ -16,13 +16,16 @@
 import willowdoor.testkit.EventHistory.Kind;
 
 /**
- * A door that is a child process of its own, with signals. Ended and killed with the run: every process that
- * was started here is known by its handle, and no other is touched.
+ * A door that runs as a child process and can be sent signals. Only processes started here, or by a door
+ * itself and tracked here, are ever signalled, and all of them end with the run.
  */
 public final class DoorProcess implements Door {
 
   private static final double TICKS_PER_S = 100;
-  /** Ended with this process, also where that is told to end: left behind they would ask others' backends. */
+  /**
+   * Doors whose processes end with this JVM, also when it is terminated by a signal: left behind, they would
+   * send requests to backends of other runs.
+   */
   private static final Set<DoorProcess> ALL = ConcurrentHashMap.newKeySet();
 
   static {
@@ -36,15 +39,15 @@
   private final Map<String, String> environment;
   private final File log;
   private Process process;
-  /** A process that was replaced and has not ended yet. */
+  /** A process that has been replaced and may still be running. */
   private Process replacedProcess;
   private boolean killed;
-  /** The process that a door's own process started in its place; 0 for none. */
+  /** Process id of a successor started by the door's own process; 0 for none. */
   private long successorPid;
 
   /**
-   * A door by the command that the supplier gives at each start (it may write a fresh configuration first).
-   * What it prints goes to the end of the log.
+   * A door that is started with the command that the supplier returns at each start (the supplier may write a
+   * new configuration first). Output is appended to the log.
    */
   public DoorProcess(String name, InetSocketAddress address, EventHistory eventHistory,
       Supplier<List<String>> command,
@@ -80,7 +83,7 @@
     recordExit(process);
   }
 
-  /** Starts a second process by the command, to take the address over from the one that runs. */
+  /** Starts a second process that takes over the address from the running one. */
   public synchronized Process replace(List<String> takeOver) {
     replacedProcess = process;
     process = launch(takeOver);
@@ -92,19 +95,19 @@
     return replacedProcess;
   }
 
-  /** The process that runs now, or ran last. */
+  /** The process that is running now, or ran last. */
   public synchronized Process process() {
     return process;
   }
 
-  /** From here on the door is that process too, which its own process has started; 0 for no other. */
+  /** From now on the door also includes that process, which its own process has started. */
   synchronized void followSuccessor(long pid) {
     if (process == null || pid != process.pid()) {
       successorPid = pid;
     }
   }
 
-  /** Whether there is such a process, and not only its name. */
+  /** Returns true when a process with that id exists and is not a zombie. */
   static boolean isRunning(long pid) {
     try {
       String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
@@ -125,7 +128,7 @@
       builder.environment().putAll(environment);
       return builder.start();
     } catch (IOException e) {
-      throw new UncheckedIOException(name + " could not be started by " + commandLine, e);
+      throw new UncheckedIOException(name + " could not be started with command " + commandLine, e);
     }
   }
 
@@ -133,8 +136,8 @@
     started.onExit().thenAccept(p -> {
       synchronized (this) {
         if (!killed || p != process) {
-          eventHistory.addMachineEntry(
-              new Entry(eventHistory.now(), Kind.EXITED, name, "", p.exitValue(), ""));
+          eventHistory.addMachineEntry(new Entry(eventHistory.now(), Kind.EXITED, name, "", p.exitValue(),
+              ""));
         }
       }
     });
@@ -150,7 +153,7 @@
   }
 
   private void killProcesses() {
-    // The older first, so that it can't start another.
+    // The older process is killed first, so that it can't start another.
     for (Process p : new Process[] {replacedProcess, process}) {
       if (p != null && p.isAlive()) {
         p.destroyForcibly();
@@ -177,7 +180,7 @@
     }
   }
 
-  /** Stops it (SIGSTOP) or has it go on (SIGCONT). */
+  /** Suspends (SIGSTOP) or continues (SIGCONT) the door. */
   public synchronized void setSuspended(boolean on) {
     if (isAlive()) {
       if (on) {
@@ -190,7 +193,7 @@
     }
   }
 
-  /** Sends a signal by its name. */
+  /** Sends a signal, by name, to every running process of the door. */
   public void signal(String signal) {
     try {
       for (long pid : new long[] {process.pid(), successorPid}) {
@@ -210,7 +213,7 @@
     return hasOwnProcess() || isRunning(successorPid);
   }
 
-  /** Waits for the process to end; true when it has. */
+  /** Waits for the process to end, for {@code ms} milliseconds at most; returns true when it has ended. */
   public static boolean join(Process process, long ms) {
     try {
       return process.waitFor(ms, TimeUnit.MILLISECONDS);
@@ -220,7 +223,7 @@
     }
   }
 
-  /** Resident memory in megabytes; 0 when it has no process. */
+  /** Resident memory in megabytes; 0 when there is no process. */
   public double residentMb() {
     try {
       return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
@@ -231,7 +234,7 @@
     }
   }
 
-  /** CPU used so far in seconds; 0 when it has no process. */
+  /** CPU time used so far, in seconds; 0 when there is no process. */
   public double cpuSeconds() {
     try {
       String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
@@ -242,7 +245,7 @@
     }
   }
 
-  /** Ends every process of it at once, without a word in the ledger: the run is over. */
+  /** Kills every process of the door without an entry in the event history, because the run is over. */
   public synchronized void close() {
     killProcesses();
     ALL.remove(this);
--- a/testkit/src/main/java/willowdoor/testkit/FaultInjector.java
+++ b/testkit/src/main/java/willowdoor/testkit/FaultInjector.java
@@ -11,14 +11,14 @@
 import java.util.logging.Logger;
 
 /**
- * Faults by a schedule that one seed gives: what breaks, when, and for how long. A schedule is a plain list,
- * so that a test writes its own and a run prints the one it drew.
+ * Injects faults by a schedule that is drawn from a seed: what fails, when, and for how long. A schedule is a
+ * plain list, so that a test can write its own and a run can print the one it drew.
  */
 public final class FaultInjector implements AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(FaultInjector.class.getName());
 
-  /** What breaks. The target is a door's or a backend's number, and means nothing to the others. */
+  /** What fails. The target is the number of a door, backend or authoriser; the other kinds ignore it. */
   public enum FaultKind {
     KILL_DOOR, STOP_DOOR, END_DOOR,
     KILL_BACKEND, DRAIN_BACKEND, REFUSE_BACKEND, ERRORS_BACKEND, RESETS_BACKEND, STALLS_BACKEND,
@@ -29,12 +29,12 @@
     GOES_AWAY_AUTHORISER, KILL_AUTHORISER
   }
 
-  /** One fault; after it has lasted, what it broke is put right again. */
+  /** One fault; it is undone after it has lasted {@code lastsMs}. */
   public record Fault(double atMs, FaultKind what, int target, double lastsMs) { }
 
   private static final double SLOW_COUNTER_MS = 30;
   private static final long DISCOVERY_DELAY_MS = 1_500;
-  /** Later than any door waits for an authoriser. */
+  /** Longer than any door waits for an authoriser. */
   private static final long LATE_AUTHORISER_MS = 2_500;
 
   private final TestEnvironment environment;
@@ -51,7 +51,9 @@
     this.doors = doors;
   }
 
-  /** Kills so many different doors within a span, each for as long as the two bounds say. */
+  /**
+   * Draws kills of different doors within a time span, each door being down for a time between two bounds.
+   */
   public static List<Fault> kills(long seed, int doors, int kills, double fromMs, double withinMs,
       double minDownMs, double maxDownMs) {
     Random random = new Random(seed);
@@ -69,7 +71,7 @@
     return faults;
   }
 
-  /** Draws so many faults of the given kinds. */
+  /** Draws faults of the given kinds. */
   public static List<Fault> draw(long seed, int faults, List<FaultKind> kinds, int targets, double fromMs,
       double toMs,
       double minMs, double maxMs) {
@@ -84,7 +86,7 @@
     return drawn;
   }
 
-  /** Causes them at their times, counted from now. */
+  /** Schedules the faults at their times, counted from now. */
   public void inject(List<Fault> schedule) {
     for (Fault f : schedule) {
       timer.schedule(() -> applySafely(f, true), (long) f.atMs(), TimeUnit.MILLISECONDS);
@@ -92,7 +94,7 @@
     }
   }
 
-  /** Faults that have begun. */
+  /** Number of faults that have started. */
   public synchronized int startedFaults() {
     return startedFaults;
   }
@@ -106,7 +108,7 @@
       }
       apply(fault, active);
     } catch (RuntimeException e) {
-      LOG.log(Level.WARNING, "could not cause or mend " + fault, e);
+      LOG.log(Level.WARNING, "could not start or undo fault " + fault, e);
     }
   }
 
@@ -145,8 +147,8 @@
         }
       }
       case STALLS_AUTHORISER, DENIES_AUTHORISER, RESETS_AUTHORISER, SPOILS_AUTHORISER, LATE_AUTHORISER,
-          GOES_AWAY_AUTHORISER,
-          KILL_AUTHORISER -> applyToAuthoriser(fault.what(), environment.authorisers().get(fault.target()),
+          GOES_AWAY_AUTHORISER, KILL_AUTHORISER -> applyToAuthoriser(fault.what(),
+              environment.authorisers().get(fault.target()),
               active);
       default -> applyToBackend(fault.what(), environment.backendPool().backend(fault.target()), active);
     }
@@ -189,17 +191,17 @@
         }
       }
       case REFUSE_BACKEND -> backend.refuseConnections(active);
-      case ERRORS_BACKEND ->
-          backend.setBehaviour(active ? StandInBackend.Behaviour.ERRORS : StandInBackend.Behaviour.WELL);
-      case RESETS_BACKEND ->
-          backend.setBehaviour(active ? StandInBackend.Behaviour.RESETS : StandInBackend.Behaviour.WELL);
-      case STALLS_BACKEND ->
-          backend.setBehaviour(active ? StandInBackend.Behaviour.STALLS : StandInBackend.Behaviour.WELL);
-      case SPOILS_BACKEND ->
-          backend.setBehaviour(active ? StandInBackend.Behaviour.SPOILS : StandInBackend.Behaviour.WELL);
-      case SLOW_BACKEND ->
-          backend.setBehaviour(active ? StandInBackend.Behaviour.SLOW : StandInBackend.Behaviour.WELL);
-      default -> throw new IllegalArgumentException("what: " + kind + " (expected: a fault of a backend)");
+      case ERRORS_BACKEND -> backend.setBehaviour(active ? StandInBackend.Behaviour.ERRORS
+          : StandInBackend.Behaviour.WELL);
+      case RESETS_BACKEND -> backend.setBehaviour(active ? StandInBackend.Behaviour.RESETS
+          : StandInBackend.Behaviour.WELL);
+      case STALLS_BACKEND -> backend.setBehaviour(active ? StandInBackend.Behaviour.STALLS
+          : StandInBackend.Behaviour.WELL);
+      case SPOILS_BACKEND -> backend.setBehaviour(active ? StandInBackend.Behaviour.SPOILS
+          : StandInBackend.Behaviour.WELL);
+      case SLOW_BACKEND -> backend.setBehaviour(active ? StandInBackend.Behaviour.SLOW
+          : StandInBackend.Behaviour.WELL);
+      default -> throw new IllegalArgumentException("what: " + kind + " (expected: a backend fault)");
     }
   }
 
--- a/testkit/src/main/java/willowdoor/testkit/FaultyLink.java
+++ b/testkit/src/main/java/willowdoor/testkit/FaultyLink.java
@@ -21,29 +21,30 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A link between two processes that breaks when told to: whoever connects here is connected to the target.
- * What is held is not lost, as with TCP over a network that was away: it comes when the link is whole again.
+ * A TCP proxy between two processes that injects network faults. Every connection made to it is forwarded to
+ * the target. Data held back during a fault is not lost, as with TCP over an interrupted network: it is
+ * delivered when the link works again.
  *
- * <p>Bound: {@value #MAX_BUFFERED_BYTES} bytes of each direction of a connection; beyond it the sender is not
- * read.
+ * <p>Bound: about {@value #MAX_BUFFERED_BYTES} bytes in each direction of a connection; beyond it, the sender
+ * is not read.
  */
 public final class FaultyLink implements AutoCloseable {
 
-  /** How the link is. */
+  /** State of the link. */
   public enum Mode {
-    /** Whole. */
+    /** Forwards everything. */
     WHOLE,
-    /** Connections are ended, and new ones too. */
+    /** Open connections are closed, and so are new ones. */
     CUT,
-    /** Nothing comes through either way, and nothing ends. */
+    /** Nothing is forwarded in either direction, not even a close. */
     SILENT,
-    /** What the one that connected says doesn't come through. */
+    /** Data from the connecting side is held back. */
     DEAF,
-    /** What the target says doesn't come through. */
+    /** Data from the target is held back. */
     MUTE,
-    /** Each piece comes late, in order, by a time that differs. */
+    /** Each chunk is delayed by a random time; the order is kept. */
     LATE,
-    /** One byte at a time. */
+    /** Forwards one byte at a time. */
     TRICKLE
   }
 
@@ -60,7 +61,7 @@
   private final AtomicLong bytesForwarded = new AtomicLong();
   private volatile Mode mode = Mode.WHOLE;
 
-  /** A whole one. */
+  /** Starts a proxy that forwards everything. */
   public FaultyLink(EventLoopGroup group, InetSocketAddress target, long seed) {
     loop = group.next();
     this.target = target;
@@ -75,17 +76,17 @@
         }).bind(StandIns.anyAddress()).syncUninterruptibly().channel();
   }
 
-  /** Where to connect in the target's place. */
+  /** Address to connect to in place of the target's. */
   public InetSocketAddress address() {
     return (InetSocketAddress) serverChannel.localAddress();
   }
 
-  /** Bytes that came through, both ways together. */
+  /** Bytes forwarded so far, both directions together. */
   public long bytesForwarded() {
     return bytesForwarded.get();
   }
 
-  /** Has it be so from here on. */
+  /** Sets the state of the link. */
   public void setMode(Mode newMode) {
     mode = newMode;
     loop.execute(() -> {
--- a/testkit/src/main/java/willowdoor/testkit/InvariantChecker.java
+++ b/testkit/src/main/java/willowdoor/testkit/InvariantChecker.java
@@ -14,30 +14,36 @@
 import willowdoor.testkit.RunSettings.PlanTerms;
 
 /**
- * Reads a ledger when the run is over and holds it to the five rules. It knows what clients, backends and
- * machines saw and nothing of the doors' insides, so it can't share their mistakes.
+ * Checks the event history of a finished run against the invariants of {@link Rule}. The checker knows only
+ * what clients, backends and processes observed and nothing of the doors' internal state, so that it can't
+ * share a door's errors.
  *
- * <p>What it lets pass: a request whose door was killed or stopped while it was out; a request on a kept
- * connection that was cut unanswered, when the client sent it again (a door may end a connection between
- * requests); a request whose client left first.
+ * <p>Requests that are excused: those whose door was killed or stopped while they were outstanding; those on
+ * a reused connection that was closed without an answer and that the client sent again (a door may close a
+ * connection between requests); and those whose client disconnected first.
  */
 public final class InvariantChecker {
 
-  /** Later than this after the client's time ran out, or after the grace, is late; for scheduling alone. */
+  /**
+   * Tolerance for scheduling delays when an answer or attempt is compared with a deadline or the drain grace
+   * period.
+   */
   public static final double DEADLINE_SLACK_MS = 50;
-  /** The ceiling's slack is wider by what its rate gives in this time, as moments of arrival scatter. */
+  /** Widens a ceiling's slack by what its rate grants in this time, because arrival times vary. */
   private static final double ARRIVAL_JITTER_MS = 150;
-  /** A connection's end may be seen so long after what was written later on another one. */
+  /**
+   * The close of a connection may be observed up to this long after data written later on another connection.
+   */
   private static final double CLOSE_REORDERING_MS = 20;
-  /** Work sent to a cold backend may be over its budget by so many attempts, for chance. */
+  /** Attempts by which work sent to a cold backend may exceed its limit, to allow for random variation. */
   private static final double COLD_SPARE_ATTEMPTS = 4;
 
-  /** What can be broken. */
+  /** Invariants that a run must keep. */
   public enum Rule { ANSWERED_ONCE, EFFECT_ONCE, ONE_ATTEMPT_OUT, REFUSED_HARMLESS, DRAIN_KEPT, COLD_SPARED,
       CEILING_KEPT, CHECKED_ONCE, ALLOWED_FIRST, BUDGET_KEPT, SENT_TO_NONE_OUT, PERMIT_ONE_HOLDER,
       TWO_VERSIONS, HALT_KEPT, WAY_BACK_ENDS }
 
-  /** One break of a rule: what happened, and the history of the request or machine, in order. */
+  /** One violation of a rule: a description, and the history of the request, door or backend, in order. */
   public record Violation(Rule rule, String description, List<Entry> history) {
 
     @Override
@@ -48,16 +54,16 @@
     }
   }
 
-  /** The verdict, with the figures that stand beside it. */
+  /** The violations found, and how many requests ended in each way. */
   public record Verdict(List<Violation> violations, int requests, int served, int refused, int failed,
       int excused) {
 
-    /** True when no rule was broken. */
+    /** Returns true when no rule was violated. */
     public boolean passed() {
       return violations.isEmpty();
     }
 
-    /** How many breaks of one rule there are. */
+    /** Number of violations of one rule. */
     public long count(Rule rule) {
       return violations.stream().filter(b -> b.rule() == rule).count();
     }
@@ -85,26 +91,29 @@
   private int failed;
   private int excused;
 
-  /** How large a backend is: what the rule on cold ones goes by. */
+  /**
+   * Capacity of a backend, for the rule on cold starts: its cores and the mean work of one request in
+   * milliseconds.
+   */
   public record BackendCapacity(int cores, double workMs) { }
 
   /**
-   * Which requests need an authoriser's allow.
+   * Which requests need an authoriser's approval.
    *
-   * @param required of those that are not, nothing is asked and nothing held
-   * @param idempotent checks may be repeated
+   * @param required selects the requests that need a check; for all others no check may be made
+   * @param idempotent true when a check may be repeated
    */
   public record Authorisation(Predicate<ClientRequest> required, boolean idempotent) { }
 
   /**
-   * How many may be out at once.
+   * How many doors and backends may be out of service on purpose at the same time.
    *
    * @param isDoor tells names of doors from those of backends
-   * @param countedOutAfterMs a door that was killed so long ago counts as out, until it is started again
+   * @param countedOutAfterMs a door killed more than this long ago counts as out until it is started again
    */
   public record Budgets(int doors, int backends, Predicate<String> isDoor, double countedOutAfterMs) { }
 
-  /** Holds operators' words to these too; null for none. */
+  /** Also checks permits, backends out and releases against these budgets; null checks none of them. */
   public InvariantChecker withBudgets(Budgets limits) {
     budgets = limits;
     return this;
@@ -114,7 +123,7 @@
     this(eventHistory, runSettings, capacity, null);
   }
 
-  /** With authorisation null, as without any. */
+  /** A checker of the given history; a null authorisation skips the rules on checks. */
   public InvariantChecker(EventHistory eventHistory, RunSettings runSettings, BackendCapacity capacity,
       Authorisation authorisation) {
     this.authorisation = authorisation;
@@ -123,11 +132,15 @@
     this.capacity = capacity;
   }
 
-  /** Holds the whole ledger to all rules. */
+  /**
+   * Checks the whole history against all rules.
+   *
+   * @throws IllegalStateException when the history overflowed and is incomplete
+   */
   public Verdict verdict() {
     if (eventHistory.overflowed()) {
-      throw new IllegalStateException("the ledger is over its " + EventHistory.MAX_ENTRIES
-          + " entries: no verdict");
+      throw new IllegalStateException("the event history exceeded " + EventHistory.MAX_ENTRIES
+          + " entries and is incomplete");
     }
     collectDoorDowntimes();
     Map<String, List<Entry>> histories = eventHistory.requestHistories();
@@ -159,7 +172,10 @@
     violations.add(new Violation(rule, description, history));
   }
 
-  /** The spans in which each door was no live door: from a kill to its start, from a stop to its going on. */
+  /**
+   * Collects the periods in which each door was unavailable: from a kill to the next start, and from SIGSTOP
+   * to SIGCONT.
+   */
   private void collectDoorDowntimes() {
     Map<String, Double> since = new HashMap<>();
     for (Entry e : eventHistory.machineEntries()) {
@@ -183,7 +199,7 @@
     return doorDowntimes.getOrDefault(door, List.of()).stream().anyMatch(s -> s[0] <= to && s[1] >= from);
   }
 
-  /** Rule 1: a request taken by a live door has exactly one final answer, in time. */
+  /** Rule 1: a request accepted by a running door gets exactly one final answer, within its timeout. */
   private void checkAnswers(ClientRequest request, List<Entry> history) {
     Entry lastSend = null;
     int answers = 0;
@@ -212,12 +228,13 @@
         case CUT -> {
           cutsOnReusedConnections += e.note().equals("kept") ? 1 : 0;
           if (forwarded && !wasDown(e.other(), request.dueMs(), e.atMs() + DEADLINE_SLACK_MS)) {
-            addViolation(Rule.ANSWERED_ONCE, "its connection was cut after it was sent on", history);
+            addViolation(Rule.ANSWERED_ONCE, "its connection was closed after it was forwarded", history);
             return;
           }
         }
         case LEFT -> clientLeft = true;
-        case FORGED -> addViolation(Rule.ANSWERED_ONCE, "served with what no backend made for it", history);
+        case FORGED -> addViolation(Rule.ANSWERED_ONCE, "answered with a body that no backend made for it",
+            history);
         default -> { }
       }
     }
@@ -247,7 +264,8 @@
   }
 
   /**
-   * Rule 2: no effect runs twice, and what was refused to the client has not run where it can't be undone.
+   * Rule 2: no effect that may run only once runs twice, and no request whose effect ran is refused unless a
+   * repeat of it is harmless.
    */
   private void checkEffects(ClientRequest request, List<Entry> history) {
     List<Entry> effects = history.stream().filter(e -> e.kind() == Kind.EFFECT).toList();
@@ -256,13 +274,16 @@
     }
     boolean wasRefused = history.stream().anyMatch(
         e -> e.kind() == Kind.ANSWERED && (e.amount() == 429 || e.amount() == 503));
-    // Where all backends drop repeats, a client that was refused may ask again whatever ran.
+    // When all backends drop repeats, a refused client may safely ask again even if the effect ran.
     if (!request.kind().isSafeToRepeat() && wasRefused && !effects.isEmpty()) {
       addViolation(Rule.REFUSED_HARMLESS, "refused, though its effect ran", history);
     }
   }
 
-  /** Asked about once unless that may be repeated, and nothing sent on before an allow or after a denial. */
+  /**
+   * A request is checked once unless checks are idempotent, and nothing is forwarded before an allow or after
+   * a denial.
+   */
   private void checkAuthorisation(ClientRequest request, List<Entry> history) {
     List<Entry> checks = history.stream().filter(e -> e.kind() == Kind.CHECKED).toList();
     boolean required = authorisation.required().test(request);
@@ -275,14 +296,17 @@
       allowed |= e.kind() == Kind.ALLOWED;
       denied |= e.kind() == Kind.DENIED;
       if (required && e.kind() == Kind.FIRST_BYTE && (!allowed || denied)) {
-        addViolation(Rule.ALLOWED_FIRST, denied ? "sent on though it was denied" : "sent on without an allow",
+        addViolation(Rule.ALLOWED_FIRST, denied ? "forwarded after a denial" : "forwarded without an allow",
             history);
         return;
       }
     }
   }
 
-  /** Never two attempts out: the second's last byte may not come while the first has not ended. */
+  /**
+   * Only one attempt is outstanding: the last byte of a second attempt may not arrive before the first has
+   * ended.
+   */
   private void checkSingleAttempt(String id, List<Entry> history) {
     Map<String, Entry> outstanding = new HashMap<>();
     double overlapMs = Double.NaN;
@@ -302,11 +326,14 @@
       }
     }
     if (!Double.isNaN(overlapMs)) {
-      addViolation(Rule.ONE_ATTEMPT_OUT, "two attempts of " + id + " out at once", history);
+      addViolation(Rule.ONE_ATTEMPT_OUT, "two attempts of " + id + " outstanding at once", history);
     }
   }
 
-  /** Rule 3: nothing new to a backend later than the grace after the door was told that it drains. */
+  /**
+   * Rule 3: no attempt reaches a backend later than the grace period after the door was told that it is
+   * draining.
+   */
   private void checkDrains(Map<String, List<Entry>> histories) {
     Map<String, TreeMap<Double, Boolean>> drainStates = new HashMap<>();
     for (Entry e : eventHistory.machineEntries()) {
@@ -322,9 +349,10 @@
           door = e.other();
         } else if (e.kind() == Kind.FIRST_BYTE && drainStates.containsKey(door + '>' + e.other())) {
           var lastNotice = drainStates.get(door + '>' + e.other()).floorEntry(e.atMs());
-          if (lastNotice != null && lastNotice.getValue() && e.atMs()
-              - lastNotice.getKey() > runSettings.drainGraceMs() + DEADLINE_SLACK_MS) {
-            addViolation(Rule.DRAIN_KEPT, String.format("sent to %s %.0f ms after %s was told that it drains",
+          if (lastNotice != null && lastNotice.getValue()
+              && e.atMs() - lastNotice.getKey() > runSettings.drainGraceMs() + DEADLINE_SLACK_MS) {
+            addViolation(Rule.DRAIN_KEPT,
+                String.format("sent to %s %.0f ms after %s was told that it is draining",
                 e.other(), e.atMs() - lastNotice.getKey(), door), history);
           }
         }
@@ -333,9 +361,9 @@
   }
 
   /**
-   * What operators were told: never more out at once than may be, a permit for one thing only, one permit for
-   * a thing. From the word to an operator until the return is asked for is less than it is out, so nothing is
-   * found that was not so.
+   * Permits given to operators: the budgets are never exceeded, a permit has one holder, and a holder has one
+   * permit. The time between an operator receiving a permit and asking for its return is shorter than the
+   * actual outage, so this check reports no false violations.
    */
   private void checkPermits() {
     Map<String, Entry> membersOut = new HashMap<>();
@@ -351,21 +379,21 @@
           Entry previous = membersOut.put(e.subject(), e);
           if (holder != null && !holder.equals(e.subject())
               || previous != null && !previous.other().equals(e.other())) {
-            addViolation(Rule.PERMIT_ONE_HOLDER,
-                "permit " + e.other() + " of " + e.subject() + " beside that of "
+            addViolation(Rule.PERMIT_ONE_HOLDER, "permit " + e.other() + " of " + e.subject()
+                + " beside that of "
                 + (holder == null ? previous.other() : holder), List.of(e));
           }
           boolean isDoor = budgets.isDoor().test(e.subject());
           List<Entry> sameKind = membersOut.values().stream()
               .filter(x -> budgets.isDoor().test(x.subject()) == isDoor).toList();
-          long longKilledDoors = !isDoor ? 0
-              : killedAtMs.entrySet().stream().filter(x -> budgets.isDoor().test(x.getKey())
+          long longKilledDoors = !isDoor ? 0 : killedAtMs.entrySet().stream()
+              .filter(x -> budgets.isDoor().test(x.getKey())
               && !membersOut.containsKey(x.getKey()) && x.getValue() < e.atMs() - budgets.countedOutAfterMs())
               .count();
           if (previous == null
               && sameKind.size() + longKilledDoors > (isDoor ? budgets.doors() : budgets.backends())) {
             addViolation(Rule.BUDGET_KEPT, sameKind.size() + " " + (isDoor ? "doors" : "backends")
-                + " are out on purpose and " + longKilledDoors + " were killed", sameKind);
+                + " are out with a permit and " + longKilledDoors + " were killed", sameKind);
           }
         }
         default -> { }
@@ -374,9 +402,10 @@
   }
 
   /**
-   * Releases: never more than two versions live at a time; nothing begins between the word that all is still
-   * and the wish to go on; and who asked for a version, back or forth, was told in the end that all doors
-   * have it, or that it is halted, and it was so when told.
+   * Releases: at most two versions run at the same time; no process of the halted version starts between the
+   * report that the release is halted and the request to continue; and every request for a version, forward
+   * or back, ends with the report that all doors run that version, or that the release is halted, and the
+   * report is true when it is made.
    */
   private void checkReleases() {
     Map<Double, Entry> processes = new HashMap<>();
@@ -387,12 +416,13 @@
         case RUNS -> {
           processes.put(e.amount(), e);
           if (processes.values().stream().map(Entry::other).distinct().count() > 2) {
-            addViolation(Rule.TWO_VERSIONS, "more than two versions live", List.copyOf(processes.values()));
+            addViolation(Rule.TWO_VERSIONS, "more than two versions run at once",
+                List.copyOf(processes.values()));
           }
           if (halted != null && halted.other().equals(e.other())) {
             addViolation(Rule.HALT_KEPT,
-                String.format("%s begins %s %.0f ms after an operator was told that nothing"
-                + " is under way any more", e.subject(), e.other(), e.atMs() - halted.atMs()),
+                String.format("%s starts %s %.0f ms after an operator was told that the release"
+                + " is halted", e.subject(), e.other(), e.atMs() - halted.atMs()),
                     List.of(halted, e));
           }
         }
@@ -411,8 +441,8 @@
               && processes.values().stream().noneMatch(y -> y.subject().equals(x.subject())
                   && y.other().equals(e.other()))).toList();
           if (!outdated.isEmpty()) {
-            addViolation(Rule.WAY_BACK_ENDS,
-                "told that every door has " + e.other() + ", and " + outdated.size()
+            addViolation(Rule.WAY_BACK_ENDS, "every door was reported to have " + e.other() + ", and "
+                + outdated.size()
                 + " have not", outdated);
           }
         }
@@ -420,13 +450,13 @@
       }
     }
     if (pendingRequest != null) {
-      addViolation(Rule.WAY_BACK_ENDS, "asked to have all doors with " + pendingRequest.other()
-          + ", and never told that they"
-          + " have it, or why not", List.of(pendingRequest));
+      addViolation(Rule.WAY_BACK_ENDS, "a release of all doors to " + pendingRequest.other()
+          + " was requested, and neither"
+          + " its completion nor a halt was reported", List.of(pendingRequest));
     }
   }
 
-  /** Nothing comes to a backend between the word that it is out and the wish to have it back. */
+  /** No attempt reaches a backend between the report that it is out and the request to bring it back. */
   private void checkBackendsOut(Map<String, List<Entry>> histories) {
     Map<String, TreeMap<Double, Boolean>> outStates = new HashMap<>();
     for (Entry e : eventHistory.machineEntries()) {
@@ -448,7 +478,10 @@
     });
   }
 
-  /** Rule 4: within any window, a cold backend gets no more work than the multiple of what it can do. */
+  /**
+   * Rule 4: in every window of {@code tipAfterMs}, a cold backend gets at most {@code tipMultiple} times the
+   * work that it can do.
+   */
   private void checkColdStarts(Map<String, List<Entry>> histories) {
     Map<String, List<Double>> starts = new HashMap<>();
     for (Entry e : eventHistory.machineEntries()) {
@@ -484,14 +517,17 @@
     }));
   }
 
-  /** Milliseconds of work that a backend does in a millisecond, so long after a cold start. */
+  /** Work that a backend can do in one millisecond, in milliseconds, at a moment after its cold start. */
   private double capacity(double start, double at) {
     double share = runSettings.coldFrom() + (1 - runSettings.coldFrom())
         * Math.min(1, (at - start) / runSettings.coldMs());
     return capacity.cores() * share;
   }
 
-  /** Rule 5: first attempts of a firm, over all doors, take no more than the plan's ceiling and its slack. */
+  /**
+   * Rule 5: first attempts of a firm over all doors together stay within the plan's ceiling and its slack, as
+   * a token bucket.
+   */
   private void checkCeilings(Map<String, List<Entry>> histories) {
     Map<String, List<Entry>> byFirm = new HashMap<>();
     Map<String, PlanTerms> plans = new HashMap<>();
--- a/testkit/src/main/java/willowdoor/testkit/LaunchRecorder.java
+++ b/testkit/src/main/java/willowdoor/testkit/LaunchRecorder.java
@@ -11,10 +11,10 @@
 import willowdoor.testkit.EventHistory.Kind;
 
 /**
- * Doors' processes that others than the rig start: each goes through a script that writes down which door it
- * is, of which version, and its process id, before it becomes the door. What it wrote goes into the ledger at
- * the time of writing, and the rig's handle of the door follows it. Ends with the rig: no process that a door
- * started outlives {@link #close}.
+ * Records processes of doors that are started by others than the test environment. Each is started through a
+ * script that logs the door, its version and its process id before it replaces itself with the door's
+ * command. The log is copied into the event history with the logged times, and the {@link DoorProcess} of the
+ * door tracks the new process. No process started by a door outlives {@link #close}.
  */
 public final class LaunchRecorder implements AutoCloseable {
 
@@ -43,7 +43,7 @@
   private int linesRead;
   private volatile boolean closed;
 
-  /** In a folder that is there. */
+  /** Writes the script and its log into an existing folder. */
   public LaunchRecorder(EventHistory eventHistory, Path folder) {
     this.eventHistory = eventHistory;
     this.folder = folder;
@@ -61,24 +61,27 @@
     poller.start();
   }
 
-  /** The words that go before a door's command; a version of {version} is put in by who runs it. */
+  /**
+   * Prefix of a door's command line that runs it through the script; {@code {version}} is replaced by the
+   * program that runs the command.
+   */
   public List<String> launchCommand(String door, String version) {
     return List.of("sh", script.toString(), folder.toString(), door, version);
   }
 
-  /** Has the handle follow the door's processes. */
+  /** Lets the door's handle track the door's processes. */
   public synchronized void follow(DoorProcess door) {
     doors.put(door.name(), door);
   }
 
-  /** The version that a door's last process has that lives; null where none does. */
+  /** Version of a door's newest running process; null when none is running. */
   public synchronized String runningVersion(String door) {
     poll();
     return running.values().stream().filter(x -> x.subject().equals(door))
         .max(java.util.Comparator.comparingDouble(Entry::atMs)).map(Entry::other).orElse(null);
   }
 
-  /** How many doors ever began that version. */
+  /** Number of doors that ever started that version. */
   public synchronized long doorsStarted(String version) {
     poll();
     return eventHistory.machineEntries().stream()
@@ -103,8 +106,8 @@
       for (; linesRead < lines.size(); linesRead++) {
         String[] fields = lines.get(linesRead).split(" ");
         long pid = Long.parseLong(fields[3]);
-        Entry entry =
-            new Entry((Long.parseLong(fields[0]) - offsetNanos) / 1e6, Kind.RUNS, fields[1], fields[2],
+        Entry entry = new Entry((Long.parseLong(fields[0]) - offsetNanos) / 1e6, Kind.RUNS, fields[1],
+            fields[2],
             pid, "");
         eventHistory.addMachineEntry(entry);
         running.put(pid, entry);
@@ -119,8 +122,8 @@
       boolean gone = !DoorProcess.isRunning(e.getKey());
       if (gone) {
         Entry x = e.getValue();
-        eventHistory.addMachineEntry(
-            new Entry(eventHistory.now(), Kind.RAN, x.subject(), x.other(), x.amount(), ""));
+        eventHistory.addMachineEntry(new Entry(eventHistory.now(), Kind.RAN, x.subject(), x.other(),
+            x.amount(), ""));
         if (x.other().endsWith("-faint") && running.values().stream().noneMatch(y -> y != x
             && y.subject().equals(x.subject()))) {
           eventHistory.addMachineEntry(Kind.KILLED, x.subject(), "");
--- a/testkit/src/main/java/willowdoor/testkit/LoadStatistics.java
+++ b/testkit/src/main/java/willowdoor/testkit/LoadStatistics.java
@@ -6,25 +6,25 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The client fleet's figures of a run: per second of asking, and per firm. A request counts once, in the
- * second of its first try, by how its last try ended. The times of answers are those of
- * first tries and retries alike, from when a try was due to its last byte, in microseconds, to 60 s at most.
+ * Statistics of the client fleet's requests, per second and per firm. A request counts once, in the second of
+ * its first try, by the outcome of its last try. Latencies cover first tries and retries alike, from the time
+ * a try was due to the last byte of its answer, in microseconds, capped at 60 s.
  */
 public final class LoadStatistics {
 
   private static final long MAX_LATENCY_US = 60_000_000;
 
-  /** How a try ended for its client. */
+  /** Outcome of a try, as its client saw it. */
   public enum TryOutcome { SERVED, REFUSED, FAILED, UNANSWERED, NOT_TAKEN, NO_DOOR }
 
-  /** One second of asking. */
+  /** Statistics of the requests first due in one second. */
   private static final class Second {
     private int tries;
     private final int[] outcomes = new int[TryOutcome.values().length];
     private final Histogram served = new Histogram(MAX_LATENCY_US, 2);
   }
 
-  /** One firm's use. */
+  /** Usage of one firm. */
   public static final class FirmUsage {
     private final String plan;
     private long offeredUnits;
@@ -58,24 +58,24 @@
       return refused;
     }
 
-    /** Tries of clients that came back when they were told to. */
+    /** Tries that clients made at the time that a Retry-After header told them to. */
     public int promptedRetries() {
       return promptedRetries;
     }
 
-    /** Those of them that were not refused. */
+    /** Tries at the Retry-After time that were not refused. */
     public int acceptedRetries() {
       return acceptedRetries;
     }
   }
 
-  /** Figures of a stretch of the run. */
+  /** Statistics of an interval of the run; latencies in milliseconds. */
   public record IntervalStatistics(int tries, int offered, int served, int refused, int failed,
       int unanswered,
       int notTaken,
       double p50Ms, double p99Ms) {
 
-    /** Served as a share of offered; 1 when nothing was offered. */
+    /** Served requests as a share of those offered; 1 when none was offered. */
     public double servedShare() {
       return offered == 0 ? 1 : (double) served / offered;
     }
@@ -84,7 +84,7 @@
   private final TreeMap<Integer, Second> seconds = new TreeMap<>();
   private final Map<String, FirmUsage> firms = new ConcurrentHashMap<>();
 
-  /** A request's last try ended so; its first try was due at that moment. */
+  /** Records the outcome of a request's last try, in the second in which its first try was due. */
   synchronized void recordRequest(double firstDueMs, TryOutcome outcome, String firm, String plan,
       int units) {
     secondOf(firstDueMs).outcomes[outcome.ordinal()]++;
@@ -99,7 +99,7 @@
     return firms.computeIfAbsent(firm, k -> new FirmUsage(plan));
   }
 
-  /** A try ended so. */
+  /** Records the outcome of one try. */
   synchronized void recordTry(double dueMs, TryOutcome outcome, double tookMs, String firm, String plan,
       int units) {
     Second second = secondOf(dueMs);
@@ -114,7 +114,7 @@
     }
   }
 
-  /** A try that came when its client was told to ended so. */
+  /** Records the outcome of a try made at the time that a Retry-After header told the client to. */
   synchronized void recordPromptedRetry(String firm, String plan, TryOutcome outcome) {
     FirmUsage usage = usageOf(firm, plan);
     usage.promptedRetries++;
@@ -122,7 +122,8 @@
   }
 
   /**
-   * Figures of the requests that were first due between two moments of the ledger's clock, in whole seconds.
+   * Statistics of the requests that were first due between two times of the event history's clock, in whole
+   * seconds.
    */
   public synchronized IntervalStatistics interval(double fromMs, double toMs) {
     int[] outcomes = new int[TryOutcome.values().length];
@@ -147,7 +148,7 @@
         served.getTotalCount() == 0 ? 0 : served.getValueAtPercentile(99) / 1e3);
   }
 
-  /** Use by firm. */
+  /** Usage by firm. */
   public Map<String, FirmUsage> firms() {
     return new TreeMap<>(firms);
   }
--- a/testkit/src/main/java/willowdoor/testkit/QuotaAudit.java
+++ b/testkit/src/main/java/willowdoor/testkit/QuotaAudit.java
@@ -13,26 +13,31 @@
 import willowdoor.testkit.RunSettings.PlanTerms;
 
 /**
- * Holds what doors sent on, and what they refused, to an ideal token bucket of each firm: as if one door that
- * knows all had decided. Goes by what requests name, so for runs whose requests cost that.
+ * Compares what doors forwarded and refused with an ideal token bucket for each firm, as if one door that
+ * sees all requests had decided. Uses the units that requests name, so that the result is valid only for runs
+ * whose requests cost exactly those.
  */
 public final class QuotaAudit {
 
   /**
-   * One firm's use of a run.
+   * One firm's usage in a run.
    *
-   * @param maxOverQuota units beyond the bucket at the worst moment; 0 when it was never passed
-   * @param maxOverCeiling the same for the ceiling's store; 0 where there is none
-   * @param asked units asked for with first tries and retries
-   * @param sent units sent on with first attempts
+   * @param maxOverQuota largest number of units beyond the quota's bucket; 0 when the quota was never
+   *     exceeded
+   * @param maxOverCeiling the same for the ceiling's bucket; 0 when the plan has no ceiling
+   * @param asked units requested by first tries and retries
+   * @param sent units forwarded with first attempts
    */
   public record FirmUse(String firm, PlanTerms plan, double maxOverQuota, double maxOverCeiling, double asked,
       double sent) { }
 
-  /** Tries with half of the burst unused and room for them, and how many of these were refused. */
+  /**
+   * Tries made when at least half of the burst was unused and the request fitted, and how many of them were
+   * refused.
+   */
   public record HalfBurstTries(int asked, int refused) {
 
-    /** Refused as a share of asked. */
+    /** Refused tries as a share of all; 0 when there were none. */
     public double share() {
       return asked == 0 ? 0 : (double) refused / asked;
     }
@@ -46,7 +51,7 @@
   private final Map<String, Boolean> refused = new HashMap<>();
   private final Map<String, String> doors = new HashMap<>();
 
-  /** Reads the ledger, when the run is over. */
+  /** Reads the history of a finished run. */
   public QuotaAudit(EventHistory eventHistory, RunSettings runSettings) {
     this.eventHistory = eventHistory;
     this.runSettings = runSettings;
@@ -74,7 +79,7 @@
     return moments.computeIfAbsent(request.firm(), f -> new ArrayList<>());
   }
 
-  /** The use of every firm. */
+  /** Usage of every firm. */
   public List<FirmUse> firmUses() {
     List<FirmUse> uses = new ArrayList<>();
     moments.forEach((firm, all) -> {
@@ -98,8 +103,8 @@
   }
 
   /**
-   * What became of the tries of some firms, asked between two moments through some doors, that found half of
-   * their firm's burst unused.
+   * Counts the tries of the given firms, made in a time interval through the given doors, that found at least
+   * half of their firm's burst unused.
    */
   public HalfBurstTries triesWithHalfBurst(double fromMs, double toMs, Predicate<String> ofFirms,
       Predicate<String> throughDoors) {
@@ -124,7 +129,7 @@
     return new HalfBurstTries(asked, denied);
   }
 
-  /** A bucket that starts full, may be overdrawn, and remembers by how much it was. */
+  /** A token bucket that starts full, may be overdrawn, and remembers its largest overdraft. */
   private static final class Bucket {
     private final double rate;
     private final double burst;
--- a/testkit/src/main/java/willowdoor/testkit/RequestKind.java
+++ b/testkit/src/main/java/willowdoor/testkit/RequestKind.java
@@ -1,12 +1,12 @@
 package willowdoor.testkit;
 
-/** The kinds of requests that the client fleet sends; the names are those of the doors' settings. */
+/** Kinds of requests that the client fleet sends; the class names are those of the doors' settings. */
 public enum RequestKind {
   /** Safe to repeat. */
   QUOTE("check-quote", "GET", false, false),
-  /** Its key lets the backends drop a repeat. */
+  /** Carries a key that lets backends drop a repeat. */
   BUY("register-buy", "POST", true, true),
-  /** Must never run twice, and nothing drops a repeat. */
+  /** Must not run twice, and backends don't drop a repeat. */
   TRANSFER("move-title", "POST", false, true);
 
   private final String className;
@@ -21,7 +21,7 @@
     this.runsOnce = runsOnce;
   }
 
-  /** The class as the settings name it. */
+  /** The request class as named in the settings. */
   public String className() {
     return className;
   }
@@ -30,17 +30,20 @@
     return method;
   }
 
-  /** True when it carries a key by which the backends drop repeats. */
+  /** Returns true when a request carries an idempotency key by which backends drop repeats. */
   public boolean keyed() {
     return keyed;
   }
 
-  /** True when its effect may run once only. */
+  /** Returns true when the effect may run only once. */
   public boolean runsOnce() {
     return runsOnce;
   }
 
-  /** True when a refusal is harmless even after it may have run: a repeat is dropped by all backends. */
+  /**
+   * Returns true when the client may repeat a refused request although its effect may have run: either the
+   * effect may run more than once, or all backends drop repeats.
+   */
   public boolean isSafeToRepeat() {
     return keyed || !runsOnce;
   }
--- a/testkit/src/main/java/willowdoor/testkit/RunSettings.java
+++ b/testkit/src/main/java/willowdoor/testkit/RunSettings.java
@@ -5,13 +5,13 @@
 import java.util.stream.Collectors;
 
 /**
- * What a run goes by: the figures that the doors are configured with and that the judge holds them to. Times
- * are milliseconds, rates units a second.
+ * Settings of a run: the values that the doors are configured with and that {@link InvariantChecker} checks.
+ * Times are in milliseconds, rates in units per second.
  */
 public record RunSettings(List<PlanTerms> plans, double deadlineMs, double keyWindowMs, double drainGraceMs,
     double coldFrom, double coldMs, double tipMultiple, double tipAfterMs, double counterLimitMs) {
 
-  /** One plan; a rate, a limit of attempts out at once or a ceiling rate of 0 means that there is none. */
+  /** One plan. A rate, a ceiling rate or a limit of concurrent requests of 0 means that there is none. */
   public record PlanTerms(String name, double rate, double burst, double ceilingRate, double ceilingBurst,
       double ceilingSlack, int openLimit) {
 
@@ -21,37 +21,41 @@
     }
   }
 
-  /** Units that a request may name at the most. */
+  /** Maximum number of units that a request may name. */
   public static final int MAX_UNITS = 8;
 
-  /** The figures of a middling day at the users' site, with firms that a test's load can push over them. */
+  /** Values of a typical day at the users' site, with plans that a test's load can exceed. */
   public static RunSettings typical() {
-    return new RunSettings(List
-        .of(new PlanTerms("basic", 5, 20, 10, 40, 8), new PlanTerms("full", 30, 60, 0, 0,
+    return new RunSettings(List.of(new PlanTerms("basic", 5, 20, 10, 40, 8),
+        new PlanTerms("full", 30, 60, 0, 0,
         0)),
         4_000, 4_000, 1_000, 0.21, 18_000, 2.5, 2_000, 50);
   }
 
-  /** The same with other plans and another time for which backends drop repeats. */
+  /** The same settings with other plans and another time for which backends drop repeats. */
   public RunSettings withPlansAndKeyWindow(List<PlanTerms> others, double otherKeyWindowMs) {
     return new RunSettings(others, deadlineMs, otherKeyWindowMs, drainGraceMs, coldFrom, coldMs, tipMultiple,
         tipAfterMs, counterLimitMs);
   }
 
-  /** The same where a backend is cold for so long after its start. */
+  /** The same settings with another warm-up time of backends, in milliseconds. */
   public RunSettings withColdMs(double otherColdMs) {
     return new RunSettings(plans, deadlineMs, keyWindowMs, drainGraceMs, coldFrom, otherColdMs, tipMultiple,
         tipAfterMs, counterLimitMs);
   }
 
-  /** The plan of that name. */
+  /**
+   * Returns the plan of that name.
+   *
+   * @throws IllegalArgumentException when there is none
+   */
   public PlanTerms plan(String name) {
     return plans.stream().filter(p -> p.name().equals(name)).findFirst()
         .orElseThrow(() -> new IllegalArgumentException("plan: " + name + " (expected: one of " + plans
             + ")"));
   }
 
-  /** The settings object of the platform's configuration, for door number self of so many. */
+  /** The settings object of the platform's configuration, for door number {@code self} of {@code doors}. */
   public String settingsJson(int doors, int self, String zone) {
     String tariffs = plans.stream().map(p -> String.format(Locale.ROOT, "{\"Name\":\"%s\",\"Refill\":%s,"
         + "\"PeakUnits\":%s,\"WorthFactor\":1.5,\"OverrunCost\":1,\"CeilingRate\":%s,\"CeilingBurst\":%s,"
--- a/testkit/src/main/java/willowdoor/testkit/StandInAuthoriser.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInAuthoriser.java
@@ -45,44 +45,46 @@
 import willowdoor.testkit.EventHistory.Kind;
 
 /**
- * One scripted policy server: {@code envoy.service.auth.v3.Authorization/Check} over HTTP/2 frames, so that
- * it
- * can break the protocol where a gRPC server can't. Notes each check that came whole, and each answer before
- * it is written. All on one event loop.
+ * A scripted authoriser: {@code envoy.service.auth.v3.Authorization/Check} on HTTP/2 frames, so that it can
+ * violate the protocol in ways that a gRPC server can't. Records each complete check, and each answer before
+ * it is written. Runs on one event loop.
  */
 public final class StandInAuthoriser {
 
-  /** What it does with a check. */
+  /** How a check is handled. */
   public enum Behaviour {
     ALLOWS,
     DENIES,
-    /** Allows and denies by turns. */
+    /** Allows and denies alternately. */
     FLIPS,
     /** Never answers. */
     STALLS,
-    /** Allows after {@link #setDelay}. */
+    /** Allows after the time set by {@link #setDelay}. */
     LATE,
-    /** Resets the stream once it has the check. */
+    /** Resets the stream after receiving the check. */
     RESETS,
-    /** Refuses the stream unseen, as HTTP/2 has it. */
+    /** Refuses the stream before processing it (REFUSED_STREAM, RFC 9113, section 8.7). */
     REFUSES_STREAMS,
-    /** Sends GOAWAY with each check and answers it. */
+    /** Sends GOAWAY with each check and still answers the check. */
     GOES_AWAY,
-    /** Sends a GOAWAY by which the check was not seen, and closes. */
+    /** Sends a GOAWAY whose last stream id excludes the check, and closes the connection. */
     GOES_AWAY_UNSEEN,
-    /** Resets the connection once it has the check. */
+    /** Resets the connection after receiving the check. */
     DIES,
-    /** Answers what is no message of the protocol. */
+    /** Answers with bytes that are not a valid message. */
     SPOILS,
-    /** Answers a megabyte. */
+    /** Answers with a message of 1 MiB. */
     OVERSIZED,
-    /** Allows twice within one call. */
+    /** Writes two allows in one call. */
     ANSWERS_TWICE,
     /** Ends the call with the gRPC status UNAVAILABLE. */
     UNAVAILABLE
   }
 
-  /** Held, as a logger that nothing holds forgets its level: frames after a GOAWAY are no news here. */
+  /**
+   * Kept in a field because the JDK drops a logger, and its level, when nothing refers to it. The level hides
+   * messages about frames after a GOAWAY, which are expected here.
+   */
   private static final Logger DECODER_LOG = Logger.getLogger(
       "io.netty.handler.codec.http2.DefaultHttp2ConnectionDecoder");
   private static final int MAX_CHECK_BYTES = 1 << 20;
@@ -108,7 +110,7 @@
   private boolean flipped;
   private boolean alive;
 
-  /** Listens on a free loopback port; settings are those it tells its clients, tls may be null. */
+  /** Listens on a free loopback port; {@code settings} are announced to clients, {@code tls} may be null. */
   public StandInAuthoriser(String name, EventLoop loop, EventHistory eventHistory, Http2Settings settings,
       SslContext tls) {
     this.name = name;
@@ -129,37 +131,40 @@
     return address;
   }
 
-  /** From the next check on it does so. */
+  /** Sets how checks are handled from the next one on. */
   public void setBehaviour(Behaviour newBehaviour) {
     behaviour = newBehaviour;
   }
 
-  /** Answers wait so long; STALLS has none. */
+  /** Delays answers by that many milliseconds. */
   public void setDelay(long ms) {
     delayMs = ms;
   }
 
-  /** Answers by a function, or with null by its mood again. */
+  /** Answers checks with a function; null restores the configured behaviour. */
   public void setScript(Function<CheckRequest, CheckResponse> answers) {
     script = answers;
   }
 
-  /** Checks that came whole. */
+  /** Number of complete checks received. */
   public int checks() {
     return checks.get();
   }
 
-  /** Connections taken so far. */
+  /** Number of connections accepted so far. */
   public int connections() {
     return connections.get();
   }
 
-  /** Calls that the asking side gave up before they had their answer. */
+  /** Number of calls that the client cancelled before they were answered. */
   public int abandoned() {
     return abandoned.get();
   }
 
-  /** The next of the checks seen, the first {@value #MAX_KEPT_CHECKS} of a run; null when there is none. */
+  /**
+   * Returns the next received check, of the first {@value #MAX_KEPT_CHECKS} of a run; null when there is
+   * none.
+   */
   public CheckRequest nextCheck() {
     return receivedChecks.poll();
   }
@@ -185,7 +190,7 @@
             }), new ChannelInboundHandlerAdapter() {
               @Override
               public void exceptionCaught(ChannelHandlerContext c, Throwable cause) {
-                // What its own breaks of the protocol bring about; the codec ends the connection.
+                // Caused by the protocol violations made here; the codec closes the connection.
               }
             });
           }
@@ -195,7 +200,7 @@
     eventHistory.addMachineEntry(Kind.STARTED, name, "");
   }
 
-  /** Its process dies: connections are reset, new ones refused. */
+  /** Simulates a process crash: connections are reset and new ones are refused. */
   public synchronized void kill() {
     if (!alive) {
       return;
@@ -206,7 +211,7 @@
     eventHistory.addMachineEntry(Kind.KILLED, name, "");
   }
 
-  /** It listens again where it did, and allows. */
+  /** Listens again at the same address and allows all checks. */
   public synchronized void restart() {
     behaviour = Behaviour.ALLOWS;
     if (!alive) {
@@ -219,12 +224,12 @@
     connection.close();
   }
 
-  /** An allow without anything more. */
+  /** An allow without further fields. */
   public static CheckResponse allow() {
     return CheckResponse.getDefaultInstance();
   }
 
-  /** A denial with that status for the client. */
+  /** A denial with the given HTTP status and body for the client. */
   public static CheckResponse deny(int status, String body) {
     return CheckResponse.newBuilder()
         .setStatus(com.google.rpc.Status.newBuilder().setCode(PERMISSION_DENIED))
@@ -341,8 +346,7 @@
 
     private void recordAnswer(CheckResponse answer) {
       eventHistory.addRequestEntry(answer.getStatus().getCode() == 0 ? Kind.ALLOWED : Kind.DENIED, id, name,
-          0,
-          attempt);
+          0, attempt);
     }
 
     private void write(CheckResponse answer) {
--- a/testkit/src/main/java/willowdoor/testkit/StandInBackend.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInBackend.java
@@ -29,30 +29,30 @@
 import willowdoor.testkit.EventHistory.Kind;
 
 /**
- * One scripted backend: so many cores, a waiting room, work that takes time and no CPU, and a ledger entry
- * for each thing that a request meets here. Its effect runs when its work begins, so that a backend killed
- * half way has had the effect and never tells. Waiting work whose connection ended is dropped; running work
- * goes on. All on one event loop.
+ * A scripted backend with a number of cores, a bounded queue, and work that takes time but no CPU. Each step
+ * of a request here is recorded in the event history. The effect of a request runs when its work starts, so
+ * that a backend killed during the work has had the effect and never reports it. Queued work is dropped when
+ * its connection has closed; running work continues. Runs on one event loop.
  */
 public final class StandInBackend {
 
-  /** What it does with a request. */
+  /** How a request is handled. */
   public enum Behaviour {
     /** Works and answers 200. */
     WELL,
-    /** Answers 500 at once; the effect may have run and does. */
+    /** Runs the effect and answers 500 at once. */
     ERRORS,
     /** Runs the effect and resets the connection. */
     RESETS,
-    /** Takes requests and never answers; the effect runs. */
+    /** Runs the effect and never answers. */
     STALLS,
-    /** Runs the effect and answers junk. */
+    /** Runs the effect and answers with bytes that are not HTTP. */
     SPOILS,
-    /** Runs the effect, writes half of the answer and no more. */
+    /** Runs the effect and writes an incomplete answer. */
     HALF_ANSWERS,
-    /** Works ten times as long. */
+    /** Works ten times as long as usual. */
     SLOW,
-    /** Turns all away unseen. */
+    /** Rejects all requests without starting them. */
     TURNS_AWAY
   }
 
@@ -71,11 +71,11 @@
   private Channel serverChannel;
   private InetSocketAddress address;
   private int running;
-  /** NaN while it is warm. */
+  /** Start time of a backend that started cold; NaN for one that started warm. */
   private double coldSinceMs = Double.NaN;
   private int incarnation;
 
-  /** One request in hand. */
+  /** One request in progress. */
   private record Work(Connection connection, String id, String key, int units, String attempt,
       int incarnation) { }
 
@@ -103,17 +103,17 @@
     return alive;
   }
 
-  /** The headers of the newest attempt that came whole, or null. */
+  /** Headers of the last complete attempt, or null. */
   public HttpHeaders lastHeaders() {
     return lastHeaders;
   }
 
-  /** From the next request on it does so. */
+  /** Sets how requests are handled from the next one on. */
   public void setBehaviour(Behaviour newBehaviour) {
     behaviour = newBehaviour;
   }
 
-  /** Listens, at first on a free loopback port and later on the same one. */
+  /** Listens on a free loopback port the first time, and on the same port after that. */
   void listen(boolean cold) {
     InetSocketAddress at = address == null ? StandIns.anyAddress() : address;
     serverChannel = StandIns.listen(new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
@@ -123,8 +123,8 @@
           protected void initChannel(Channel ch) {
             connections.add(ch);
             Connection hand = new Connection(ch);
-            ch.pipeline()
-                .addLast(hand.firstByte, new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES),
+            ch.pipeline().addLast(hand.firstByte, new HttpServerCodec(),
+                new HttpObjectAggregator(MAX_BODY_BYTES),
                 hand);
           }
         }), at);
@@ -132,11 +132,11 @@
     alive = true;
     behaviour = Behaviour.WELL;
     coldSinceMs = cold ? pool.eventHistory().now() : Double.NaN;
-    pool.eventHistory()
-        .addMachineEntry(new Entry(pool.eventHistory().now(), Kind.STARTED, name, "", 0, cold ? "cold" : ""));
+    pool.eventHistory().addMachineEntry(new Entry(pool.eventHistory().now(), Kind.STARTED, name, "", 0,
+        cold ? "cold" : ""));
   }
 
-  /** Its process dies: connections are reset, new ones refused, all work is lost. */
+  /** Simulates a process crash: connections are reset, new ones are refused, and all work is lost. */
   void kill() {
     alive = false;
     serverChannel.close().syncUninterruptibly();
@@ -152,7 +152,10 @@
     pool.eventHistory().addMachineEntry(Kind.KILLED, name, "");
   }
 
-  /** Refuses new connections, or listens again where it did; nothing else of it changes. */
+  /**
+   * When {@code on}, closes all connections and refuses new ones; otherwise listens again at the same
+   * address, warm and with behaviour WELL.
+   */
   public void refuseConnections(boolean on) {
     if (on) {
       serverChannel.close().syncUninterruptibly();
@@ -195,9 +198,9 @@
     running++;
     Behaviour currentBehaviour = behaviour;
     switch (currentBehaviour) {
-      case ERRORS ->
-          finishWork(work,
-              () -> work.connection.answer(work, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false,
+      case ERRORS -> finishWork(work, () -> work.connection.answer(work,
+          HttpResponseStatus.INTERNAL_SERVER_ERROR, "",
+          false,
           0));
       case RESETS -> finishWork(work, work.connection::reset);
       case SPOILS -> finishWork(work, () -> work.connection.writeRaw("\0 junk \r\n\r\n"));
@@ -205,8 +208,8 @@
           "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of"));
       case STALLS -> finishWork(work, () -> { });
       default -> {
-        double ms = pool.drawWorkMs() * slowdown()
-            * (currentBehaviour == Behaviour.SLOW ? SLOWDOWN_FACTOR : 1);
+        double ms = pool.drawWorkMs() * slowdown() * (currentBehaviour == Behaviour.SLOW ? SLOWDOWN_FACTOR
+            : 1);
         loop.schedule(() -> finishWork(work, () -> work.connection.answer(work, HttpResponseStatus.OK,
             body(work.id, name), false, units)), (long) (ms * 1000), TimeUnit.MICROSECONDS);
       }
@@ -227,7 +230,10 @@
     }
   }
 
-  /** The body that a backend makes for a request: a client can tell that it is no other's. */
+  /**
+   * The body of a backend's answer; it names the request, so that a client can detect an answer to another
+   * one.
+   */
   static String body(String id, String backend) {
     return "made for " + id + " by " + backend;
   }
@@ -243,7 +249,7 @@
       this.channel = channel;
     }
 
-    /** Notes when a request's first byte came, before it is decoded. */
+    /** Records when the first byte of a request arrived, before it is decoded. */
     private final class FirstByte extends ChannelDuplexHandler {
       private double atMs = Double.NaN;
 
--- a/testkit/src/main/java/willowdoor/testkit/StandInCounter.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInCounter.java
@@ -26,13 +26,14 @@
 import java.util.function.IntPredicate;
 
 /**
- * The shared counter: lines {@code incr NAME AMOUNT LIFE_MS}, answered in their order. It can be slow, hang
- * (takes calls and answers none), be lost and come back empty, with all it had or with a copy; lose answers,
- * answer twice, reset connections, or keep to a rate. Each door may have an address of its own, by which the
- * counter can be cut off from some doors, or be two counters that both believe to be the one. Holds
- * {@value #MAX_NAMES} names and {@value #MAX_WAITING_CALLS} calls that wait for their turn; past that it
- * answers
- * {@code busy}.
+ * Stand-in of the shared counter. Each line {@code incr NAME AMOUNT LIFE_MS} is answered in order. Faults
+ * that it can simulate: slowness, hanging (calls are accepted and not answered), an outage followed by a
+ * restart that is empty, complete or from an earlier copy, lost answers, duplicate answers, connection
+ * resets, and a limited call rate. Each door may have an address of its own, by which the counter can be
+ * partitioned from some doors, or be split into two counters that both serve as the primary (split brain).
+ *
+ * <p>Bounds: {@value #MAX_NAMES} names and {@value #MAX_WAITING_CALLS} waiting calls; beyond either it
+ * answers {@code busy}.
  */
 public final class StandInCounter {
 
@@ -47,7 +48,10 @@
   private final EventLoopGroup group;
   private final EventHistory eventHistory;
   private final Map<String, Count> counts = new HashMap<>();
-  /** Where it listens, by door; {@value #SHARED_ADDRESS} is the address that no door has for its own. */
+  /**
+   * Listening ports by door; {@value #SHARED_ADDRESS} is the shared address for doors without one of their
+   * own.
+   */
   private final Map<Integer, Port> ports = new ConcurrentSkipListMap<>();
   private Map<String, Count> secondCounts = new HashMap<>();
   private IntPredicate usesSecond = door -> false;
@@ -55,7 +59,7 @@
   private int waitingCalls;
   private volatile double maxCallsPerSecond = Double.POSITIVE_INFINITY;
   private volatile boolean answersTwice;
-  /** When each door first added to a firm's name since it was last back. */
+  /** Time at which each door first added to a firm's name since the counter last became reachable. */
   private final Map<Integer, Double> firstCalls = new HashMap<>();
   private volatile double delayMs = 1;
   private volatile boolean hanging;
@@ -63,11 +67,13 @@
   private volatile boolean resetting;
   private Map<String, Count> keptCounts = new HashMap<>();
   private long calls;
-  /** What was added to all names of a customer, whatever became of them; the customer is what stands before
-  the colon. */
+  /**
+   * Sum of all amounts added to all names of a customer, expired names included; the customer is the part of
+   * the name before the colon.
+   */
   private final Map<String, Double> addedByCustomer = new HashMap<>();
 
-  /** Listens on a free loopback port; all its work is on the group's one loop. */
+  /** Listens on a free loopback port; all work runs on the event loop of the group. */
   public StandInCounter(EventLoopGroup group, EventHistory eventHistory) {
     this.group = group;
     this.eventHistory = eventHistory;
@@ -75,7 +81,7 @@
     group.next().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** One address of it. */
+  /** One listening address of the counter. */
   private final class Port extends ChannelInitializer<Channel> {
     private final int door;
     private final InetSocketAddress address;
@@ -113,22 +119,22 @@
     }
   }
 
-  /** The address for all that have none of their own. */
+  /** The shared address, for doors that have none of their own. */
   public InetSocketAddress address() {
     return ports.get(SHARED_ADDRESS).address;
   }
 
-  /** The address of that door's own; the counter can tell the door by it. */
+  /** The address for that door alone, by which the counter identifies the door. */
   public InetSocketAddress address(int door) {
     return ports.computeIfAbsent(door, Port::new).address;
   }
 
-  /** From here on these doors can't reach it. */
+  /** Makes the counter unreachable for these doors. */
   public void cutOff(IntPredicate doors) {
     portsOf(doors).forEach(Port::close);
   }
 
-  /** All doors can reach it again. */
+  /** Makes the counter reachable for all doors again. */
   public void reconnect() {
     portsOf(door -> true).forEach(Port::reopen);
     clearFirstCalls();
@@ -139,8 +145,8 @@
   }
 
   /**
-   * From here on it is two counters: these doors hear a second one, which began with all that the first had
-   * or with nothing. Their connections break.
+   * Splits the counter into two: these doors use a second counter, which starts as a copy of the first or
+   * empty. Connections of these doors are closed.
    */
   public void splitInTwo(IntPredicate doors, boolean copied) {
     synchronized (this) {
@@ -150,7 +156,10 @@
     portsOf(doors).forEach(p -> p.connections.close());
   }
 
-  /** One of the two is the only one from here on, for all doors; connections to the other break. */
+  /**
+   * Ends the split: one of the two counters remains and serves all doors. Connections to the other one are
+   * closed.
+   */
   public void endSplit(boolean secondWins) {
     IntPredicate moved = usesSecond;
     synchronized (this) {
@@ -164,17 +173,20 @@
     clearFirstCalls();
   }
 
-  /** From here on it takes no more calls a second than that, one after another. */
+  /** Limits the rate of calls, which are then executed one after another. */
   public void limitRate(double mostCallsPerSecond) {
     maxCallsPerSecond = mostCallsPerSecond;
   }
 
-  /** From here on it writes each answer twice, or once again. */
+  /** Writes each answer twice when {@code on}. */
   public void answerTwice(boolean on) {
     answersTwice = on;
   }
 
-  /** When each door first added to a firm's name since the counter was last back, by the ledger's clock. */
+  /**
+   * Time at which each door first added to a firm's name since the counter last became reachable, by the
+   * event history's clock.
+   */
   public synchronized Map<Integer, Double> firstCalls() {
     return new TreeMap<>(firstCalls);
   }
@@ -183,40 +195,40 @@
     firstCalls.clear();
   }
 
-  /** Each call waits so long for its turn. */
+  /** Delays each call by that many milliseconds. */
   public void delay(double ms) {
     delayMs = ms;
   }
 
-  /** Total of all living names of a customer; the customer is what stands before the colon. */
+  /** Total of all unexpired names of a customer; the customer is the part of the name before the colon. */
   public synchronized double total(String beforeColon) {
     double now = eventHistory.now();
     return counts.entrySet().stream().filter(e -> e.getKey().startsWith(beforeColon + ":")
         && e.getValue().expiresAtMs() >= now).mapToDouble(e -> e.getValue().total()).sum();
   }
 
-  /** From here on it adds and loses the answers, or answers again. */
+  /** When {@code on}, executes calls but writes no answers. */
   public void loseAnswers(boolean on) {
     dropsAnswers = on;
   }
 
-  /** From here on it resets a connection with every call, which is added, or stays open again. */
+  /** When {@code on}, executes each call and then resets its connection. */
   public void reset(boolean on) {
     resetting = on;
   }
 
-  /** Keeps a copy of all totals as they are now. */
+  /** Saves a copy of all totals, for {@link #restartWithCopy}. */
   public synchronized void keepCopy() {
     keptCounts = new HashMap<>(counts);
   }
 
-  /** It is back where it was with all that it had: it was only out of reach. */
+  /** Restarts the counter at its addresses with all its data, as after a network outage. */
   public void restart() {
     reconnect();
     eventHistory.addMachineEntry(EventHistory.Kind.STARTED, "counter", "");
   }
 
-  /** It is back where it was, with the copy that was kept last. */
+  /** Restarts the counter at its addresses with the copy that was saved last. */
   public void restartWithCopy() {
     synchronized (this) {
       counts.clear();
@@ -226,32 +238,34 @@
     eventHistory.addMachineEntry(EventHistory.Kind.STARTED, "counter", "");
   }
 
-  /** From here on it takes calls and answers none, or answers again. */
+  /** When {@code on}, accepts calls and answers none. */
   public void hang(boolean on) {
     hanging = on;
   }
 
-  /** Calls taken so far, but for those of the doors' own: who answers (~), whose a ceiling is (^). */
+  /**
+   * Number of calls, except those on the doors' internal names: sentinel names (which start with ~) and names
+   * of ceiling shares (which contain ^).
+   */
   public synchronized long calls() {
     return calls;
   }
 
   /**
-   * All that was ever added to the names that begin with the text and a colon, expired ones included; kept
-   * for
-   * as many customers as a run has.
+   * Sum of all amounts ever added to names of a customer, expired ones included; kept for every customer of a
+   * run.
    */
   public synchronized double added(String beforeColon) {
     return addedByCustomer.getOrDefault(beforeColon, 0.0);
   }
 
-  /** It is gone: connections end and new ones are refused. */
+  /** Stops the counter: open connections are closed and new ones are refused. */
   public void stop() {
     portsOf(door -> true).forEach(Port::close);
     eventHistory.addMachineEntry(EventHistory.Kind.KILLED, "counter", "");
   }
 
-  /** It is back where it was, empty. */
+  /** Restarts the counter at its addresses without data. */
   public void restartEmpty() {
     synchronized (this) {
       counts.clear();
@@ -298,7 +312,7 @@
     }
   }
 
-  /** How long the next call waits until it is its turn, in milliseconds; negative when too many wait. */
+  /** Time in milliseconds that the next call waits for its turn; negative when too many calls are waiting. */
   private synchronized double reserveTurn() {
     if (waitingCalls >= MAX_WAITING_CALLS) {
       return -1;
@@ -313,7 +327,7 @@
     waitingCalls--;
   }
 
-  /** One connection: calls are answered in their order, each after the delay. */
+  /** One connection: calls are answered in order, each after the delay. */
   private final class CallHandler extends SimpleChannelInboundHandler<String> {
     private final int door;
 
--- a/testkit/src/main/java/willowdoor/testkit/StandInDiscovery.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInDiscovery.java
@@ -33,14 +33,15 @@
 import willowdoor.testkit.EventHistory.Kind;
 
 /**
- * The list of backends, with a listening port for each door, so that it is known which door was told what and
- * when. A watch gets the whole list and then every change. It can hang: connections stay open and silent.
+ * Stand-in of the discovery service, with a separate port for each door, so that it is known which door was
+ * told what and when. A watch receives the complete list and then every change. When it hangs, connections
+ * stay open and nothing is written.
  */
 public final class StandInDiscovery {
 
   private static final long HEARTBEAT_MS = 2_000;
 
-  /** One backend in the list; state is active, leaving or left. */
+  /** One backend in the list; its state is active, leaving or left. */
   public record Listed(String id, InetSocketAddress address, String zone, String state, long startedMs) {
     String json() {
       return String.format(Locale.ROOT,
@@ -70,7 +71,7 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** The address of the agent of one door. */
+  /** Address of the discovery agent for one door. */
   public InetSocketAddress agentOf(String door) {
     return agents.computeIfAbsent(door, name -> (InetSocketAddress) new ServerBootstrap().group(group)
         .channel(NioServerSocketChannel.class).childHandler(new ChannelInitializer<Channel>() {
@@ -81,7 +82,7 @@
         }).bind("127.0.0.1", 0).syncUninterruptibly().channel().localAddress());
   }
 
-  /** Names a backend, or changes what is said of it; every watch is told. */
+  /** Adds, changes or removes a backend and sends the change to every watch. */
   public synchronized void publish(Listed backend) {
     if (backend.state().equals("left")) {
       list.remove(backend.id());
@@ -94,7 +95,7 @@
     }
   }
 
-  /** Changes a listed backend's state. */
+  /** Changes the state of a listed backend. */
   public synchronized void setState(String id, String state) {
     Listed known = list.get(id);
     if (known != null) {
@@ -102,18 +103,18 @@
     }
   }
 
-  /** The list as a door would remember it, in the platform's form. */
+  /** The list as JSON, in the form in which a door's configuration holds the known backends. */
   public synchronized String listJson() {
     return "{\"version\":" + version + ",\"full\":true,\"servers\":["
         + list.values().stream().map(Listed::json).collect(Collectors.joining(",")) + "]}";
   }
 
-  /** The backends listed now. */
+  /** The backends that are listed now. */
   public synchronized List<Listed> listed() {
     return new ArrayList<>(list.values());
   }
 
-  /** From here on it says nothing on any connection, or catches up with the whole list. */
+  /** When {@code on}, writes nothing on any watch; otherwise resumes by sending the complete list. */
   public synchronized void setHanging(boolean on) {
     hanging = on;
     if (!on) {
@@ -121,7 +122,7 @@
     }
   }
 
-  /** How many watches are open. */
+  /** Number of open watches. */
   public synchronized int watchCount() {
     return watches.size();
   }
@@ -136,7 +137,7 @@
     return new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
   }
 
-  /** Writes the change, and notes what the door was told once it is with the kernel. */
+  /** Sends the change, and records what the door was told once the write has succeeded. */
   private void sendChange(Channel channel, String door, boolean full, List<Listed> entries) {
     String json = "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
         + entries.stream().map(Listed::json).collect(Collectors.joining(",")) + "]}\n";
--- a/testkit/src/main/java/willowdoor/testkit/StandInValkey.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandInValkey.java
@@ -49,14 +49,14 @@
 import java.util.regex.Pattern;
 
 /**
- * A server of the Redis serialization protocol, version 2, as Valkey and Redis document it: names with a
- * life, scripts by their digest, users and their rights, pauses, a replica that is promoted. Of scripts it
- * runs one kind only, the door's add, which it knows by the commands that the text calls; any other is
- * answered with an error. {@link #setErrorReply} has it answer data commands with an error line, as a server
- * that
- * loads its data, has moved a slot or is out of memory does. Holds {@value #MAX_NAMES} names, past which
- * adds are answered OOM, and {@value #MAX_PAUSED_COMMANDS} commands during a pause, past which connections
- * end.
+ * Stand-in of a Valkey or Redis server (RESP version 2, as both document it): names with an expiry, scripts
+ * by digest, users with permissions, pauses, and a replica that can be promoted. The only script that it runs
+ * is the door's add, identified by the commands that its text calls; any other is answered with an error.
+ * {@link #setErrorReply} makes it answer data commands with an error line, like a server that is loading its
+ * data, has moved a slot or is out of memory.
+ *
+ * <p>Bounds: {@value #MAX_NAMES} names, beyond which adds are answered with OOM, and {@value
+ * #MAX_PAUSED_COMMANDS} commands held during a pause, beyond which connections are closed.
  */
 public final class StandInValkey implements AutoCloseable {
 
@@ -66,14 +66,16 @@
   private static final int MAX_ARGUMENTS = 1_024;
   private static final long TIMEOUT_MS = 20_000;
   private static final Pattern CALLS = Pattern.compile("redis\\.call\\('([A-Z]+)'");
-  /** The commands that the door's script calls, in the order of its text. */
-  private static final List<String> ADD_SCRIPT_CALLS = List
-      .of("GET", "SET", "EXISTS", "INCRBYFLOAT", "PEXPIRE");
+  /** Commands that the door's script calls, in the order of its text. */
+  private static final List<String> ADD_SCRIPT_CALLS = List.of("GET", "SET", "EXISTS", "INCRBYFLOAT",
+      "PEXPIRE");
   private static final RedisMessage OK = new SimpleStringRedisMessage("OK");
 
   private record Value(String text, double expiresAtMs) { }
 
-  /** A user: its password, whether it may do anything, else its commands and the patterns of its keys. */
+  /**
+   * A user: its password, and either permission for everything or its permitted commands and key patterns.
+   */
   private static final class User {
     private String password = "";
     private boolean all = true;
@@ -89,7 +91,7 @@
     }
   }
 
-  /** What a command ends with that it may not do, or that is wrong: the error's whole line. */
+  /** Rejects a command that is invalid or not permitted; the message is the complete error line. */
   private static final class CommandException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -114,19 +116,19 @@
   private final Map<InetSocketAddress, Channel> serverChannels = new ConcurrentHashMap<>();
   private InetSocketAddress address = StandIns.anyAddress();
 
-  /** One that asks for no password. */
+  /** A server that requires no password. */
   public StandInValkey() throws IOException {
     this("");
   }
 
-  /** One whose default user has this password; "" asks for none. */
+  /** A server whose default user has this password; an empty one means none is required. */
   public StandInValkey(String password) throws IOException {
     users.put("default", new User());
     users.get("default").password = password;
     start();
   }
 
-  /** A replica of another, which takes no writes until it is told {@code REPLICAOF NO ONE}. */
+  /** A replica of another server; it rejects writes until it receives {@code REPLICAOF NO ONE}. */
   public static StandInValkey replicaOf(StandInValkey primary) throws IOException {
     StandInValkey made = new StandInValkey();
     made.primary = primary;
@@ -143,12 +145,15 @@
     return address;
   }
 
-  /** Starts it, empty, at its address. */
+  /** Starts the server without data at its address. */
   public void start() throws IOException {
     address = listenAt(address);
   }
 
-  /** Listens at a further address, as a server does that a failover gives one; port 0 is any that is free. */
+  /**
+   * Listens at a further address, like a server that takes over an address in a failover; port 0 selects any
+   * free port.
+   */
   public InetSocketAddress listenAt(InetSocketAddress at) throws IOException {
     Channel made = StandIns.listen(new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_REUSEADDR, true)
@@ -165,13 +170,13 @@
     return bound;
   }
 
-  /** Is not found at that address any more: connections that were made to it break. */
+  /** Stops listening at that address and closes the connections made to it. */
   public void stopListening(InetSocketAddress at) throws IOException {
     serverChannels.remove(at).close().syncUninterruptibly();
     onLoop(() -> connections.close(c -> at.equals(c.localAddress())));
   }
 
-  /** Ends it as a kill does: connections break, and what it held is gone. */
+  /** Simulates a killed server: connections are closed and all data is lost. */
   public void kill() throws IOException {
     serverChannels.values().forEach(l -> l.close().syncUninterruptibly());
     serverChannels.clear();
@@ -185,19 +190,19 @@
     });
   }
 
-  /** Has data commands answered with this error line, such as {@code LOADING ...}; null ends it. */
+  /** Makes data commands fail with this error line, such as {@code LOADING ...}; null ends that. */
   public void setErrorReply(String line) throws IOException {
     onLoop(() -> errorReply = line);
   }
 
-  /** Adds made so far. */
+  /** Number of adds executed so far. */
   public long adds() throws IOException {
     long[] result = new long[1];
     onLoop(() -> result[0] = adds);
     return result[0];
   }
 
-  /** The sum of the counts whose names begin so. */
+  /** Sum of the unexpired counts whose names start with the prefix. */
   public double sum(String prefix) throws IOException {
     double[] result = new double[1];
     onLoop(() -> data.forEach((key, value) -> result[0] += key.startsWith(prefix) && value.expiresAtMs > now()
@@ -205,7 +210,10 @@
     return result[0];
   }
 
-  /** Has it do a command by a connection of its own, as a terminal would; the answer's first line. */
+  /**
+   * Runs a command on a new connection, as an inline command; returns the first line of the answer, or the
+   * content of a bulk string.
+   */
   public String runCommand(String command) throws IOException {
     try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       socket.setSoTimeout((int) TIMEOUT_MS);
@@ -238,7 +246,7 @@
     return System.nanoTime() / 1e6;
   }
 
-  /** One client's connection: its user, and its commands in their order. */
+  /** One client connection: its user, and its commands in order. */
   private final class Connection extends SimpleChannelInboundHandler<RedisMessage> {
     private User user = users.get("default").password.isEmpty() ? users.get("default") : null;
     private String name = "default";
@@ -359,15 +367,18 @@
       }
     }
 
-    /** The door's add: the epoch, made where there is none; the count; its life where it is new. */
+    /**
+     * The door's add script: sets the epoch key when it does not exist, adds to the count, and sets the
+     * expiry of a new count.
+     */
     private RedisMessage add(List<String> arguments) throws CommandException {
       List<String> calls = scripts.get(arguments.get(1));
       if (calls == null) {
         throw new CommandException("NOSCRIPT No matching script. Please use EVAL.");
       }
       if (!calls.equals(ADD_SCRIPT_CALLS)) {
-        throw new CommandException("ERR this stand-in runs no script that calls " + calls + " (expected: "
-            + ADD_SCRIPT_CALLS
+        throw new CommandException("ERR this stand-in does not support a script that calls " + calls
+            + " (expected: " + ADD_SCRIPT_CALLS
             + ")");
       }
       for (String call : calls) {
@@ -397,9 +408,8 @@
       BigDecimal total = new BigDecimal(oldCount == null ? "0" : oldCount.text)
           .add(new BigDecimal(arguments.get(5)));
       String newTotal = total.signum() == 0 ? "0" : total.stripTrailingZeros().toPlainString();
-      write(count,
-          new Value(newTotal,
-          oldCount == null ? now() + Long.parseLong(arguments.get(6)) : oldCount.expiresAtMs));
+      write(count, new Value(newTotal, oldCount == null ? now() + Long.parseLong(arguments.get(6))
+          : oldCount.expiresAtMs));
       adds++;
       return new ArrayRedisMessage(List.of(text(newTotal), text(epoch.text)));
     }
@@ -449,10 +459,10 @@
     }
   }
 
-  /** A replica that is promoted keeps what it has, and hears nothing more of its primary. */
+  /** A promoted replica keeps its data and no longer receives writes from its former primary. */
   private RedisMessage promote(List<String> arguments) throws CommandException {
     if (!arguments.get(1).equalsIgnoreCase("no")) {
-      throw new CommandException("ERR only REPLICAOF NO ONE is known here");
+      throw new CommandException("ERR only REPLICAOF NO ONE is supported");
     }
     StandInValkey formerPrimary = primary;
     primary = null;
--- a/testkit/src/main/java/willowdoor/testkit/StandIns.java
+++ b/testkit/src/main/java/willowdoor/testkit/StandIns.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.locks.LockSupport;
 
-/** Where stand-ins listen. */
+/** Addresses that stand-ins listen on. */
 public final class StandIns {
 
   private static final long PORT_RELEASE_TIMEOUT_NANOS = 5_000_000_000L;
@@ -17,17 +17,19 @@
   }
 
   /**
-   * Any free port of a loopback address that nobody connects from: a connection made on this machine comes
-   * from 127.0.0.1 unless it says otherwise, so while a stand-in is down, none can take its port as its own.
-   * On 127.0.0.1 one did, and a stand-in that was to come back found its address in use.
+   * Any free port of a loopback address that nobody connects from. A connection made on this machine comes
+   * from 127.0.0.1 unless it binds another address, so that no connection can occupy a stand-in's port while
+   * the stand-in is down. On 127.0.0.1 that did happen, and a stand-in that was to restart found its address
+   * in use.
    */
   public static InetSocketAddress anyAddress() {
     return new InetSocketAddress("127.0.0.2", 0);
   }
 
   /**
-   * Listens there, where it may have listened until just now: a closed channel gives its port back when its
-   * selector is asked next, which is after its close is told (by the JDK, of channels in a selector).
+   * Binds an address that may have been in use until just now, and retries for a while: a closed channel
+   * releases its port at the next select of its selector, which comes after the close is reported (JDK,
+   * channels registered with a selector).
    */
   static Channel listen(ServerBootstrap server, InetSocketAddress at) {
     long until = System.nanoTime() + PORT_RELEASE_TIMEOUT_NANOS;
@@ -39,7 +41,7 @@
     return bound.syncUninterruptibly().channel();
   }
 
-  /** As a setting has it. */
+  /** The address as {@code host:port}, the form used in settings. */
   public static String text(InetSocketAddress address) {
     return address.getHostString() + ":" + address.getPort();
   }
--- a/testkit/src/main/java/willowdoor/testkit/TestEnvironment.java
+++ b/testkit/src/main/java/willowdoor/testkit/TestEnvironment.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The world that doors live in, on loopback and in this process: backends, discovery, counter, and the ledger
- * that all of them write. Three event loops: backends, counter with discovery, clients. The doors are made by
- * whoever runs it.
+ * The environment of doors under test, on loopback and in this process: backends, discovery, counter, and the
+ * event history that all of them write. It has separate event loops for backends, for counter and discovery,
+ * for clients and, when there are any, for authorisers. The caller creates the doors.
  */
 public final class TestEnvironment implements AutoCloseable {
 
@@ -70,7 +70,7 @@
     return seed;
   }
 
-  /** A policy server that tells its clients such settings; tls may be null. */
+  /** Starts an authoriser that announces these HTTP/2 settings to its clients; {@code tls} may be null. */
   public StandInAuthoriser authoriser(String name, Http2Settings settings, SslContext tls) {
     if (authoriserLoop == null) {
       authoriserLoop = loop();
@@ -80,37 +80,36 @@
     return made;
   }
 
-  /** Policy servers of this world, in the order of their making. */
+  /** All authorisers, in the order of their creation. */
   public List<StandInAuthoriser> authorisers() {
     return List.copyOf(authorisers);
   }
 
-  /** Holds requests to this too. */
+  /** Also checks requests against this rule on authorisation. */
   public void authorise(InvariantChecker.Authorisation needed) {
     authorisation = needed;
   }
 
-  /** Holds what operators were told to this too. */
+  /** Also checks operators' permits and releases against these budgets. */
   public void budgets(InvariantChecker.Budgets kept) {
     budgets = kept;
   }
 
-  /** A link to the target that breaks when told to. */
+  /** Starts a proxy to the target that injects network faults on request. */
   public FaultyLink relay(java.net.InetSocketAddress target) {
     return new FaultyLink(peerLoop, target, seed + ++relays);
   }
 
-  /** The client fleet of these doors; it asks nothing before it is told to. */
+  /** Creates the client fleet of these doors; the fleet sends nothing before it is started. */
   public ClientFleet fleet(List<? extends Door> doors, ClientFleet.Load load) {
     fleet = new ClientFleet(clientLoop.next(), eventHistory, runSettings, doors, load, seed);
     return fleet;
   }
 
-  /** Holds what happened to the rules; to be asked when all tries have ended. */
+  /** Checks the event history against the invariants; to be called when all tries have ended. */
   public InvariantChecker.Verdict verdict() {
     return new InvariantChecker(eventHistory, runSettings, backendSpec.capacity(), authorisation)
-        .withBudgets(budgets)
-        .verdict();
+        .withBudgets(budgets).verdict();
   }
 
   @Override
--- a/testkit/src/test/java/willowdoor/testkit/InvariantCheckerTest.java
+++ b/testkit/src/test/java/willowdoor/testkit/InvariantCheckerTest.java
@@ -12,15 +12,17 @@
 import willowdoor.testkit.EventHistory.Entry;
 import willowdoor.testkit.EventHistory.Kind;
 
-/** Plants what no run may hold, and what it may, and sees which of both the judge finds. */
+/**
+ * Records histories that violate a rule and histories that are allowed, and checks which violations are
+ * found.
+ */
 class InvariantCheckerTest {
 
   private final EventHistory eventHistory = new EventHistory();
 
   private Verdict verdict() {
     return new InvariantChecker(eventHistory, RunSettings.typical(),
-        new InvariantChecker.BackendCapacity(2, 100))
-        .verdict();
+        new InvariantChecker.BackendCapacity(2, 100)).verdict();
   }
 
   private void assertOnlyViolation(Rule rule, String request) {
@@ -35,8 +37,8 @@
   }
 
   private void sendRequest(String id, RequestKind kind, double atMs, String plan, int units) {
-    eventHistory.registerRequest(
-        new ClientRequest(id, "firm-" + plan, plan, kind, kind.keyed() ? "k" + id : null, units, 2_000, 0,
+    eventHistory.registerRequest(new ClientRequest(id, "firm-" + plan, plan, kind,
+        kind.keyed() ? "k" + id : null, units, 2_000, 0,
         atMs));
     record(id, Kind.ASKED, atMs, "d0", 0, "");
   }
@@ -76,8 +78,7 @@
   }
 
   private void assertOperatorViolations(List<Rule> broken) {
-    Verdict v =
-        new InvariantChecker(eventHistory, RunSettings.typical(),
+    Verdict v = new InvariantChecker(eventHistory, RunSettings.typical(),
         new InvariantChecker.BackendCapacity(2, 100))
         .withBudgets(new InvariantChecker.Budgets(1, 1, x -> x.startsWith("d"), 5_000)).verdict();
     assertEquals(broken, v.violations().stream().map(Violation::rule).toList(), v::toString);
@@ -194,7 +195,7 @@
     assertOnlyViolation(Rule.ONE_ATTEMPT_OUT, "r");
   }
 
-  /** The end of one connection may be read after what came later on another one. */
+  /** The close of one connection may be read after data that arrived later on another connection. */
   @Test
   void passesACloseReadAfterTheNextAttemptBegan() {
     sendRequest("r", RequestKind.QUOTE, 100);
@@ -317,7 +318,8 @@
   }
 
   /**
-   * Two cores at 21% do 0.42 ms of work a millisecond: in 2 s, times 2.5, 21 attempts of 100 ms, and 4 spare.
+   * Two cores at 21% do 0.42 ms of work per millisecond: 21 attempts of 100 ms in 2 s at the multiple of 2.5,
+   * and 4 attempts of allowance for random variation.
    */
   @Test
   void findsAnOverloadedColdBackend() {
@@ -335,7 +337,10 @@
     assertEquals(1, v.count(Rule.COLD_SPARED), v::toString);
   }
 
-  /** The ceiling of basic holds 40 units and fills at 10 a second; the slack is 8, and 1.5 for scatter. */
+  /**
+   * The ceiling of plan basic holds 40 units and refills at 10 per second; the slack is 8 units, and 1.5 for
+   * varying arrival times.
+   */
   @Test
   void findsACeilingPassedByAllDoorsTogether() {
     for (int i = 0; i < 48; i++) {
@@ -358,8 +363,7 @@
   }
 
   private void assertAuthorisationViolation(Rule rule, boolean idempotent) {
-    Verdict v =
-        new InvariantChecker(eventHistory, RunSettings.typical(),
+    Verdict v = new InvariantChecker(eventHistory, RunSettings.typical(),
         new InvariantChecker.BackendCapacity(2, 100),
         new InvariantChecker.Authorisation(a -> a.kind() == RequestKind.BUY, idempotent)).verdict();
     assertEquals(rule == null ? List.of() : List.of(rule),
--- a/testkit/src/test/java/willowdoor/testkit/StandInsTest.java
+++ b/testkit/src/test/java/willowdoor/testkit/StandInsTest.java
@@ -12,7 +12,7 @@
 @Timeout(60)
 class StandInsTest {
 
-  /** What goes and comes back within the same moment has its address again. */
+  /** A stand-in that closes and listens again immediately gets the same port. */
   @Test
   void rebindsItsPortImmediatelyAfterClose() {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
