--- a/authz/src/main/java/willowdoor/extauthz/Answers.java
+++ b/authz/src/main/java/willowdoor/extauthz/Answers.java
@@ -67,7 +67,7 @@
     String metadata = answer.hasDynamicMetadata() ? text(answer.getDynamicMetadata()) : null;
     if (code == Code.OK) {
       if (answer.hasDeniedResponse()) {
-        return new Malformed("status OK together with a denied response");
+        return new Malformed("status OK with a denied response");
       }
       return allowed(answer, metadata);
     }
@@ -100,7 +100,7 @@
     int bytes = 0;
     for (String name : ok.getHeadersToRemoveList()) {
       if (!HeaderRules.isName(name)) {
-        return new Malformed("removes an invalid header name: " + truncate(name));
+        return new Malformed("removes what is no header: " + truncate(name));
       }
       if (!HeaderRules.isProtected(name)) {
         changes.add(new Change(HeaderAction.REMOVE, name, null));
@@ -112,7 +112,7 @@
         String name = o.getHeader().getKey();
         String value = value(o.getHeader());
         if (!HeaderRules.isName(name) || !HeaderRules.isValue(value)) {
-          return new Malformed("sets an invalid header: " + truncate(name));
+          return new Malformed("sets what is no header: " + truncate(name));
         }
         if (!HeaderRules.isProtected(name)) {
           (client ? forClient : changes).add(new Change(client ? HeaderAction.APPEND : how(o), name, value));
--- a/authz/src/main/java/willowdoor/extauthz/DecisionLog.java
+++ b/authz/src/main/java/willowdoor/extauthz/DecisionLog.java
@@ -34,7 +34,7 @@
    *
    * @param atMs arrival at the gate, Unix time in milliseconds
    * @param decision the gate's decision and its reason, or "none" if the request ended undecided
-   * @param end how the request ended, as named by {@code willowdoor.net.Gate.End}
+   * @param end how the request ended, as named by {@code willowdoor.net.RequestFilter.RequestEnd}
    */
   record Entry(double atMs, String door, String id, String member, String firm, String plan, String className,
       List<Call> calls, String decision, double decidedMs, String end, double endedMs, String metadata) { }
--- a/bench/jmh/src/main/java/willowdoor/fairness/FairQueueCost.java
+++ b/bench/jmh/src/main/java/willowdoor/fairness/FairQueueCost.java
@@ -21,7 +21,7 @@
 import willowdoor.fairness.FairSettings.ComeBack;
 import willowdoor.fairness.FairSettings.Cost;
 import willowdoor.fairness.FairSettings.Limit;
-import willowdoor.fairness.FairSettings.PlanPart;
+import willowdoor.fairness.FairSettings.PlanSettings;
 
 /**
  * Cost of one arrival and one completion with a given number of waiting requests: the fair queue compared
@@ -51,7 +51,7 @@
 
   @Setup
   public void fill() {
-    queue = new FairQueue(new FairSettings(Map.of(), new PlanPart(0, 1, 0, 0, 0), 1, Cost.UNITS,
+    queue = new FairQueue(new FairSettings(Map.of(), new PlanSettings(0, 1, 0, 0, 0), 1, Cost.UNITS,
         new Bounds(200_000, 1 << 30, 4_096, 16_384, 64, 8, 16_384, 1_024), new Limit(16, 16, 16),
         new ComeBack(0.8, 1_000)));
     ids = new String[waiting + 1_000];
--- a/daemon/src/main/java/willowdoor/daemon/life/ControlSocket.java
+++ b/daemon/src/main/java/willowdoor/daemon/life/ControlSocket.java
@@ -175,7 +175,7 @@
         if (ready) {
           instance.post(new SuccessorLost());
         } else {
-          LOG.warning("process " + pid + " did not become ready; this instance continues to serve");
+          LOG.warning("process " + pid + " did not become ready; serving on");
         }
       }
     }
--- a/door/src/main/java/willowdoor/net/CounterClient.java
+++ b/door/src/main/java/willowdoor/net/CounterClient.java
@@ -184,7 +184,7 @@
       if (action instanceof Check c) {
         sendCheck(c);
       } else if (action instanceof Replaced r) {
-        LOG.info("counter was replaced (origin " + r.origin() + "), incarnation " + r.incarnation());
+        LOG.info("another counter answers than before (" + r.origin() + "); it is number " + r.incarnation());
         onReplaced.accept(r.lostSinceMs());
       } else if (action instanceof WakeAt w) {
         loop.schedule(() -> dispatch(new Woken()),
--- a/door/src/main/java/willowdoor/net/FrontDoorOperations.java
+++ b/door/src/main/java/willowdoor/net/FrontDoorOperations.java
@@ -101,14 +101,14 @@
         FrontDoorState state = FrontDoorState.parse(hello.reply().text());
         loop.submit(() -> restore(state)).sync();
       } catch (IOException e) {
-        LOG.warning("ignoring the state of the other process: " + e.getMessage());
+        LOG.warning("the other process's state is left aside: " + e.getMessage());
       }
     }
   }
 
   private void restore(FrontDoorState state) {
-    LOG.info("restored the state of the other process: " + state.backendsOut().size()
-        + " backends disabled, clients drained: " + state.clientsSentAway());
+    LOG.info("goes on from the other process: " + state.backendsOut().size()
+        + " backends out, clients sent away: " + state.clientsSentAway());
     roster.inherit(state.backendsOut());
     if (state.clientsSentAway()) {
       drain();
--- a/door/src/main/java/willowdoor/net/ProcessFile.java
+++ b/door/src/main/java/willowdoor/net/ProcessFile.java
@@ -42,13 +42,13 @@
           ? EndpointUpdate.parseAddress(text.substring(PREFIX.length(), text.length() - " end\n".length()))
           : null;
       if (address == null) {
-        LOG.warning(file + " is ignored: expected '" + PREFIX + "ADDRESS end' on one line");
+        LOG.warning(file + " is left aside: expected '" + PREFIX + "ADDRESS end' in one line");
       }
       return address;
     } catch (NoSuchFileException e) {
       return null;
     } catch (IOException | RuntimeException e) {
-      LOG.warning(file + " is ignored: " + e.getMessage());
+      LOG.warning(file + " is left aside: " + e.getMessage());
       return null;
     }
   }
--- a/policy/src/main/java/willowdoor/agreement/DoorParticipant.java
+++ b/policy/src/main/java/willowdoor/agreement/DoorParticipant.java
@@ -231,7 +231,7 @@
     }
     if (!lease.isValid(nowMs)) {
       actions.add(new AnswerOperator(e.request(), new Refused("the stewards have not been heard for "
-          + (lastAnswerMs == Double.NEGATIVE_INFINITY ? "the whole lifetime of this process"
+          + (lastAnswerMs == Double.NEGATIVE_INFINITY ? "the whole of this process's life"
               : Math.round(nowMs - lastAnswerMs) + " ms") + ", so nothing can be agreed on")));
     } else if (answerDueMs.size() >= MAX_PENDING_REQUESTS) {
       actions.add(new AnswerOperator(e.request(),
@@ -251,8 +251,8 @@
       if (nowMs >= x.getValue()) {
         actions.add(new AnswerOperator(x.getKey(),
             new Refused("no answer from the stewards within " + (long) ANSWER_TIMEOUT_MS
-            + " ms; it may still be agreed on: repeat request " + x.getKey()
-            + ", which counts as the same one")));
+            + " ms; it may yet be agreed on: ask for " + x.getKey()
+            + " again, it is the same request")));
         return true;
       }
       return false;
--- a/policy/src/main/java/willowdoor/agreement/FleetStateMachine.java
+++ b/policy/src/main/java/willowdoor/agreement/FleetStateMachine.java
@@ -398,8 +398,8 @@
         && !e.by().equals(requesterName(rollout.state()))
         && rollout.state().steps().stream().anyMatch(x -> permit.request().equals(requestName(rollout.state(),
             x)))) {
-      return new Refused("permit " + permit.id() + " belongs to " + permit.by() + ", which returns it once"
-          + " the door's step ends: pause or halt the release");
+      return new Refused("permit " + permit.id() + " is of " + permit.by() + ", which gives it back once the"
+          + " door's step is over: pause or halt that");
     }
     if (permit.stage() == Stage.WAITING) {
       markEnded(permit);
--- a/policy/src/test/java/willowdoor/agreement/DoorParticipantTest.java
+++ b/policy/src/test/java/willowdoor/agreement/DoorParticipantTest.java
@@ -204,7 +204,7 @@
 
   @Test
   void operatorIsAnsweredWithinASecond() {
-    assertTrue(refusalReason(handle(permitRequest("r1"))).contains("the whole lifetime of this process"));
+    assertTrue(refusalReason(handle(permitRequest("r1"))).contains("the whole of this process's life"));
     answerWithPermits();
     assertEquals(List.of(new SendPermitRequest(permitRequest("r1"))), handle(permitRequest("r1")));
     assertEquals(List.of(), handle(permitRequest("r1")));
--- a/policy/src/test/java/willowdoor/agreement/FleetStateMachineReleaseTest.java
+++ b/policy/src/test/java/willowdoor/agreement/FleetStateMachineReleaseTest.java
@@ -151,7 +151,7 @@
     assertTrue(assertInstanceOf(Refused.class,
         stateMachine.apply(new ReturnPermit(nowMs, own.subject(), own.id(),
         "rui"))).why()
-        .contains("pause or halt the release"));
+        .contains("pause or halt that"));
     assertInstanceOf(Done.class, steer("s1", 1, Steering.HALT));
     assertInstanceOf(Done.class, steer("s1", 1, Steering.HALT));
     assertInstanceOf(Refused.class, steer("s2", 7, Steering.HALT));
--- a/steward/src/main/java/willowdoor/steward/Steward.java
+++ b/steward/src/main/java/willowdoor/steward/Steward.java
@@ -170,8 +170,8 @@
    * fail.
    */
   private void restartNode() {
-    LOG.warning("no message from the leader " + leader().name() + " and no election started: restarting the"
-        + " node from its disk");
+    LOG.warning("nothing was heard of the leader " + leader().name() + ", and no vote was begun: the node is"
+        + " begun anew from its disk");
     restarting = true;
     node.terminate().whenComplete((done, failure) -> environment.schedule(0, () -> {
       if (stopped) {
--- a/steward/src/main/java/willowdoor/steward/link/LinkClient.java
+++ b/steward/src/main/java/willowdoor/steward/link/LinkClient.java
@@ -130,8 +130,8 @@
    */
   void call(Call call, boolean passedOn, long timeoutMs, Consumer<Answer> callback) {
     if (channel == null || !channel.isWritable() || pendingCalls.size() >= MAX_PENDING_CALLS) {
-      callback.accept(new Failed(channel == null ? "none of the stewards " + stewards + " is reachable"
-          + (refusal.isEmpty() ? "" : ": " + refusal) : "the link is overloaded", true));
+      callback.accept(new Failed(channel == null ? "no steward of " + stewards + " is reached"
+          + (refusal.isEmpty() ? "" : ": " + refusal) : "the link is full", true));
       return;
     }
     long id = ++lastId;
--- a/steward/src/main/java/willowdoor/steward/link/StewardProcess.java
+++ b/steward/src/main/java/willowdoor/steward/link/StewardProcess.java
@@ -345,10 +345,10 @@
    */
   private static String denialReason(Hello by, Ask ask) {
     if (by.role() == Role.STEWARD) {
-      return ask.passedOn() ? null : "a steward may only forward calls";
+      return ask.passedOn() ? null : "a steward only passes on";
     }
     if (ask.passedOn()) {
-      return "only stewards may forward calls";
+      return "only stewards pass on";
     }
     boolean door = by.role() == Role.DOOR;
     if (ask.call() instanceof Call.Beat e) {
@@ -410,7 +410,7 @@
       if (failure == null) {
         then.accept(outcome);
       } else {
-        failed.accept(new Failed("steward " + settings.self().name() + " could not commit the command: "
+        failed.accept(new Failed("steward " + settings.self().name() + " could not have it agreed on: "
             + failure, true));
       }
     });
@@ -418,7 +418,7 @@
 
   private void enqueueHeartbeat(PendingHeartbeat beat) {
     if (pendingHeartbeats.size() >= MAX_PENDING_HEARTBEATS) {
-      beat.callback().accept(new Failed(MAX_PENDING_HEARTBEATS + " heartbeats are already waiting", true));
+      beat.callback().accept(new Failed(MAX_PENDING_HEARTBEATS + " heartbeats wait already", true));
       return;
     }
     pendingHeartbeats.add(beat);
--- a/store-valkey/src/main/java/willowdoor/valkey/ValkeyStore.java
+++ b/store-valkey/src/main/java/willowdoor/valkey/ValkeyStore.java
@@ -340,7 +340,7 @@
     failureLogged = false;
     String answeredEpoch = String.valueOf(answer.get(1));
     if (epoch != null && !epoch.equals(answeredEpoch)) {
-      LOG.info("counter data was replaced: epoch " + answeredEpoch + " after " + epoch);
+      LOG.info("other counts answer than before: epoch " + answeredEpoch + " after " + epoch);
       epoch = answeredEpoch;
       // The old watch would report this replacement again: start a new one on the new data.
       watch = new CounterWatch(door + 'w' + ++watchCount);
@@ -364,7 +364,7 @@
         call(c.name(), c.amount(), c.ttlMs(), (status, total) -> loop.execute(() ->
             notifyWatch(target, new CheckEnded(c.number(), status == Status.OK ? total : Double.NaN))));
       } else if (action instanceof Replaced r) {
-        LOG.info("counter data was replaced (" + r.origin() + ")");
+        LOG.info("other counts answer than before (" + r.origin() + ")");
         listener.replaced(r.lostSinceMs());
       } else if (action instanceof WakeAt w) {
         loop.schedule(() -> notifyWatch(target, new Woken()),
