--- a/steward/src/main/java/willowdoor/steward/Codec.java
+++ b/steward/src/main/java/willowdoor/steward/Codec.java
@@ -52,11 +52,15 @@
   private static void registerSubtypes(ObjectMapper mapper, Class<?> root) {
     mapper.addMixIn(root, TypeInProperty.class);
     for (Class<?> subtype : root.getPermittedSubclasses()) {
-      mapper.registerSubtypes(new NamedType(subtype,
-          OUTER_NAMES.getOrDefault(subtype, subtype.getSimpleName())));
+      mapper.registerSubtypes(new NamedType(subtype, outerName(subtype)));
     }
   }
 
+  /** The name of a type of command or outcome in the property {@code is} and in messages. */
+  public static String outerName(Class<?> type) {
+    return OUTER_NAMES.getOrDefault(type, type.getSimpleName());
+  }
+
   private static ObjectMapper mapper() {
     ObjectMapper mapper = JsonMapper.builder().enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
         .enable(DeserializationFeature.FAIL_ON_NULL_CREATOR_PROPERTIES,
@@ -75,7 +79,7 @@
   public static byte[] bytes(Command command) {
     byte[] bytes = write(command, Command.class);
     if (bytes.length > MAX_COMMAND_BYTES) {
-      throw new IllegalArgumentException("a " + command.getClass().getSimpleName() + " of " + bytes.length
+      throw new IllegalArgumentException("a " + outerName(command.getClass()) + " of " + bytes.length
           + " bytes (expected: " + MAX_COMMAND_BYTES + " at most)");
     }
     return bytes;
--- a/steward/src/main/java/willowdoor/steward/link/StewardProcess.java
+++ b/steward/src/main/java/willowdoor/steward/link/StewardProcess.java
@@ -26,6 +26,7 @@
 import willowdoor.agreement.State;
 import willowdoor.agreement.Subject.Kind;
 import willowdoor.agreement.FleetSettings;
+import willowdoor.steward.Codec;
 import willowdoor.steward.DiskStore;
 import willowdoor.steward.Steward;
 import willowdoor.steward.StewardId;
@@ -367,7 +368,7 @@
         : c instanceof Command.Forget || c instanceof Command.Configure || c instanceof Command.StartRelease
             || c instanceof Command.SteerRelease ? !door
         : c instanceof Command.RequestPermit || c instanceof Command.ReturnPermit;
-    return allowed ? null : "a " + c.getClass().getSimpleName() + " is not for " + by.name() + " to ask for";
+    return allowed ? null : "a " + Codec.outerName(c.getClass()) + " is not for " + by.name() + " to ask for";
   }
 
   private void forward(Ask ask, Consumer<Answer> answer) {
