--- a/steward/src/main/java/willowdoor/steward/link/StewardProcess.java
+++ b/steward/src/main/java/willowdoor/steward/link/StewardProcess.java
@@ -187,9 +187,9 @@
       unansweredRecalls.remove(other);
       String lacks = missingFromDisk(new DiskStore.Progress(e.term(), e.index()));
       if (lacks != null) {
-        LOG.severe("steward " + settings.self().name() + " can't take part: according to steward "
-            + other.name() + ", " + lacks + ". The disk is new or an older copy; if there is no other,"
-            + " increase its disk number, --join with that, and have the others add it");
+        LOG.severe("steward " + settings.self().name() + " can't take part: by steward "
+            + other.name() + ", " + lacks + ". It is an older copy, or new; if it is all there is, count its"
+            + " disk number up, --join with that, and have the others add it");
         ended.complete(1);
       } else if (unansweredRecalls.isEmpty()) {
         participate();
